--- a/crates/gateway-core/src/control/accounts.rs
+++ b/crates/gateway-core/src/control/accounts.rs
@@ -1,9 +1,9 @@
-//! What is left of the limits of tenants, over all routers together.
+//! Limits of tenants over all routers together.
 //!
-//! The leader alone keeps accounts. Routers report what they admitted; each is sent the levels of
-//! the tenants that it reported, and all are sent those of tenants that are close to their limit.
-//! A new leader knows nothing of the past: during its first moments it takes the lowest
-//! level that any router believes in.
+//! Only the leader keeps accounts. Routers report what they admitted; each is sent the levels of
+//! the tenants that it reported, and all are sent the levels of tenants that are close to their
+//! limit. A new leader does not know past usage: during its first moments it adopts the lowest
+//! level that any router reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,24 +16,24 @@
 use crate::limits::{Account, RecentUsage, TenantLimit};
 use crate::{AccountLevel, Message, TenantKey, TenantName, UsageEntry};
 
-/// Between two notices to routers. Half of what a router's report takes to get here adds to it; the
-/// sum is the lag by which a tenant can exceed its limit.
+/// Interval between updates to routers. A tenant can exceed its limit for the lag, which is this
+/// interval plus half the time that a router's report takes to arrive.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(100);
-/// Routers get a notice at least this often, also an empty one: they take silence for a leader that
-/// is out of reach, see `LEVELS_COUNT_FOR` of the router.
+/// Maximum interval between updates to a router, even if there is no level to send: without updates
+/// a router assumes that the leader is unreachable and stops using the levels it received.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(400);
-/// All routers are notified of a tenant that has less than this part of its burst left.
-const CLOSE_TO_LIMIT: f64 = 0.5;
-/// Bytes a second that levels may cost one router, of 14 KB/s for all control traffic. Longer lists
-/// are sent less often.
-const BYTES_PER_SECOND: f64 = 1_500.0;
-/// How long a new leader takes over levels that routers report: two report intervals, and the time
+/// All routers are notified of a tenant whose level is below this fraction of its burst.
+const CLOSE_TO_LIMIT_FRACTION: f64 = 0.5;
+/// Bandwidth per router for levels, out of 14 KB/s for all control traffic. Longer lists are sent
+/// less often.
+const MAX_BYTES_PER_SECOND: f64 = 1_500.0;
+/// How long a new leader adopts levels that routers report: two report intervals, plus the time
 /// that routers need to find it.
-const TAKES_OVER_FOR: Duration = Duration::from_millis(1_500);
-/// Routers whose use counts for less than this part of a tenant's are forgotten.
-const FORGOTTEN_SHARE: f64 = 1e-3;
+const TAKEOVER_PERIOD: Duration = Duration::from_millis(1_500);
+/// Routers that account for less than this fraction of a tenant's recent usage are forgotten.
+const MIN_USAGE_SHARE: f64 = 1e-3;
 
-/// One tenant's account, and who used it.
+/// Account of one tenant and its recent usage.
 #[derive(Debug)]
 struct TenantAccount {
     account: Account,
@@ -43,15 +43,15 @@
     notified_as_close: bool,
 }
 
-/// The accounts of all tenants that have a limit.
+/// Accounts of all tenants that have a limit.
 #[derive(Debug, Default)]
 pub(super) struct TenantAccounts {
     limits: BTreeMap<TenantKey, TenantLimit>,
     accounts: BTreeMap<TenantKey, TenantAccount>,
-    /// What each router reported since its last notice.
+    /// Tenants that each router has reported since its last update.
     reported: BTreeMap<ConnectionId, BTreeSet<TenantKey>>,
     notified_at: BTreeMap<ConnectionId, Timestamp>,
-    next_notice: Timestamp,
+    next_update: Timestamp,
 }
 
 impl TenantAccount {
@@ -68,25 +68,26 @@
         self.account.charge(now, amount);
         self.usage.add(now, amount);
         self.by_router.entry(router).or_default().add(now, amount);
-        let least = self.usage.amount(now) * FORGOTTEN_SHARE;
-        self.by_router.retain(|_, usage| usage.amount(now) > least);
+        let threshold = self.usage.amount(now) * MIN_USAGE_SHARE;
+        self.by_router
+            .retain(|_, usage| usage.amount(now) > threshold);
     }
 
     fn is_close(&self, now: Timestamp) -> bool {
-        self.account.level(now) < self.account.limit().burst * CLOSE_TO_LIMIT
+        self.account.level(now) < self.account.limit().burst * CLOSE_TO_LIMIT_FRACTION
     }
 
     fn level_for(&self, now: Timestamp, key: TenantKey, router: ConnectionId) -> AccountLevel {
         let all = self.usage.amount(now);
-        let own = self.by_router.get(&router);
-        let own = own.map_or(0.0, |usage| usage.amount(now));
-        let share = if all > 0.0 { own / all } else { 0.0 };
+        let router_usage = self.by_router.get(&router);
+        let router_usage = router_usage.map_or(0.0, |usage| usage.amount(now));
+        let share = if all > 0.0 { router_usage / all } else { 0.0 };
         AccountLevel::new(key, self.account.level(now), share)
     }
 }
 
 impl TenantAccounts {
-    /// Forgets what was used: another machine may have led since.
+    /// Discards all usage, as another machine may have led since.
     pub fn forget(&mut self) {
         *self = Self {
             limits: std::mem::take(&mut self.limits),
@@ -104,8 +105,8 @@
         )
     }
 
-    /// What a router is to be sent; `None` when nothing is due.
-    fn notice(
+    /// Levels that a router is to be sent; `None` if no update is due.
+    fn due_levels(
         &mut self,
         now: Timestamp,
         router: ConnectionId,
@@ -126,23 +127,23 @@
         Some(levels.collect())
     }
 
-    /// Tenants that all routers are notified of: those close to their limit, and once more those that
-    /// no longer are.
+    /// Tenants that all routers are notified of: those close to their limit, and once more those
+    /// that no longer are.
     fn close_to_limit(&mut self, now: Timestamp) -> BTreeSet<TenantKey> {
-        let mut notified = BTreeSet::new();
+        let mut tenants = BTreeSet::new();
         for (key, account) in &mut self.accounts {
             let is_close = account.is_close(now);
             if is_close || account.notified_as_close {
-                notified.insert(*key);
+                tenants.insert(*key);
             }
             account.notified_as_close = is_close;
         }
-        notified
+        tenants
     }
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Takes in the limits of the configuration that is in force.
+    /// Applies the limits of the configuration that is in force.
     pub fn set_limits(&mut self, now: Timestamp, limits: &[(TenantName, TenantLimit)]) {
         self.now = now;
         let by_key = |(name, limit): &(TenantName, TenantLimit)| (TenantKey::of(name), *limit);
@@ -158,47 +159,47 @@
         });
     }
 
-    /// What is left of a tenant's limit, when it has one and this machine leads.
+    /// Level of a tenant's account, if it has a limit and this machine leads.
     pub fn tenant_level(&self, tenant: &TenantName) -> Option<f64> {
         let account = self.tenant_accounts.accounts.get(&TenantKey::of(tenant))?;
         (self.role() == Role::Leader).then(|| account.account.level(self.now))
     }
 
-    /// A router admitted requests of tenants that have a limit.
+    /// Charges the requests of tenants with a limit that a router admitted.
     pub(super) fn on_usage(&mut self, from: ConnectionId, entries: &[UsageEntry]) {
         if self.role() != Role::Leader {
             return;
         }
         let now = self.now;
-        let takes_over = self
-            .leads_since
-            .is_some_and(|since| now.since(since) < TAKES_OVER_FOR);
+        let is_taking_over = self
+            .leader_since
+            .is_some_and(|since| now.since(since) < TAKEOVER_PERIOD);
         for entry in entries {
             let Some(account) = self.tenant_accounts.account(now, entry.tenant) else {
                 continue;
             };
             account.charge(now, from, f64::from(entry.amount));
-            let believed = f64::from(entry.believed_level);
-            if takes_over && believed < account.account.level(now) {
-                account.account.set_level(now, believed);
+            let reported_level = f64::from(entry.believed_level);
+            if is_taking_over && reported_level < account.account.level(now) {
+                account.account.set_level(now, reported_level);
             }
             let reported = self.tenant_accounts.reported.entry(from).or_default();
             reported.insert(entry.tenant);
         }
     }
 
-    /// Sends routers how much is left.
-    pub(super) fn share_accounts(&mut self) {
+    /// Sends routers the levels of accounts.
+    pub(super) fn send_account_levels(&mut self) {
         let now = self.now;
-        if self.tenant_accounts.limits.is_empty() || now < self.tenant_accounts.next_notice {
+        if self.tenant_accounts.limits.is_empty() || now < self.tenant_accounts.next_update {
             return;
         }
         let close = self.tenant_accounts.close_to_limit(now);
         let bytes = (close.len() * AccountLevel::BYTES) as f64;
-        let interval = Duration::from_secs_f64(bytes / BYTES_PER_SECOND).max(NOTIFY_INTERVAL);
-        self.tenant_accounts.next_notice = now.plus(interval);
+        let interval = Duration::from_secs_f64(bytes / MAX_BYTES_PER_SECOND).max(NOTIFY_INTERVAL);
+        self.tenant_accounts.next_update = now.plus(interval);
         for connection in self.routers.connections() {
-            if let Some(levels) = self.tenant_accounts.notice(now, connection, &close) {
+            if let Some(levels) = self.tenant_accounts.due_levels(now, connection, &close) {
                 let message = Message::AccountLevels(List::new(levels));
                 self.effects.push(Effect::ToRouter(connection, message));
             }
--- a/crates/gateway-core/src/control/fetches.rs
+++ b/crates/gateway-core/src/control/fetches.rs
@@ -1,8 +1,9 @@
-//! Routers that ask for changes, and in what order and how fast they are answered.
+//! Requests of routers for state changes, and the order and rate at which they are answered.
 //!
-//! The load that this answers is a fleet that starts, or a part of it that starts again: hundreds of routers ask
-//! for all there is at once. Together they take more than the machine's link carries. Heartbeats of the log would
-//! wait behind what they are sent, and a leader whose heartbeats are late loses its lead.
+//! The highest load is the start of a fleet, or the restart of a part of it: hundreds of routers
+//! request the whole state at once, and together they need more than the machine's link carries.
+//! Heartbeats of the replicated log would queue behind the answers, and a leader whose heartbeats
+//! are late loses its leadership.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -14,48 +15,51 @@
 use super::{ConnectionId, ControlCore, Effect};
 use crate::{Message, NamedWeights, Position};
 
-/// What a router is sent of the state at once: 50 ms on its link of 10 Mbit/s. It asks for the rest when it has
-/// taken that in, so a control machine queues at most this much for each link.
-const MOST_PART_BYTES: usize = 64 << 10;
-/// Part of the machine's link that all routers together may take: less than half, so that the log, heartbeats of back
-/// ends and operators always find room. Of 1 Gbit/s it is still what forty routers' own links carry.
-const LINK_PART: f64 = 0.4;
-/// For so long the allowance gathers while nobody asks: a tick.
-const GATHERS_FOR: Duration = Duration::from_millis(50);
+/// Size of the chunk of the state that a router is sent at once: 50 ms on its link of 10 Mbit/s.
+/// The router requests the next chunk after it has processed this one, so a control machine queues
+/// at most this much for each link.
+const MAX_CHUNK_BYTES: usize = 64 << 10;
+/// Share of the machine's link that all routers together may use: less than half, so that the log,
+/// heartbeats of back ends and operators always have capacity. Of 1 Gbit/s it still equals the
+/// capacity of the links of forty routers.
+const LINK_SHARE: f64 = 0.4;
+/// Period for which unused allowance accumulates: one tick.
+const BURST_DURATION: Duration = Duration::from_millis(50);
 
-/// Questions that are not answered yet.
+/// Requests that are not answered yet.
 #[derive(Debug, Default)]
 pub(super) struct Fetches {
-    /// A router's last question replaces the one before.
-    asked: BTreeMap<ConnectionId, Position>,
+    /// Only the last request of each router counts.
+    requested: BTreeMap<ConnectionId, Position>,
     /// Bytes that may be sent; negative after an answer that was larger.
     allowance: f64,
-    allowed_at: Timestamp,
+    refilled_at: Timestamp,
 }
 
 impl Fetches {
-    /// A router asks for what follows on a position.
-    pub fn ask(&mut self, connection: ConnectionId, position: Position) {
-        self.asked.insert(connection, position);
+    /// Queues a router's request for the changes after a position.
+    pub fn request(&mut self, connection: ConnectionId, position: Position) {
+        self.requested.insert(connection, position);
     }
 
-    /// A router's link has ended.
+    /// Discards the request of a router whose link was closed.
     pub fn forget(&mut self, connection: ConnectionId) {
-        self.asked.remove(&connection);
+        self.requested.remove(&connection);
     }
 
     fn refill(&mut self, now: Timestamp, link_bytes_per_second: f64) {
-        let rate = link_bytes_per_second * LINK_PART;
-        let flowed = now.since(self.allowed_at).as_secs_f64() * rate;
-        let most = GATHERS_FOR.as_secs_f64() * rate;
-        self.allowance = (self.allowance + flowed).min(most);
-        self.allowed_at = now;
+        let rate = link_bytes_per_second * LINK_SHARE;
+        let added = now.since(self.refilled_at).as_secs_f64() * rate;
+        let max_allowance = BURST_DURATION.as_secs_f64() * rate;
+        self.allowance = (self.allowance + added).min(max_allowance);
+        self.refilled_at = now;
     }
 
-    /// Those that have come furthest first: they serve callers and lack little, the others start.
+    /// Groups routers by position. The most advanced ones come first: they serve callers and lack
+    /// little, while the others are still starting.
     fn by_position(&self) -> BTreeMap<Reverse<Position>, Vec<ConnectionId>> {
         let mut groups: BTreeMap<Reverse<Position>, Vec<ConnectionId>> = BTreeMap::new();
-        for (connection, position) in &self.asked {
+        for (connection, position) in &self.requested {
             groups
                 .entry(Reverse(*position))
                 .or_default()
@@ -64,21 +68,22 @@
         groups
     }
 
-    /// How many may be sent an answer of this size, at least one while anything is allowed.
-    fn spend(&mut self, bytes: usize, wanted: usize) -> usize {
+    /// Number of receivers that an answer of this size may be sent to: at least one while there is
+    /// any allowance.
+    fn spend(&mut self, bytes: usize, receivers: usize) -> usize {
         let bytes = bytes.max(1) as f64;
         let affordable = (self.allowance / bytes).ceil().max(0.0) as usize;
-        let count = affordable.min(wanted);
+        let count = affordable.min(receivers);
         self.allowance -= bytes * count as f64;
         count
     }
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Answers routers, as far as the allowance goes; the others wait for the next tick. Those that have come
-    /// equally far, as nearly all have that were told of a change together, share one answer: the more there is
-    /// to do, the more ask between two flushes, and the less each costs.
-    pub(super) fn answer_fetches(&mut self) {
+    /// Answers routers within the allowance; the others wait for the next tick. Routers at the same
+    /// position share one answer, as nearly all do that were notified of a change together. Under
+    /// higher load more of them send requests between two flushes, so each answer costs less.
+    pub(super) fn serve_fetches(&mut self) {
         let link = self.params.link_bytes_per_second;
         self.fetches.refill(self.now, link);
         for (Reverse(position), mut connections) in self.fetches.by_position() {
@@ -86,8 +91,8 @@
                 return;
             }
             let age_ms = |named: &NamedWeights| self.weights_age_ms(named.revision);
-            let part = self.state.next_part(position, MOST_PART_BYTES, age_ms);
-            if let Some(changes) = part {
+            let chunk = self.state.next_part(position, MAX_CHUNK_BYTES, age_ms);
+            if let Some(changes) = chunk {
                 let count = self.fetches.spend(changes.bytes(), connections.len());
                 connections.truncate(count);
                 for connection in &connections {
--- a/crates/gateway-core/src/control/fetches_tests.rs
+++ b/crates/gateway-core/src/control/fetches_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how fast routers are answered, and who first.
+//! Tests of the rate and the order in which routers are answered.
 
 use super::*;
 
@@ -13,26 +13,28 @@
     Position { held, begun: held }
 }
 
-/// What so many routers that ask for parts of 64 KB are sent within a second, with a flush each millisecond.
+/// Bytes sent within a second to routers that request chunks of 64 KB, with a flush each
+/// millisecond.
 fn sent_in_a_second(routers: usize) -> usize {
     let mut fetches = Fetches::default();
     let mut sent = 0;
     for millisecond in 0..1_000 {
         fetches.refill(at(millisecond), LINK);
-        sent += fetches.spend(MOST_PART_BYTES, routers) * MOST_PART_BYTES;
+        sent += fetches.spend(MAX_CHUNK_BYTES, routers) * MAX_CHUNK_BYTES;
     }
     sent
 }
 
-/// 985 routers that started together were sent 60 MB by the leader within half a second.
+/// Guards against answers that fill the leader's link: 985 routers that started together were sent
+/// 60 MB within half a second.
 #[test]
-fn however_many_ask_the_link_is_not_filled() {
+fn answers_do_not_fill_the_link_for_any_number_of_routers() {
     assert_eq!(sent_in_a_second(100), sent_in_a_second(1_000));
     assert!((sent_in_a_second(1_000) as f64) < LINK / 2.0);
 }
 
 #[test]
-fn one_answer_is_always_given_however_large_it_is() {
+fn an_answer_larger_than_the_allowance_is_sent() {
     let mut fetches = Fetches::default();
     fetches.refill(at(1_000), LINK);
     let large = 8 << 20;
@@ -45,18 +47,18 @@
 }
 
 #[test]
-fn routers_that_have_come_furthest_are_answered_first_and_the_last_question_counts() {
+fn the_most_advanced_routers_are_answered_first_and_the_last_request_counts() {
     let mut fetches = Fetches::default();
-    fetches.ask(ConnectionId(1), holding(0));
-    fetches.ask(ConnectionId(2), holding(7));
-    fetches.ask(ConnectionId(3), holding(5));
-    fetches.ask(ConnectionId(3), holding(7));
-    fetches.ask(ConnectionId(4), holding(7));
+    fetches.request(ConnectionId(1), holding(0));
+    fetches.request(ConnectionId(2), holding(7));
+    fetches.request(ConnectionId(3), holding(5));
+    fetches.request(ConnectionId(3), holding(7));
+    fetches.request(ConnectionId(4), holding(7));
     fetches.forget(ConnectionId(4));
-    let order: Vec<_> = fetches.by_position().into_iter().collect();
+    let served: Vec<_> = fetches.by_position().into_iter().collect();
     let expected = [
         (Reverse(holding(7)), vec![ConnectionId(2), ConnectionId(3)]),
         (Reverse(holding(0)), vec![ConnectionId(1)]),
     ];
-    assert_eq!(order, expected);
+    assert_eq!(served, expected);
 }
--- a/crates/gateway-core/src/control/holders.rs
+++ b/crates/gateway-core/src/control/holders.rs
@@ -1,4 +1,4 @@
-//! What routers learned of the caches of back ends, on its way from one router to the others.
+//! What routers learn of the caches of back ends, forwarded to the other routers.
 
 use std::collections::VecDeque;
 
@@ -8,39 +8,39 @@
 use super::ControlCore;
 use crate::{HolderEntry, Message};
 
-/// Bytes a second that this may cost one router, of 14 KB/s for all control traffic.
-const BYTES_PER_SECOND: f64 = 3_000.0;
-/// Entries that wait for their turn; beyond it the oldest are dropped, for what they tell is the
-/// least likely to hold still.
-const MOST_WAITING: usize = 256;
+/// Bandwidth per router for holders, out of 14 KB/s for all control traffic.
+const MAX_BYTES_PER_SECOND: f64 = 3_000.0;
+/// Limit on queued entries; beyond it the oldest are dropped, as they are the most likely to be
+/// outdated.
+const MAX_QUEUED: usize = 256;
 
-/// Entries that routers are still to be told.
+/// Entries that are to be sent to routers.
 #[derive(Debug, Default)]
-pub(super) struct HolderNews(VecDeque<HolderEntry>);
+pub(super) struct HolderQueue(VecDeque<HolderEntry>);
 
 impl<D: Directory> ControlCore<D> {
-    /// Takes in what a router learned. Only the leader passes it on.
+    /// Queues the holders that a router reports. Only the leader forwards them.
     pub(super) fn on_holders(&mut self, entries: &[HolderEntry]) {
         if self.role() != Role::Leader {
             return;
         }
-        let waiting = &mut self.holder_news.0;
-        waiting.extend(entries);
-        let surplus = waiting.len().saturating_sub(MOST_WAITING);
-        waiting.drain(..surplus);
+        let queue = &mut self.holder_queue.0;
+        queue.extend(entries);
+        let surplus = queue.len().saturating_sub(MAX_QUEUED);
+        queue.drain(..surplus);
     }
 
-    /// Tells all routers what some learned, as much as a router's part of the traffic allows. Those that learned
-    /// it themselves hear what they know.
-    pub(super) fn share_holders(&mut self) {
-        let budget = BYTES_PER_SECOND * self.params.tick.as_secs_f64();
+    /// Sends queued holders to all routers, as many as the bandwidth allows. The routers that
+    /// reported them receive them too.
+    pub(super) fn broadcast_holders(&mut self) {
+        let budget = MAX_BYTES_PER_SECOND * self.params.tick.as_secs_f64();
         let entries = (budget / HolderEntry::BYTES as f64) as usize;
-        let waiting = &mut self.holder_news.0;
-        let told: Vec<HolderEntry> = waiting.drain(..entries.min(waiting.len())).collect();
-        if told.is_empty() {
+        let queue = &mut self.holder_queue.0;
+        let batch: Vec<HolderEntry> = queue.drain(..entries.min(queue.len())).collect();
+        if batch.is_empty() {
             return;
         }
-        let message = Message::Holders(List::new(told));
-        self.tell_all(message, None);
+        let message = Message::Holders(List::new(batch));
+        self.broadcast_news(message, None);
     }
 }
--- a/crates/gateway-core/src/control/instances.rs
+++ b/crates/gateway-core/src/control/instances.rs
@@ -1,4 +1,4 @@
-//! Back ends that register themselves: what they say, and when their silence takes them out.
+//! Registration of back ends by heartbeats, and their removal when heartbeats stop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,36 +10,38 @@
 use super::{ControlCore, Effect, Reply, Ticket};
 use crate::{Command, InstanceId, Lifecycle, LoadPhase, LoadedModel, ModelName};
 
-/// A back end whose address another incarnation has taken is gone after this silence.
-const REPLACED_SILENCE: Duration = Duration::from_secs(4);
-/// Any other back end, after this one; its next word brings it back.
-const SILENCE: Duration = Duration::from_secs(15);
+/// A back end whose address another incarnation has taken over is removed after this time without a
+/// heartbeat.
+const REPLACED_INSTANCE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Any other back end is removed after this time; its next heartbeat registers it again.
+const INSTANCE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Between two reviews of all back ends for silent ones. Silence counts in seconds, and a review of 10,000 takes
-/// some milliseconds, which no tick has to spare.
+/// Interval between checks of all back ends. Timeouts are a matter of seconds, and a check of
+/// 10,000 back ends takes some milliseconds, too long for every tick.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a back end says of itself.
+/// Status that a back end reports periodically.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Its incarnation.
+    /// Identifies the incarnation.
     pub instance: InstanceId,
-    /// Its pool.
+    /// Name of its pool.
     pub pool: String,
-    /// IP:PORT.
+    /// Where it listens, IP:PORT.
     pub address: String,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: String,
-    /// Requests it works on at once.
+    /// Number of requests it serves concurrently.
     pub slots: u32,
-    /// Whether it leaves.
+    /// Whether it is ready or draining.
     pub lifecycle: Lifecycle,
-    /// The weights it holds.
+    /// Models and the versions of their weights.
     pub models: Vec<(ModelName, u64)>,
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Takes in a back end's word. The ticket is answered when a quorum knows whatever is new.
+    /// Processes a heartbeat. If it changes the replicated state, the ticket is answered once a
+    /// quorum has committed the change.
     pub fn on_heartbeat(&mut self, now: Timestamp, ticket: Ticket, heartbeat: &Heartbeat) {
         self.now = now;
         let name = heartbeat.instance.as_str();
@@ -47,24 +49,25 @@
             self.effects.push(Effect::Reply(ticket, Reply::Accepted));
             return;
         }
-        self.note_heard(name);
+        self.record_heartbeat(name);
         let Some(record) = self.state.instance(name) else {
             self.register(ticket, heartbeat);
             return;
         };
-        let leaves =
+        let is_leaving =
             heartbeat.lifecycle == Lifecycle::Draining && record.lifecycle == Lifecycle::Ready;
-        if leaves {
+        if is_leaving {
             let instance = Text::new(name);
             self.propose(Some(ticket), Command::Drain { instance });
             return;
         }
         self.effects.push(Effect::Reply(ticket, Reply::Accepted));
-        self.note_versions(heartbeat);
+        self.propose_newer_versions(heartbeat);
     }
 
-    /// A back end may hold newer weights than the log says, when an order was carried out late.
-    fn note_versions(&mut self, heartbeat: &Heartbeat) {
+    /// Proposes weights that are newer than the replicated state says: an order may have been
+    /// carried out late.
+    fn propose_newer_versions(&mut self, heartbeat: &Heartbeat) {
         let name = heartbeat.instance.as_str();
         let Some(record) = self.state.instance(name) else {
             return;
@@ -89,47 +92,53 @@
         }
     }
 
-    /// Takes silent back ends out: soon when another incarnation has registered at their address,
-    /// else after longer, for a back end that is cut off from control may still serve.
+    /// Removes back ends without heartbeats: early if another incarnation has registered at their
+    /// address, otherwise late, because a back end that cannot reach the control machines may still
+    /// serve requests.
     pub(super) fn expire_instances(&mut self) {
         let now = self.now;
-        if now.since(self.instances_reviewed) < REVIEW_INTERVAL {
+        if now.since(self.instances_reviewed_at) < REVIEW_INTERVAL {
             return;
         }
-        self.instances_reviewed = now;
+        self.instances_reviewed_at = now;
         let mut latest: BTreeMap<&str, u64> = BTreeMap::new();
-        let mut heard_at: BTreeMap<&str, Timestamp> = BTreeMap::new();
+        let mut last_heartbeat_at: BTreeMap<&str, Timestamp> = BTreeMap::new();
         for record in self.state.instances() {
             let registered = latest.entry(record.address.as_str()).or_default();
             *registered = record.registered.max(*registered);
-            let heard = self.heard.at_or_from(record.instance.as_str(), now);
-            let last = heard_at.entry(record.address.as_str()).or_default();
-            *last = heard.max(*last);
+            let last_heartbeat = self
+                .heartbeat_times
+                .last_or_insert(record.instance.as_str(), now);
+            let last = last_heartbeat_at
+                .entry(record.address.as_str())
+                .or_default();
+            *last = last_heartbeat.max(*last);
         }
-        let beats = self.params.two_heartbeats();
+        let two_heartbeats = self.params.heartbeat_timeout();
         let mut replaced = Vec::new();
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         for record in self.state.instances() {
             let name = record.instance.as_str();
-            let silence = now.since(self.heard.at(name).unwrap_or(now));
-            let others_silence = now.since(heard_at[record.address.as_str()]);
+            let silence = now.since(self.heartbeat_times.last(name).unwrap_or(now));
+            let silence_at_address = now.since(last_heartbeat_at[record.address.as_str()]);
             let is_latest = latest.get(record.address.as_str()) == Some(&record.registered);
-            // Of two incarnations at one address the one that is silent for longer while the other is heard has
-            // ended, also when its registration is the later one: a cut may hold a heartbeat up until its
-            // sender is long gone.
-            let is_outlived = is_latest && silence > beats && others_silence < beats;
-            if !is_latest && silence > REPLACED_SILENCE {
+            // Of two incarnations at one address, the one that sends no heartbeats while the other
+            // does has stopped, even if it registered later: a network partition may delay a
+            // heartbeat until after its sender has stopped.
+            let is_superseded =
+                is_latest && silence > two_heartbeats && silence_at_address < two_heartbeats;
+            if !is_latest && silence > REPLACED_INSTANCE_TIMEOUT {
                 replaced.push(record.instance.clone());
-            } else if silence > SILENCE || is_outlived {
-                silent.push(record.instance.clone());
+            } else if silence > INSTANCE_TIMEOUT || is_superseded {
+                unresponsive.push(record.instance.clone());
             }
         }
         for instance in replaced {
-            self.heard.forget(instance.as_str());
+            self.heartbeat_times.forget(instance.as_str());
             self.propose(None, Command::Deregister { instance });
         }
-        for instance in silent {
-            self.heard.forget(instance.as_str());
+        for instance in unresponsive {
+            self.heartbeat_times.forget(instance.as_str());
             self.propose(None, Command::Expire { instance });
         }
     }
--- a/crates/gateway-core/src/control/loads.rs
+++ b/crates/gateway-core/src/control/loads.rs
@@ -1,4 +1,4 @@
-//! The load that routers put on back ends: what each reports, and what all are told of the sums.
+//! Load that routers put on back ends: the reports of routers, and the broadcast of their sums.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,46 +9,47 @@
 
 use crate::{LoadEntry, Message};
 
-/// A router's report that is not repeated counts for so long.
-const REPORT_COUNTS_FOR: Duration = Duration::from_millis(600);
+/// A router's report expires after this time unless it is repeated.
+const REPORT_TTL: Duration = Duration::from_millis(600);
 
-/// The whole list is sent after this long, in case a message was lost, and before a router takes
-/// silence for no load.
-const WHOLE_LIST_AFTER: Duration = Duration::from_millis(800);
+/// Interval of full lists. They make up for lost messages, and arrive before a router takes the
+/// absence of messages for the absence of load.
+const FULL_LIST_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Bytes a second that loads may cost one router, of 14 KB/s that a node may spend on all control
-/// traffic. Longer lists are sent less often.
-const BYTES_PER_SECOND: f64 = 10_000.0;
+/// Bandwidth per router for loads, out of the 14 KB/s that a node may spend on all control traffic.
+/// Longer lists are sent less often.
+const MAX_BYTES_PER_SECOND: f64 = 10_000.0;
 
-/// Loads in one list at most: what can be sent before the whole list is due again. A longer one would come too
-/// seldom for any of it to count.
-const MOST_LOADS: usize = (BYTES_PER_SECOND as usize * WHOLE_LIST_AFTER.as_millis() as usize)
+/// Limit on the entries of one list: what can be sent before the next full list is due. Entries of
+/// a longer list would expire before it is repeated.
+const MAX_LOADS_PER_MESSAGE: usize = (MAX_BYTES_PER_SECOND as usize
+    * FULL_LIST_INTERVAL.as_millis() as usize)
     / (1_000 * LoadEntry::BYTES);
 
-/// What a request in flight counts beside tokens that wait, when the heaviest loads are picked: about as routers
-/// weigh a stream, see `STREAM_TOKENS` there.
-const REQUEST_TOKENS: u32 = 60;
+/// Weight of a request in flight, in waiting tokens, for the selection of the heaviest loads: about
+/// the weight that routers give to a stream.
+const IN_FLIGHT_REQUEST_TOKENS: u32 = 60;
 
-/// What one router reported.
+/// The last load report of one router.
 #[derive(Debug)]
 pub(super) struct LoadReport {
     loads: Vec<LoadEntry>,
     at: Timestamp,
 }
 
-/// What routers were told of the sums.
+/// State of the broadcast of load sums to routers.
 #[derive(Debug, Default)]
-pub(super) struct LoadNews {
-    /// As routers have it, in the order of keys.
+pub(super) struct LoadBroadcast {
+    /// The sums that routers have, sorted by key.
     sent: Vec<LoadEntry>,
-    /// When the next list may follow, by the length of the last one.
+    /// Earliest time of the next list; depends on the length of the last one.
     next_at: Timestamp,
-    whole_list_at: Option<Timestamp>,
+    full_list_at: Option<Timestamp>,
 }
 
-/// The load of all routers, by [`LoadEntry::key_of`] a back end.
+/// Sums of the loads of all routers, by [`LoadEntry::key_of`] a back end.
 #[derive(Debug, Default)]
-pub(super) struct Totals(BTreeMap<u32, Total>);
+pub(super) struct LoadTotals(BTreeMap<u32, Total>);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Total {
@@ -65,52 +66,52 @@
         Self { loads, at: now }
     }
 
-    /// What the router reported.
+    /// Load by back end.
     pub fn loads(&self) -> &[LoadEntry] {
         &self.loads
     }
 
-    /// Drops a report that was not repeated.
+    /// Clears a report that was not repeated in time.
     pub fn expire(&mut self, now: Timestamp) {
-        if now.since(self.at) >= REPORT_COUNTS_FOR {
+        if now.since(self.at) >= REPORT_TTL {
             self.loads.clear();
         }
     }
 }
 
-impl LoadNews {
-    /// What routers are to be told, if anything is due.
-    pub fn next_message(&mut self, now: Timestamp, totals: &Totals) -> Option<Message> {
+impl LoadBroadcast {
+    /// The next message to routers; `None` if nothing is due.
+    pub fn next_message(&mut self, now: Timestamp, totals: &LoadTotals) -> Option<Message> {
         if now < self.next_at {
             return None;
         }
         let all = heaviest(totals.entries());
-        let last_whole = self.whole_list_at;
-        let is_whole = last_whole.is_none_or(|at| now.since(at) >= WHOLE_LIST_AFTER);
-        let loads = if is_whole {
+        let last_full_list = self.full_list_at;
+        let is_full_list = last_full_list.is_none_or(|at| now.since(at) >= FULL_LIST_INTERVAL);
+        let loads = if is_full_list {
             all.clone()
         } else {
             changed_loads(&self.sent, &all)
         };
-        if loads.is_empty() && (self.sent.is_empty() || !is_whole) {
+        if loads.is_empty() && (self.sent.is_empty() || !is_full_list) {
             return None;
         }
         let bytes = loads.len() * LoadEntry::BYTES;
-        let interval = Duration::from_secs_f64(bytes as f64 / BYTES_PER_SECOND);
+        let interval = Duration::from_secs_f64(bytes as f64 / MAX_BYTES_PER_SECOND);
         self.next_at = now.plus(interval);
-        if is_whole {
-            self.whole_list_at = Some(now);
+        if is_full_list {
+            self.full_list_at = Some(now);
         }
         self.sent = all;
         Some(Message::LoadsOfAll {
-            whole: u8::from(is_whole),
+            whole: u8::from(is_full_list),
             loads: List::new(loads),
         })
     }
 }
 
-impl Totals {
-    /// Counts one router's report.
+impl LoadTotals {
+    /// Adds the report of one router.
     pub fn add(&mut self, reported: &[LoadEntry]) {
         for entry in reported {
             let total = self.0.entry(entry.key).or_default();
@@ -128,7 +129,7 @@
             .collect()
     }
 
-    /// In the order of keys, those that have any.
+    /// Entries other than zero, sorted by key.
     fn entries(&self) -> Vec<LoadEntry> {
         let narrow = |value: u32| u16::try_from(value).unwrap_or(u16::MAX);
         let entries = self.0.iter().map(|(key, total)| LoadEntry {
@@ -142,23 +143,24 @@
     }
 }
 
-/// As many loads as are told, in the order of keys: the heaviest if not all. That a back end has little to do is
-/// told by silence.
+/// The entries to send, sorted by key: the heaviest ones if there are too many. A back end that is
+/// not listed has little load.
 fn heaviest(mut loads: Vec<LoadEntry>) -> Vec<LoadEntry> {
-    if loads.len() > MOST_LOADS {
-        loads.select_nth_unstable_by_key(MOST_LOADS, |load| Reverse(weight(load)));
-        loads.truncate(MOST_LOADS);
+    if loads.len() > MAX_LOADS_PER_MESSAGE {
+        loads.select_nth_unstable_by_key(MAX_LOADS_PER_MESSAGE, |load| Reverse(weight(load)));
+        loads.truncate(MAX_LOADS_PER_MESSAGE);
         loads.sort_unstable_by_key(|load| load.key);
     }
     loads
 }
 
 fn weight(load: &LoadEntry) -> u32 {
-    u32::from(load.pending) * LoadEntry::TOKENS + u32::from(load.in_flight) * REQUEST_TOKENS
+    u32::from(load.pending) * LoadEntry::TOKENS
+        + u32::from(load.in_flight) * IN_FLIGHT_REQUEST_TOKENS
 }
 
-/// The entries of `after` that differ from `before`, and empty ones for those that are gone. Both
-/// lists are in the order of their keys.
+/// The entries of `after` that differ from `before`, and zero entries for those that are missing.
+/// Both lists are sorted by key.
 fn changed_loads(before: &[LoadEntry], after: &[LoadEntry]) -> Vec<LoadEntry> {
     let find = |loads: &[LoadEntry], key: u32| {
         let at = loads.binary_search_by_key(&key, |entry| entry.key);
@@ -168,12 +170,12 @@
         .iter()
         .filter(|entry| find(before, entry.key) != Some(**entry))
         .copied();
-    let gone = before
+    let removed = before
         .iter()
         .filter(|entry| find(after, entry.key).is_none())
         .map(|entry| LoadEntry {
             key: entry.key,
             ..LoadEntry::default()
         });
-    changed.chain(gone).collect()
+    changed.chain(removed).collect()
 }
--- a/crates/gateway-core/src/control/members.rs
+++ b/crates/gateway-core/src/control/members.rs
@@ -1,5 +1,5 @@
-//! Who replicates and who votes. A replica's number holds its address, so that the members of
-//! the log are also the list of control machines.
+//! Members of the replicated log and which of them vote. A replica's identifier contains its
+//! address, so the membership is also the list of control machines.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -11,30 +11,30 @@
 use super::{ControlCore, Effect};
 use crate::Message;
 
-/// How long a request to join counts.
-const JOIN_COUNTS_FOR: Duration = Duration::from_secs(2);
-/// A replica without a leader asks to be let in after this long.
-const LEADERLESS: Duration = Duration::from_millis(600);
+/// A request to join expires after this time.
+const JOIN_REQUEST_TTL: Duration = Duration::from_secs(2);
+/// A replica that has had no leader for this long requests to join.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(600);
 const ADDRESS_SHIFT: u32 = 32;
 
-/// The address within a replica's number.
+/// Address contained in a replica's identifier.
 pub fn address_of(replica: ReplicaId) -> Ipv4Addr {
     Ipv4Addr::from((replica.0 >> ADDRESS_SHIFT) as u32)
 }
 
-/// The number of a founding replica. A later one at the same address adds a random low half, for
-/// a number must not be used again once its disk was lost.
+/// Identifier of a founding replica. A later replica at the same address adds a random lower half,
+/// because an identifier must not be reused after its disk was lost.
 pub fn bootstrap_id(address: Ipv4Addr) -> ReplicaId {
     ReplicaId(u64::from(u32::from(address)) << ADDRESS_SHIFT)
 }
 
-/// Replicas that ask to be let in, and when they did last.
+/// Replicas that request to join, and the time of their last request.
 #[derive(Debug, Default)]
-pub(super) struct Joiners(BTreeMap<ReplicaId, Timestamp>);
+pub(super) struct JoinRequests(BTreeMap<ReplicaId, Timestamp>);
 
 impl<D: Directory> ControlCore<D> {
     pub(super) fn on_join(&mut self, replica: ReplicaId) {
-        self.joiners.0.insert(replica, self.now);
+        self.join_requests.0.insert(replica, self.now);
         let leader = self.leader().filter(|leader| {
             *leader != address_of(self.replica.raft().id()) && *leader != address_of(replica)
         });
@@ -44,15 +44,16 @@
         }
     }
 
-    /// A replica that hears no leader may be unknown to it, or no longer be a member.
-    pub(super) fn ask_to_join(&mut self) {
+    /// Requests to join all known control machines: a replica without a leader may be unknown to
+    /// it, or no longer be a member.
+    pub(super) fn request_to_join(&mut self) {
         let raft = self.replica.raft();
         if raft.leader().is_some() {
             self.leaderless_since = None;
             return;
         }
         let since = *self.leaderless_since.get_or_insert(self.now);
-        if self.now.since(since) < LEADERLESS {
+        if self.now.since(since) < LEADERLESS_TIMEOUT {
             return;
         }
         self.leaderless_since = Some(self.now);
@@ -69,13 +70,13 @@
         }
     }
 
-    /// One step towards as many voters as wanted, all of them alive. Changes that are refused
-    /// are tried again at the next tick.
+    /// Proposes the next change towards the target number of voters, all of them responsive. A
+    /// rejected change is retried at the next tick.
     pub(super) fn change_members(&mut self) {
         let now = self.now;
-        self.joiners
+        self.join_requests
             .0
-            .retain(|_, asked| now.since(*asked) < JOIN_COUNTS_FOR);
+            .retain(|_, requested_at| now.since(*requested_at) < JOIN_REQUEST_TTL);
         if let Some(change) = self.next_change() {
             let _ = self.replica.raft_mut().propose_change(change);
         }
@@ -84,13 +85,13 @@
     fn next_change(&self) -> Option<Change> {
         let membership = self.replica.raft().membership();
         let joiner = self
-            .joiners
+            .join_requests
             .0
             .keys()
             .find(|id| membership.get(**id).is_none());
         if let Some(joiner) = joiner {
             let mut members = membership.members().iter();
-            // Its predecessor's disk is lost, or it would have come back under the old number.
+            // The old replica's disk is lost, or it would have returned under its old identifier.
             let predecessor = members.find(|member| address_of(member.id) == address_of(*joiner));
             return Some(match predecessor {
                 Some(member) => Change::Remove(member.id),
@@ -101,21 +102,21 @@
             .members()
             .iter()
             .filter(|member| member.role == MemberRole::Learner);
-        let learner = learners.find(|member| self.is_heard(member.id))?;
+        let learner = learners.find(|member| self.is_responsive(member.id))?;
         if membership.voters().count() < self.params.voters {
             return Some(Change::Promote(learner.id));
         }
-        let silent = membership.voters().find(|id| !self.is_heard(*id))?;
-        Some(Change::Remove(silent))
+        let unresponsive = membership.voters().find(|id| !self.is_responsive(*id))?;
+        Some(Change::Remove(unresponsive))
     }
 
-    fn is_heard(&self, replica: ReplicaId) -> bool {
+    fn is_responsive(&self, replica: ReplicaId) -> bool {
         let raft = self.replica.raft();
         if replica == raft.id() {
             return true;
         }
-        let silent = raft.silent_ticks(replica).unwrap_or(u64::MAX);
-        let allowed = self.params.voter_silence.as_micros() / self.params.tick.as_micros();
-        u128::from(silent) < allowed
+        let silent_ticks = raft.silent_ticks(replica).unwrap_or(u64::MAX);
+        let max_silent_ticks = self.params.voter_timeout.as_micros() / self.params.tick.as_micros();
+        u128::from(silent_ticks) < max_silent_ticks
     }
 }
--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -1,19 +1,19 @@
-//! One control machine: the replicated log, what it replicates, and everybody who asks.
+//! A control machine: the replicated log, the state that it replicates, and the links to routers,
+//! back ends, operators and other control machines.
 
 mod accounts;
 mod directory;
 mod fetches;
-mod heard;
+mod heartbeat_times;
 mod holders;
 mod instances;
-mod load_timing;
 mod loads;
 mod members;
 mod news;
 mod order;
 mod order_lease;
 mod params;
-mod pending_loads;
+mod pending_weight_loads;
 mod proposals;
 mod quarantine;
 mod reads;
@@ -22,6 +22,7 @@
 mod routers;
 mod stored;
 mod suspects;
+mod weight_load_timing;
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -44,13 +45,13 @@
 
 use accounts::TenantAccounts;
 use fetches::Fetches;
-use heard::Heard;
-use holders::HolderNews;
-use loads::LoadNews;
-use members::Joiners;
+use heartbeat_times::HeartbeatTimes;
+use holders::HolderQueue;
+use loads::LoadBroadcast;
+use members::JoinRequests;
 use order_lease::OrderLeases;
 use proposals::PendingProposals;
-use quarantine::SuspectedWork;
+use quarantine::SuspectedRequests;
 use reads::Reads;
 use refusing::Refusing;
 use rollout::Rollouts;
@@ -58,64 +59,65 @@
 use stored::Stores;
 use suspects::Suspects;
 
-/// A caller that waits for a [`Reply`].
+/// Identifies a caller that waits for a [`Reply`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A router's link.
+/// Identifies a router's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What a caller is told.
+/// Reply to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A quorum has it on disk.
+    /// A quorum has stored the command on disk and this machine has applied it, or the call changes
+    /// nothing.
     Accepted,
     /// The newest configuration, confirmed by a quorum; `None` before the first one.
     Configuration(Option<Vec<u8>>),
-    /// Nobody can say yet; ask another machine, or later.
+    /// No quorum answered in time; the caller should retry later or ask another machine.
     Unavailable,
 }
 
-/// What is to be sent, and to whom.
+/// An output of the core for its driver to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// A message to another control machine.
+    /// Send a message to another control machine.
     ToControl(Ipv4Addr, Message),
-    /// A message to a router.
+    /// Send a message to a router.
     ToRouter(ConnectionId, Message),
-    /// The same message to several routers; it is to be encoded once.
+    /// Send the same message to several routers; encode it only once.
     ToRouters(Vec<ConnectionId>, Message),
-    /// An answer.
+    /// Reply to a caller.
     Reply(Ticket, Reply),
-    /// The state changed, for logs. A configuration comes without its body.
+    /// Log that a command changed the state. A configuration comes without its body.
     Applied {
-        /// The position in the log.
+        /// Index of the log entry.
         position: u64,
-        /// What changed it.
+        /// The command that was applied.
         command: Command,
     },
-    /// Another back end ended under work, for logs.
+    /// Log that another back end crashed while serving requests with a fingerprint.
     WorkSuspected {
-        /// The work.
+        /// The request fingerprint.
         work: WorkId,
-        /// Moments at which back ends ended under it.
+        /// Distinct moments at which back ends crashed.
         ends: u32,
     },
-    /// Another machine sent something for routers that is not passed on, for logs.
+    /// Log that another machine sent a message for routers that must not be passed on.
     NewsRefused,
-    /// An order to a back end; its outcome goes to [`ControlCore::on_order_outcome`].
+    /// Send an order to a back end; its outcome goes to [`ControlCore::on_order_outcome`].
     Order(Order),
-    /// A question to a back end; its answer goes to [`ControlCore::on_report`].
+    /// Request a report from a back end; it goes to [`ControlCore::on_report`].
     Ask {
-        /// The back end.
+        /// The incarnation that is to answer.
         instance: InstanceId,
-        /// Where it listens.
+        /// Where it listens, IP:PORT.
         address: String,
     },
 }
 
-/// A control machine.
+/// State machine of a control machine, without I/O except for the replicated log.
 pub struct ControlCore<D> {
     params: ControlParams,
     holder: String,
@@ -125,10 +127,10 @@
     snapshot_at: LogIndex,
     /// Size of the last snapshot.
     snapshot_bytes: usize,
-    /// Of commands that were applied after it.
+    /// Size of the commands applied since the last snapshot.
     bytes_since_snapshot: usize,
     seeds: Vec<Ipv4Addr>,
-    joiners: Joiners,
+    join_requests: JoinRequests,
     proposals: PendingProposals,
     reads: Reads,
     routers: Routers,
@@ -137,21 +139,22 @@
     rollouts: Rollouts,
     order_leases: OrderLeases,
     stores: Stores,
-    holder_news: HolderNews,
-    load_news: LoadNews,
+    holder_queue: HolderQueue,
+    load_broadcast: LoadBroadcast,
     suspects: Suspects,
     refusing: Refusing,
-    suspected_work: SuspectedWork,
+    suspected_requests: SuspectedRequests,
     tenant_accounts: TenantAccounts,
-    /// Proposed when the state has none.
-    drawn_work_key: WorkKey,
-    work_key_proposed_at: Option<Timestamp>,
-    /// When weights were named, by revision; those from before this start count from the start.
-    named_at: BTreeMap<u64, Timestamp>,
-    heard: Heard,
-    instances_reviewed: Timestamp,
-    leads_since: Option<Timestamp>,
-    /// When this leader asked the question that a quorum answered last.
+    /// Proposed if the replicated state has no key for request fingerprints.
+    generated_fingerprint_key: WorkKey,
+    fingerprint_key_proposed_at: Option<Timestamp>,
+    /// When weights were named, by revision; weights named before this process started count from
+    /// its start.
+    weights_named_at: BTreeMap<u64, Timestamp>,
+    heartbeat_times: HeartbeatTimes,
+    instances_reviewed_at: Timestamp,
+    leader_since: Option<Timestamp>,
+    /// Start of the last read round of this leader that a quorum confirmed.
     confirmed_at: Option<Timestamp>,
     leaderless_since: Option<Timestamp>,
     now: Timestamp,
@@ -159,8 +162,8 @@
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Opens a control machine. `seed` has to differ at each start; `holder` names this machine
-    /// in its orders; `members` counts only in a new folder.
+    /// Opens the replicated log in `directory`. `seed` must differ at each start; `holder` names
+    /// this machine in its orders; `members` is used only if the directory is new.
     pub fn open(
         directory: D,
         replica: ReplicaId,
@@ -177,7 +180,7 @@
         let consensus = params.consensus.clone();
         let replica = Replica::open(directory, &identity, members, consensus, seed)?;
         Ok(Self {
-            proposals: PendingProposals::new(seed, params.patience),
+            proposals: PendingProposals::new(seed, params.reply_timeout),
             params,
             holder,
             replica,
@@ -187,7 +190,7 @@
             snapshot_bytes: 0,
             bytes_since_snapshot: 0,
             seeds,
-            joiners: Joiners::default(),
+            join_requests: JoinRequests::default(),
             reads: Reads::default(),
             routers: Routers::default(),
             announcements: Announcements::default(),
@@ -195,18 +198,18 @@
             rollouts: Rollouts::default(),
             order_leases: OrderLeases::default(),
             stores: Stores::default(),
-            holder_news: HolderNews::default(),
-            load_news: LoadNews::default(),
+            holder_queue: HolderQueue::default(),
+            load_broadcast: LoadBroadcast::default(),
             suspects: Suspects::default(),
             refusing: Refusing::default(),
-            suspected_work: SuspectedWork::default(),
+            suspected_requests: SuspectedRequests::default(),
             tenant_accounts: TenantAccounts::default(),
-            drawn_work_key: WorkKey::draw(seed),
-            work_key_proposed_at: None,
-            named_at: BTreeMap::new(),
-            heard: Heard::default(),
-            instances_reviewed: Timestamp::default(),
-            leads_since: None,
+            generated_fingerprint_key: WorkKey::draw(seed),
+            fingerprint_key_proposed_at: None,
+            weights_named_at: BTreeMap::new(),
+            heartbeat_times: HeartbeatTimes::default(),
+            instances_reviewed_at: Timestamp::default(),
+            leader_since: None,
             confirmed_at: None,
             leaderless_since: None,
             now: Timestamp::default(),
@@ -214,37 +217,37 @@
         })
     }
 
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state, as far as this machine has applied it.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// What this machine is in the replicated log.
+    /// Role of this machine in the replicated log.
     pub fn role(&self) -> Role {
         self.replica.raft().role()
     }
 
-    /// The latest term seen.
+    /// Latest term that this machine has seen.
     pub fn term(&self) -> u64 {
         self.replica.raft().term().0
     }
 
-    /// Entries that the log has had, those in snapshots among them.
+    /// Index of the last log entry; counts entries that snapshots have replaced.
     pub fn log_length(&self) -> u64 {
         self.replica.raft().last_index().0
     }
 
-    /// Size of the last snapshot; 0 before the first one.
+    /// Size of the last snapshot in bytes; 0 before the first one.
     pub fn last_snapshot_bytes(&self) -> usize {
         self.snapshot_bytes
     }
 
-    /// The address of the leader, when known.
+    /// Address of the leader, if known.
     pub fn leader(&self) -> Option<Ipv4Addr> {
         self.replica.raft().leader().map(address_of)
     }
 
-    /// The addresses of all members and seeds.
+    /// Addresses of all control machines that are members; of the seeds while no member is known.
     pub fn controls(&self) -> Vec<Ipv4Addr> {
         let members = self.replica.raft().membership().members();
         let mut known: Vec<Ipv4Addr> = members.iter().map(|item| address_of(item.id)).collect();
@@ -256,39 +259,39 @@
         known
     }
 
-    /// Takes in seeds that changed.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<Ipv4Addr>) {
         self.seeds = seeds;
     }
 
-    /// Lets one tick of the replication clock pass. [`ControlCore::flush`] must follow.
+    /// Advances the replication clock by one tick. [`ControlCore::flush`] must follow.
     pub fn on_tick(&mut self, now: Timestamp) {
         self.now = now;
         self.replica.raft_mut().tick();
-        self.note_leadership();
+        self.update_leadership();
         self.resend_proposals();
-        self.tell_heard();
-        self.tick_reads();
-        self.ask_to_join();
-        self.routers.note_silent(now);
-        self.announce_if_owed();
+        self.forward_heartbeats();
+        self.expire_reads();
+        self.request_to_join();
+        self.routers.update_unresponsive(now);
+        self.announce_if_pending();
         self.expire_suspicions();
         self.review_verdicts();
-        self.share_suspicions();
+        self.broadcast_suspicions();
         if self.role() == Role::Leader {
-            self.propose_work_key();
+            self.propose_fingerprint_key();
             self.change_members();
             self.expire_instances();
-            self.drive_rollouts();
-            self.share_loads();
-            self.share_stored();
-            self.share_holders();
-            self.share_accounts();
-            self.notify_again_of_suspects();
+            self.advance_rollouts();
+            self.broadcast_loads();
+            self.broadcast_store_changes();
+            self.broadcast_holders();
+            self.send_account_levels();
+            self.renotify_of_suspects();
         }
     }
 
-    /// Takes in a message of another control machine.
+    /// Processes a message of another control machine.
     pub fn on_control(&mut self, now: Timestamp, message: Message) {
         self.now = now;
         match message {
@@ -299,25 +302,25 @@
             }
             Message::Propose(proposals) => self.on_proposals(proposals.items),
             Message::Join(replica) => self.on_join(replica),
-            Message::Heard(keys) => self.on_heard(&keys.items),
+            Message::Heard(keys) => self.on_forwarded_heartbeats(&keys.items),
             Message::News(news) => self.on_news(&news),
             _ => {}
         }
     }
 
-    /// Proposes a command; the ticket is answered once it is committed and applied here.
+    /// Proposes a command; the ticket is answered once the command is committed and applied here.
     pub fn submit(&mut self, now: Timestamp, ticket: Ticket, command: Command) {
         self.now = now;
         self.propose(Some(ticket), command);
     }
 
-    /// Asks for the newest configuration.
+    /// Reads the newest configuration; the ticket is answered once a quorum has confirmed the read.
     pub fn read_configuration(&mut self, now: Timestamp, ticket: Ticket) {
         self.now = now;
-        self.queue_read(reads::Waiting::Operator(ticket));
+        self.queue_read_request(reads::Reader::Operator(ticket));
     }
 
-    /// Hands leadership to a replica that is up to date, before a planned end.
+    /// Transfers leadership to the voter with the longest matching log, before a planned stop.
     pub fn step_down(&mut self) {
         let raft = self.replica.raft();
         let membership = raft.membership();
@@ -330,12 +333,12 @@
         }
     }
 
-    /// Does all that is due and hands out what to send, in order. Must run after each batch of
-    /// calls; everything that gathered in between shares one sync of the disk.
+    /// Performs all work that is due and passes the effects to `sink`, in order. Must be called
+    /// after each batch of calls; all changes of the batch share one disk sync.
     pub fn flush(&mut self, sink: &mut dyn FnMut(Effect)) -> Result<(), ReplicaError> {
-        self.start_reads();
+        self.start_read_round();
         self.send_proposals();
-        self.answer_fetches();
+        self.serve_fetches();
         let mut send = |envelope: Envelope| {
             let to = address_of(envelope.to);
             sink(Effect::ToControl(
@@ -355,30 +358,31 @@
         if let Some(snapshot) = output.snapshot {
             if let Some(state) = ReplicatedState::decode(&snapshot.data) {
                 self.state = state;
-                self.note_orders_before_snapshot();
+                self.record_orders_before_snapshot();
             }
             self.applied = snapshot.index;
             self.snapshot_at = snapshot.index;
             self.snapshot_bytes = snapshot.data.len();
             self.bytes_since_snapshot = 0;
-            self.accept_registered();
+            self.reply_to_registered();
         }
         for entry in output.committed {
             self.applied = entry.index;
             self.bytes_since_snapshot += entry.data.len();
             let by_other = self.role() != Role::Leader || entry.term.0 < self.term();
-            // The bytes of a membership, with the random numbers of disks, may read as a command.
+            // The bytes of a membership entry, which include random disk identifiers, may happen to
+            // decode as a command.
             let is_command = entry.kind == EntryKind::Command;
             let proposal = is_command.then(|| Proposal::decode(&entry.data)).flatten();
             if let Some(proposal) = proposal {
                 let changed = self.state.apply(entry.index.0, &proposal.command);
                 if let (Command::Load { instance, .. }, true) = (&proposal.command, by_other) {
-                    self.note_order_of_others(instance.as_str());
+                    self.record_foreign_order(instance.as_str());
                 }
                 if changed {
-                    self.note_applied(entry.index.0, proposal.command);
+                    self.on_applied(entry.index.0, proposal.command);
                 }
-                self.answer_proposal(proposal.id);
+                self.complete_proposal(proposal.id);
             }
         }
         self.reads.on_confirmed(output.reads);
@@ -387,11 +391,11 @@
         }
     }
 
-    fn note_applied(&mut self, position: u64, mut command: Command) {
+    fn on_applied(&mut self, position: u64, mut command: Command) {
         match &mut command {
             Command::Configure { body, .. } => body.bytes.clear(),
             Command::NameWeights { .. } => {
-                self.named_at.insert(position, self.now);
+                self.weights_named_at.insert(position, self.now);
             }
             Command::Load {
                 instance,
@@ -400,7 +404,7 @@
             } => self.on_load_finished(instance.as_str()),
             Command::Register { instance, .. } => self.on_registered(instance.as_str()),
             Command::Deregister { instance } | Command::Expire { instance } => {
-                self.heard.forget(instance.as_str());
+                self.heartbeat_times.forget(instance.as_str());
             }
             Command::Quarantine { work } => self.on_quarantined(*work),
             Command::Release { work } => self.on_released(*work),
@@ -409,19 +413,25 @@
         self.effects.push(Effect::Applied { position, command });
     }
 
-    /// Routers identify work under one key, which has to outlast every process.
-    fn propose_work_key(&mut self) {
-        let proposed_at = self.work_key_proposed_at;
-        let is_pending = proposed_at.is_some_and(|at| self.now.since(at) < self.params.patience);
+    /// Proposes the key under which routers compute request fingerprints. It must survive restarts
+    /// of all processes, so it is replicated.
+    fn propose_fingerprint_key(&mut self) {
+        let proposed_at = self.fingerprint_key_proposed_at;
+        let is_pending =
+            proposed_at.is_some_and(|at| self.now.since(at) < self.params.reply_timeout);
         if self.state.work_key().is_none() && !is_pending {
-            self.work_key_proposed_at = Some(self.now);
-            let key = self.drawn_work_key.clone();
+            self.fingerprint_key_proposed_at = Some(self.now);
+            let key = self.generated_fingerprint_key.clone();
             self.propose(None, Command::SetWorkKey { key });
         }
     }
 
     fn weights_age(&self, revision: u64) -> Duration {
-        let named = self.named_at.get(&revision).copied().unwrap_or_default();
+        let named = self
+            .weights_named_at
+            .get(&revision)
+            .copied()
+            .unwrap_or_default();
         self.now.since(named)
     }
 
@@ -429,10 +439,11 @@
         u32::try_from(self.weights_age(revision).as_millis()).unwrap_or(u32::MAX)
     }
 
-    /// A snapshot writes the whole state, and a replica that lacks an entry of the log before it is sent all of
-    /// it. So the log grows to the size of the state first: however large that is, snapshots write no more than
-    /// the log does, and a replica that lags by less than that is sent entries. With one each 400 entries,
-    /// 10,000 back ends that register and load weights write a state of up to 1.3 MB 75 times (worked out).
+    /// Writes a snapshot when it is due. A snapshot writes the whole state, and a replica that
+    /// lacks an earlier entry of the log is sent all of it. Therefore the log first grows to the
+    /// size of the state: snapshots then never write more than the log does, and a replica that
+    /// lags by less is sent entries. With a snapshot every 400 entries, 10,000 back ends that
+    /// register and load weights would write a state of up to 1.3 MB 75 times.
     fn snapshot_if_due(&mut self) -> Result<(), ReplicaError> {
         let has_entries = self.applied.0 >= self.snapshot_at.0 + self.params.snapshot_entries;
         if !has_entries || self.bytes_since_snapshot < self.snapshot_bytes {
@@ -445,22 +456,22 @@
         self.replica.compact(self.applied, data)
     }
 
-    fn note_leadership(&mut self) {
+    fn update_leadership(&mut self) {
         if self.role() == Role::Leader {
-            if self.leads_since.is_none() {
-                self.leads_since = Some(self.now);
-                self.heard = Heard::default();
-                self.instances_reviewed = Timestamp::default();
+            if self.leader_since.is_none() {
+                self.leader_since = Some(self.now);
+                self.heartbeat_times = HeartbeatTimes::default();
+                self.instances_reviewed_at = Timestamp::default();
                 self.rollouts = Rollouts::default();
-                self.note_orders_under_way();
-                self.forget_stores();
-                self.holder_news = HolderNews::default();
-                self.load_news = LoadNews::default();
+                self.record_orders_in_progress();
+                self.reset_stores();
+                self.holder_queue = HolderQueue::default();
+                self.load_broadcast = LoadBroadcast::default();
                 self.suspects = Suspects::default();
                 self.tenant_accounts.forget();
             }
         } else {
-            self.leads_since = None;
+            self.leader_since = None;
             self.confirmed_at = None;
         }
     }
--- a/crates/gateway-core/src/control/news.rs
+++ b/crates/gateway-core/src/control/news.rs
@@ -1,11 +1,13 @@
-//! What the leader tells all routers, by way of the control machines that they follow.
+//! News of the leader, which is its updates on loads, caches, and unresponsive and refusing back
+//! ends. It reaches routers through the control machines that they follow.
 //!
-//! Sent to each router by the leader, it would cross zones once for each router, and the leader of a large fleet
-//! would do little else. Each other machine gets it once and passes it on to the routers that follow it.
+//! If the leader sent it to each router, it would cross zones once per router and take up most of
+//! the leader's capacity in a large fleet. Instead each other control machine gets it once and
+//! forwards it to the routers that follow it.
 //!
-//! Only what heals by itself goes this way, for a machine may be lost with what it was to pass on: whole lists of
-//! loads come again each 0.8 s, silent back ends are named again each second, refusing ones each 0.2 s, and what
-//! is not heard of caches costs a read.
+//! Only updates that tolerate loss are sent this way, because a machine may fail before it forwards
+//! them: full lists of loads are repeated every 0.8 s, unresponsive back ends every second and
+//! refusing ones every 0.2 s, and a lost update on caches costs one read of the prompt.
 
 use drumshore_consensus::{Directory, Role};
 use drumshore_wire::Blob;
@@ -14,19 +16,19 @@
 use crate::Message;
 
 impl<D: Directory> ControlCore<D> {
-    /// Tells all routers, `except` one that need not hear it.
-    pub(super) fn tell_all(&mut self, message: Message, except: Option<ConnectionId>) {
+    /// Sends a message to all routers, `except` the one that need not receive it.
+    pub(super) fn broadcast_news(&mut self, message: Message, except: Option<ConnectionId>) {
         if self.role() == Role::Leader {
-            self.tell_other_machines(&message);
+            self.forward_to_other_controls(&message);
         }
-        let mut receivers = self.routers.receivers_of_news();
+        let mut receivers = self.routers.news_receivers();
         receivers.retain(|connection| Some(*connection) != except);
         if !receivers.is_empty() {
             self.effects.push(Effect::ToRouters(receivers, message));
         }
     }
 
-    fn tell_other_machines(&mut self, message: &Message) {
+    fn forward_to_other_controls(&mut self, message: &Message) {
         let own = super::address_of(self.replica.raft().id());
         let news = Message::News(Blob::new(message.encode()));
         for address in self.controls() {
@@ -36,13 +38,14 @@
         }
     }
 
-    /// Passes on what the leader tells. A machine that has just lost the lead may still tell something; it is as
-    /// true as what arrived a moment before.
+    /// Forwards news of the leader to the routers that follow this machine. News of a machine that
+    /// has just lost leadership is accepted, as it is as valid as news that arrived a moment
+    /// earlier.
     pub(super) fn on_news(&mut self, news: &Blob) {
         match Message::decode(&news.bytes) {
             Some(message) if is_news(&message) => {
                 if self.role() != Role::Leader {
-                    self.tell_all(message, None);
+                    self.broadcast_news(message, None);
                 }
             }
             _ => self.effects.push(Effect::NewsRefused),
@@ -50,7 +53,7 @@
     }
 }
 
-/// Nothing else is passed on to routers.
+/// Whether a message is news; no other message is forwarded to routers.
 fn is_news(message: &Message) -> bool {
     matches!(
         message,
--- a/crates/gateway-core/src/control/order.rs
+++ b/crates/gateway-core/src/control/order.rs
@@ -1,56 +1,57 @@
-//! Orders to back ends, and what they say of themselves.
+//! Orders to back ends to load weights, and the reports that back ends return.
 
 use crate::{InstanceId, ModelName};
 
-/// Tells orders apart.
+/// Identifies an order within the term of its leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderId(pub u64);
 
 /// An order to load weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Tells it apart.
+    /// Matches the outcome to the order.
     pub id: OrderId,
-    /// The back end; another one at its address refuses.
+    /// The incarnation that is to carry it out; any other one at the address rejects it.
     pub instance: InstanceId,
-    /// IP:PORT.
+    /// Where the back end listens, IP:PORT.
     pub address: String,
-    /// The model.
+    /// Model whose weights are loaded.
     pub model: ModelName,
-    /// The version to load.
+    /// Version of the weights.
     pub version: u64,
-    /// Who gives the order.
+    /// Name of the leader that sends the order.
     pub holder: String,
-    /// Rises with each leader.
+    /// Term of the leader: increases with each leader.
     pub fencing_token: u64,
-    /// Orders that the back end has taken so far.
+    /// Orders that the back end has accepted so far, as far as the leader knows; it rejects the
+    /// order if the number differs.
     pub expected_orders: u64,
 }
 
-/// What came of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being done.
+    /// The back end accepted the order and carries it out.
     Taken,
     /// The back end holds the version already.
     Holds,
-    /// Another order is under way, or another number of orders was expected.
+    /// Another order is in progress, or the number of accepted orders differs.
     Conflict,
-    /// A newer leader has given orders.
+    /// A newer leader has sent orders.
     Fenced,
-    /// Another incarnation listens there.
+    /// Another incarnation listens at the address.
     Gone,
-    /// No answer; it may be carried out, even later.
+    /// No valid answer; the order may be carried out, even later.
     Unknown,
 }
 
-/// What a back end answers when asked.
+/// Report of a back end on its orders and weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Orders that it has taken.
+    /// Orders that the back end has accepted.
     pub orders_taken: u64,
-    /// True while it carries one out.
+    /// Whether it is carrying out an order.
     pub busy: bool,
-    /// The weights it holds.
+    /// Models and the versions of their weights.
     pub models: Vec<(ModelName, u64)>,
 }
--- a/crates/gateway-core/src/control/params.rs
+++ b/crates/gateway-core/src/control/params.rs
@@ -1,44 +1,45 @@
-//! Bounds and periods of a control machine.
+//! Timeouts, intervals and limits of a control machine.
 
 use std::time::Duration;
 
 use drumshore_consensus::Params;
 
-/// Bounds and periods of a control machine.
+/// Timeouts, intervals and limits of a control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlParams {
-    /// The zone of this machine; empty when it is not known.
+    /// Zone of this machine; empty if unknown.
     pub zone: String,
-    /// What this machine's link to the network carries in a second, in bytes.
+    /// Capacity of this machine's network link, in bytes per second.
     pub link_bytes_per_second: f64,
-    /// Between two heartbeats of a back end.
+    /// Interval between two heartbeats of a back end.
     pub heartbeat: Duration,
-    /// Of the replicated log.
+    /// Parameters of the replicated log.
     pub consensus: Params,
-    /// How often [`ControlCore::on_tick`] is called.
+    /// Interval at which [`ControlCore::on_tick`] is called.
     pub tick: Duration,
-    /// Entries applied between two snapshots, at least.
+    /// Minimum number of applied entries between two snapshots.
     pub snapshot_entries: u64,
-    /// Replicas that vote, when as many are there.
+    /// Target number of voting replicas.
     pub voters: usize,
-    /// How long a caller waits for a quorum.
-    pub patience: Duration,
-    /// How long a former leader's orders may still arrive; a new one waits that long.
+    /// How long a caller waits for a quorum before it gets [`super::Reply::Unavailable`].
+    pub reply_timeout: Duration,
+    /// How long orders of a former leader may still arrive; a new leader waits this long before it
+    /// sends orders to the same back ends.
     pub order_lease: Duration,
-    /// Between telling routers that a back end loads weights and ordering it to.
-    pub load_notice: Duration,
-    /// Back ends hold new weights within this time after they were named.
+    /// Delay between notifying routers that a back end loads weights and sending it the order.
+    pub load_order_delay: Duration,
+    /// Time within which back ends must hold new weights after they were named.
     pub load_within: Duration,
-    /// A voter that was silent this long gives way to a replica that waits to vote.
-    pub voter_silence: Duration,
+    /// A voter that is unresponsive for this long is replaced by a learner.
+    pub voter_timeout: Duration,
 }
 
-/// Heartbeats may come late by this much.
+/// Allowance for late heartbeats.
 const HEARTBEAT_SLACK: Duration = Duration::from_millis(100);
 
 impl ControlParams {
-    /// A back end that sends heartbeats is heard within this time, also when one of them is lost.
-    pub fn two_heartbeats(&self) -> Duration {
+    /// A running back end sends a heartbeat within this time, even if one heartbeat is lost.
+    pub fn heartbeat_timeout(&self) -> Duration {
         self.heartbeat * 2 + HEARTBEAT_SLACK
     }
 }
@@ -58,11 +59,11 @@
             tick: Duration::from_millis(50),
             snapshot_entries: 400,
             voters: 5,
-            patience: Duration::from_millis(850),
+            reply_timeout: Duration::from_millis(850),
             order_lease: Duration::from_millis(3_300),
-            load_notice: Duration::from_millis(250),
+            load_order_delay: Duration::from_millis(250),
             load_within: Duration::from_secs(6),
-            voter_silence: Duration::from_secs(5),
+            voter_timeout: Duration::from_secs(5),
         }
     }
 }
--- a/crates/gateway-core/src/control/pending_loads.rs
+++ b/crates/gateway-core/src/control/pending_weight_loads.rs
@@ -1,25 +1,25 @@
-//! Which back ends are to load weights, in what order.
+//! Back ends that have to load weights, in order of urgency.
 
 use crate::{Lifecycle, ReplicatedState};
 
-/// A load of weights that is due or under way.
+/// A load of weights that is due or in progress.
 #[derive(Clone, Debug)]
-pub(super) struct Load {
-    /// The incarnation.
+pub(super) struct WeightLoad {
+    /// Name of the incarnation.
     pub instance: String,
-    /// IP:PORT.
+    /// Where it listens, IP:PORT.
     pub address: String,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// The version it holds.
+    /// Version that it holds.
     pub held: u64,
-    /// The version it is to hold.
+    /// Version that it has to hold.
     pub version: u64,
 }
 
-/// Back ends whose weights are older than what was named, or that are loading; those that are
-/// furthest behind first, for their time runs out first.
-pub(super) fn pending_loads(state: &ReplicatedState) -> Vec<Load> {
+/// Loads of back ends whose weights are older than the named version or that are loading. Those
+/// with the oldest version come first, because their deadline is the earliest.
+pub(super) fn pending_weight_loads(state: &ReplicatedState) -> Vec<WeightLoad> {
     let mut loads = Vec::new();
     for record in state.instances() {
         if record.lifecycle == Lifecycle::Draining {
@@ -28,7 +28,7 @@
         for loaded in &record.models.items {
             let named = state.named_version(loaded.model.as_str());
             if named > loaded.version || loaded.loading != 0 {
-                loads.push(Load {
+                loads.push(WeightLoad {
                     instance: record.instance.as_str().to_owned(),
                     address: record.address.as_str().to_owned(),
                     model: loaded.model.as_str().to_owned(),
--- a/crates/gateway-core/src/control/proposals.rs
+++ b/crates/gateway-core/src/control/proposals.rs
@@ -1,4 +1,4 @@
-//! Commands on their way into the log, and the callers that wait for them.
+//! Commands that are to be committed, and the callers that wait for them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,63 +11,65 @@
 use super::{ControlCore, Effect, Heartbeat, Reply, Ticket};
 use crate::{Command, Lifecycle, Message, Proposal, ProposalId, ReplicatedState};
 
-/// A command that is not committed by then is sent again: on the way to the leader it may be lost. Each further
-/// time takes twice as long, this often; a leader that is late has too much to do already.
-const RESEND_AFTER: Duration = Duration::from_millis(300);
-const MOST_DOUBLINGS: u32 = 3;
-/// A registration is kept for so long, also when its caller was told to come again: the next heartbeat waits for
-/// the same one. Back ends pause 3 s at most between heartbeats, and one of them may be lost.
-const REGISTRATION_KEPT: Duration = Duration::from_secs(10);
-/// Commands in one message to the leader: far below what a frame may hold, 16 MB, of which a configuration may take
-/// half.
-const MOST_BATCH_BYTES: usize = 1 << 20;
-/// A leader knows for so long that it has applied a command: a copy that was sent before its origin learned of
-/// that may still be on its way.
-const APPLIED_KEPT: Duration = Duration::from_secs(5);
+/// A command that is not committed within this time is sent again, as it may be lost on its way to
+/// the leader. The interval doubles with each attempt, up to `MAX_DOUBLINGS` times, because a slow
+/// leader is overloaded already.
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
+const MAX_DOUBLINGS: u32 = 3;
+/// A registration is kept for this long, even after its caller timed out: the next heartbeat waits
+/// for the same command. Back ends send heartbeats at most 3 s apart, and one of them may be lost.
+const REGISTRATION_TTL: Duration = Duration::from_secs(10);
+/// Limit on the commands in one message to the leader, far below the 16 MB of a frame, half of
+/// which a configuration may occupy.
+const MAX_BATCH_BYTES: usize = 1 << 20;
+/// For how long a leader remembers the commands that it has applied: copies sent before their
+/// origin learned of the commit may still arrive.
+const APPLIED_TTL: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct Waiter {
     ticket: Ticket,
     deadline: Timestamp,
 }
 
 #[derive(Debug)]
 struct Pending {
-    waiting: Vec<Waiting>,
+    waiters: Vec<Waiter>,
     encoded: Vec<u8>,
-    /// The back end that it registers as ready.
+    /// Name of the back end that the command registers as ready.
     registers: Option<String>,
     expires: Timestamp,
     resends: u32,
     resend_at: Timestamp,
 }
 
-/// Commands that this machine took in and has not yet applied.
+/// Commands that this machine accepted and has not yet applied.
 #[derive(Debug)]
 pub(super) struct PendingProposals {
     origin: u64,
     next: u64,
-    patience: Duration,
+    reply_timeout: Duration,
     pending: BTreeMap<ProposalId, Pending>,
-    /// Registrations among them, by the name of the back end.
+    /// Pending registrations, by the name of the back end.
     registrations: BTreeMap<String, ProposalId>,
-    /// For the leader, at the next flush.
+    /// To be sent to the leader at the next flush.
     outgoing: Vec<Blob>,
-    /// Whom they were sent to.
+    /// The leader that they were last sent to.
     leader: Option<ReplicaId>,
-    /// Commands that this leader has appended in a term, until a while after it applied them.
+    /// Commands that this leader has appended in a term; kept until [`APPLIED_TTL`] after they were
+    /// applied.
     appended: BTreeSet<ProposalId>,
     appended_in_term: u64,
-    /// Those that it has applied, the oldest first.
+    /// Appended commands that it has applied, oldest first.
     applied: VecDeque<(Timestamp, ProposalId)>,
 }
 
 impl PendingProposals {
-    pub fn new(origin: u64, patience: Duration) -> Self {
+    pub fn new(origin: u64, reply_timeout: Duration) -> Self {
         Self {
             origin,
             next: 0,
-            patience,
+            reply_timeout,
             pending: BTreeMap::new(),
             registrations: BTreeMap::new(),
             outgoing: Vec::new(),
@@ -78,7 +80,7 @@
         }
     }
 
-    /// What a leader appended in an earlier term may never be committed.
+    /// Forgets commands of earlier terms, which may never be committed.
     fn begin_term(&mut self, term: u64) {
         if self.appended_in_term != term {
             self.appended_in_term = term;
@@ -87,14 +89,14 @@
         }
     }
 
-    fn note_applied(&mut self, now: Timestamp, id: ProposalId) {
+    fn record_applied(&mut self, now: Timestamp, id: ProposalId) {
         if self.appended.contains(&id) {
             self.applied.push_back((now, id));
         }
     }
 
-    fn forget_applied(&mut self, now: Timestamp) {
-        let is_old = |(at, _): &(Timestamp, ProposalId)| now.since(*at) >= APPLIED_KEPT;
+    fn expire_applied(&mut self, now: Timestamp) {
+        let is_old = |(at, _): &(Timestamp, ProposalId)| now.since(*at) >= APPLIED_TTL;
         while self.applied.front().is_some_and(is_old) {
             let oldest = self.applied.pop_front();
             oldest.map(|(_, id)| self.appended.remove(&id));
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Registrations of back ends that are registered by now.
+    /// Pending registrations of back ends that are registered by now.
     fn registered(&self, state: &ReplicatedState) -> Vec<ProposalId> {
         let registrations = self.registrations.iter();
         let registered = registrations.filter(|(name, _)| state.instance(name).is_some());
@@ -124,29 +126,29 @@
         Some(pending)
     }
 
-    /// Takes out those who have waited too long, and commands that nobody waits for any more.
+    /// Removes callers that have timed out, and commands that have expired.
     fn take_expired(&mut self, now: Timestamp) -> Vec<Ticket> {
         let mut expired = Vec::new();
         for pending in self.pending.values_mut() {
-            let late = pending
-                .waiting
-                .extract_if(.., |waiting| waiting.deadline <= now);
-            expired.extend(late.map(|waiting| waiting.ticket));
+            let timed_out = pending
+                .waiters
+                .extract_if(.., |waiter| waiter.deadline <= now);
+            expired.extend(timed_out.map(|waiter| waiter.ticket));
         }
-        let is_over = |pending: &Pending| pending.expires <= now;
-        let over: Vec<ProposalId> = self
+        let is_obsolete = |pending: &Pending| pending.expires <= now;
+        let obsolete: Vec<ProposalId> = self
             .pending
             .iter()
-            .filter(|(_, pending)| is_over(pending))
+            .filter(|(_, pending)| is_obsolete(pending))
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in obsolete {
             self.take(id);
         }
         expired
     }
 
-    /// What is to be sent again: all of it to a new leader.
+    /// Commands that are to be sent again: those that are due, or all of them to a new leader.
     fn take_due(&mut self, now: Timestamp, leader: Option<ReplicaId>) -> Vec<Vec<u8>> {
         let is_new_leader = leader.is_some() && leader != self.leader;
         self.leader = leader.or(self.leader);
@@ -154,7 +156,7 @@
         for pending in self.pending.values_mut() {
             if is_new_leader || pending.resend_at <= now {
                 pending.resends += 1;
-                pending.resend_at = now.plus(resend_after(pending.resends));
+                pending.resend_at = now.plus(resend_delay(pending.resends));
                 due.push(pending.encoded.clone());
             }
         }
@@ -162,44 +164,45 @@
     }
 }
 
-fn resend_after(resends: u32) -> Duration {
-    RESEND_AFTER * 2_u32.pow(resends.min(MOST_DOUBLINGS))
+fn resend_delay(resends: u32) -> Duration {
+    RESEND_INTERVAL * 2_u32.pow(resends.min(MAX_DOUBLINGS))
 }
 
 impl<D: Directory> ControlCore<D> {
     pub(super) fn propose(&mut self, ticket: Option<Ticket>, command: Command) {
-        let waiting = ticket.map(|ticket| self.waiting(ticket));
-        let expires = self.now.plus(self.proposals.patience);
-        self.propose_for(waiting.into_iter().collect(), command, None, expires);
+        let waiter = ticket.map(|ticket| self.waiter(ticket));
+        let expires = self.now.plus(self.proposals.reply_timeout);
+        self.propose_for(waiter.into_iter().collect(), command, None, expires);
     }
 
-    /// Registers a back end. One that asks again, because it was not answered in time, waits for the command
-    /// that is under way; a second one would only make the log longer. One that leaves has a command of its own:
-    /// it is answered when a quorum knows that it leaves.
+    /// Registers a back end. A repeated heartbeat, sent because the first one was not answered in
+    /// time, waits for the pending command; another command would only lengthen the log. The
+    /// registration of a back end that is leaving gets a command of its own and is answered when a
+    /// quorum knows that it leaves.
     pub(super) fn register(&mut self, ticket: Ticket, heartbeat: &Heartbeat) {
         let name = heartbeat.instance.as_str();
-        let waiting = self.waiting(ticket);
+        let waiter = self.waiter(ticket);
         let proposals = &mut self.proposals;
         let is_ready = heartbeat.lifecycle == Lifecycle::Ready;
-        let under_way = proposals.registrations.get(name).filter(|_| is_ready);
-        if let Some(pending) = under_way.and_then(|id| proposals.pending.get_mut(id)) {
-            pending.waiting.push(waiting);
+        let in_progress = proposals.registrations.get(name).filter(|_| is_ready);
+        if let Some(pending) = in_progress.and_then(|id| proposals.pending.get_mut(id)) {
+            pending.waiters.push(waiter);
             return;
         }
-        let expires = self.now.plus(REGISTRATION_KEPT);
+        let expires = self.now.plus(REGISTRATION_TTL);
         let command = registration(heartbeat);
         let registers = is_ready.then(|| name.to_owned());
-        self.propose_for(vec![waiting], command, registers, expires);
+        self.propose_for(vec![waiter], command, registers, expires);
     }
 
-    fn waiting(&self, ticket: Ticket) -> Waiting {
-        let deadline = self.now.plus(self.proposals.patience);
-        Waiting { ticket, deadline }
+    fn waiter(&self, ticket: Ticket) -> Waiter {
+        let deadline = self.now.plus(self.proposals.reply_timeout);
+        Waiter { ticket, deadline }
     }
 
     fn propose_for(
         &mut self,
-        waiting: Vec<Waiting>,
+        waiters: Vec<Waiter>,
         command: Command,
         registers: Option<String>,
         expires: Timestamp,
@@ -210,51 +213,52 @@
             self.proposals.registrations.insert(name.clone(), id);
         }
         let pending = Pending {
-            waiting,
+            waiters,
             encoded: encoded.clone(),
             registers,
             expires,
             resends: 0,
-            resend_at: self.now.plus(resend_after(0)),
+            resend_at: self.now.plus(resend_delay(0)),
         };
         self.proposals.pending.insert(id, pending);
-        self.hand_on(encoded);
+        self.send_to_leader(encoded);
     }
 
-    /// A command of this machine, or of another one that waits for the same, has been applied.
-    pub(super) fn answer_proposal(&mut self, id: ProposalId) {
-        self.proposals.note_applied(self.now, id);
+    /// Completes a command of this machine that was applied.
+    pub(super) fn complete_proposal(&mut self, id: ProposalId) {
+        self.proposals.record_applied(self.now, id);
         if let Some(pending) = self.proposals.take(id) {
-            self.accept(pending);
+            self.reply_accepted(pending);
         }
     }
 
-    /// A back end is registered, whichever machine proposed it.
+    /// Completes a pending registration, whichever machine proposed the committed one.
     pub(super) fn on_registered(&mut self, name: &str) {
         let id = self.proposals.registrations.get(name).copied();
         if let Some(pending) = id.and_then(|id| self.proposals.take(id)) {
-            self.accept(pending);
+            self.reply_accepted(pending);
         }
     }
 
-    fn accept(&mut self, pending: Pending) {
-        let tickets = pending.waiting.into_iter().map(|waiting| waiting.ticket);
+    fn reply_accepted(&mut self, pending: Pending) {
+        let tickets = pending.waiters.into_iter().map(|waiter| waiter.ticket);
         let replies = tickets.map(|ticket| Effect::Reply(ticket, Reply::Accepted));
         self.effects.extend(replies);
     }
 
-    /// A machine that took the state in a snapshot saw no command that registered them.
-    pub(super) fn accept_registered(&mut self) {
+    /// Completes registrations after a snapshot, which replaces the commands that registered the
+    /// back ends.
+    pub(super) fn reply_to_registered(&mut self) {
         for id in self.proposals.registered(&self.state) {
             if let Some(pending) = self.proposals.take(id) {
-                self.accept(pending);
+                self.reply_accepted(pending);
             }
         }
     }
 
-    /// Gives up on callers that have waited too long, and sends again what may have been lost.
+    /// Replies to callers that have timed out, and sends again what may have been lost.
     pub(super) fn resend_proposals(&mut self) {
-        self.proposals.forget_applied(self.now);
+        self.proposals.expire_applied(self.now);
         let expired = self.proposals.take_expired(self.now);
         let replies = expired.into_iter();
         let replies = replies.map(|ticket| Effect::Reply(ticket, Reply::Unavailable));
@@ -262,19 +266,19 @@
         let leader = self.replica.raft().leader();
         let due = self.proposals.take_due(self.now, leader);
         for encoded in due {
-            self.hand_on(encoded);
+            self.send_to_leader(encoded);
         }
     }
 
-    /// Takes in commands of other machines. Those of a machine that takes this one for the leader by mistake
-    /// are lost; it sends them again.
+    /// Appends commands of other machines. If this machine does not lead, they are dropped and
+    /// their origin sends them again.
     pub(super) fn on_proposals(&mut self, proposals: Vec<Blob>) {
         for proposal in proposals {
             self.append(proposal.bytes);
         }
     }
 
-    fn hand_on(&mut self, encoded: Vec<u8>) {
+    fn send_to_leader(&mut self, encoded: Vec<u8>) {
         if self.role() == Role::Leader {
             self.append(encoded);
         } else {
@@ -282,8 +286,9 @@
         }
     }
 
-    /// Appends a command to the log, if this machine leads. One that it has appended is not
-    /// appended again: the log of a fleet that registers would grow by copies of what makes it late.
+    /// Appends a command to the log, if this machine leads. A command is appended only once per
+    /// term: otherwise, while a large fleet registers, copies of delayed commands would lengthen
+    /// the log and delay it further.
     fn append(&mut self, encoded: Vec<u8>) {
         let id = ProposalId::of(&encoded);
         self.proposals.begin_term(self.term());
@@ -295,8 +300,8 @@
         }
     }
 
-    /// Sends the leader all commands that have gathered, in few messages. Without a leader they are lost here,
-    /// and sent again once there is one.
+    /// Sends all collected commands to the leader, in few messages. Without a leader they are
+    /// dropped here, and sent again once there is one.
     pub(super) fn send_proposals(&mut self) {
         let outgoing = std::mem::take(&mut self.proposals.outgoing);
         let raft = self.replica.raft();
@@ -312,13 +317,14 @@
     }
 }
 
-/// Commands in their order, in messages of a bounded size; a command that is larger has a message of its own.
+/// Splits commands, in order, into batches of limited size; a larger command gets a batch of its
+/// own.
 fn batches(commands: Vec<Blob>) -> Vec<Vec<Blob>> {
     let mut batches: Vec<Vec<Blob>> = Vec::new();
     let mut bytes = 0;
     for command in commands {
         bytes += command.bytes.len();
-        match batches.last_mut().filter(|_| bytes <= MOST_BATCH_BYTES) {
+        match batches.last_mut().filter(|_| bytes <= MAX_BATCH_BYTES) {
             Some(batch) => batch.push(command),
             None => {
                 bytes = command.bytes.len();
--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -1,9 +1,10 @@
-//! Work that ends back ends: what routers saw, added up, and the verdict.
+//! Requests that crash back ends: control machines add up the reports of routers and propose which
+//! request fingerprints are quarantined.
 //!
-//! Every control machine takes reports in, tells its routers, and proposes the verdict, whether it leads or
-//! not: reports only ever add up, so it does no harm to add them up several times, and routers go on
-//! hearing of suspected work while no leader is elected or no majority is left. What the log replicates
-//! outlasts all processes.
+//! Every control machine accepts reports, notifies its routers and proposes verdicts, whether it
+//! leads or not. Reports only accumulate, so counting them on several machines is harmless, and
+//! routers still learn of suspected fingerprints when there is no leader or no quorum. Verdicts are
+//! replicated by the log and survive restarts of all processes.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -20,33 +21,35 @@
 };
 use crate::{Command, Message, WorkEvent, WorkId, WorkReport, WorkSuspicion};
 
-/// Bytes a second that this may cost one router, of 14 KB/s for all control traffic; up to five
-/// machines tell each router.
-const BYTES_PER_SECOND: f64 = 700.0;
-/// Suspected works that a router is told when it links, those with the most ends first; 4 KB.
-const MOST_TOLD_AT_LINK: usize = 256;
-/// Between two looks for ends that are too old to matter.
-const EXPIRE_EVERY: Duration = Duration::from_secs(10);
+/// Bandwidth per router for suspicions, out of 14 KB/s for all control traffic; up to five control
+/// machines send to each router.
+const MAX_BYTES_PER_SECOND: f64 = 700.0;
+/// Limit on the suspected fingerprints that a router is sent when it connects, 4 KB; those with the
+/// most crashes come first.
+const MAX_SENT_ON_CONNECT: usize = 256;
+/// Interval between removals of outdated crashes.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What one control machine knows of work that ends back ends.
+/// What one control machine knows of requests that crash back ends.
 #[derive(Debug, Default)]
-pub(super) struct SuspectedWork {
+pub(super) struct SuspectedRequests {
     ledger: EndLedger,
-    /// What routers were told last.
-    told: BTreeMap<WorkId, u8>,
-    /// Works whose standing routers are still to be told, with their ends.
-    untold: BTreeMap<WorkId, u8>,
-    /// When old ends were forgotten last.
+    /// Crash counts that routers were sent last.
+    sent: BTreeMap<WorkId, u8>,
+    /// Crash counts that differ from those sent; 0 withdraws a suspicion.
+    unsent: BTreeMap<WorkId, u8>,
+    /// Time of the last removal of outdated crashes.
     expired_at: Timestamp,
     quarantined: BTreeMap<WorkId, Verdict>,
 }
 
-/// A verdict as one control machine knows it.
+/// A quarantine verdict as one control machine knows it.
 #[derive(Clone, Copy, Debug)]
 struct Verdict {
-    /// When it came, as far as this process knows; since its start for what is older.
+    /// When this process learned of the verdict; verdicts from before its start count from the
+    /// first review.
     at: Timestamp,
-    /// Trials whose time has come, whoever led then.
+    /// Trials that have come due, also under other leaders.
     trials: usize,
 }
 
@@ -55,9 +58,9 @@
         Self { at, trials: 0 }
     }
 
-    /// True once for each trial, when its time has come.
-    fn trial_is_due(&mut self, now: Timestamp, work: WorkId) -> bool {
-        let spread = TRIALS_SPREAD.mul_f64(work.draw());
+    /// Returns true once for each trial, when it comes due.
+    fn take_due_trial(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+        let spread = TRIALS_SPREAD.mul_f64(fingerprint.draw());
         let next = TRIALS_AFTER.get(self.trials);
         let is_due = next.is_some_and(|after| now.since(self.at) >= *after + spread);
         self.trials += usize::from(is_due);
@@ -65,184 +68,196 @@
     }
 }
 
-impl SuspectedWork {
-    /// Notes what routers are to be told of a work, when that has changed.
-    fn note_standing(&mut self, work: WorkId) {
-        let ends = self.ledger.ends(work);
-        let ends = if ends < ENDS_FOR_SUSPICION { 0 } else { ends };
-        let ends = u8::try_from(ends).unwrap_or(u8::MAX);
-        if self.told.get(&work).copied().unwrap_or_default() == ends {
-            self.untold.remove(&work);
+impl SuspectedRequests {
+    /// Updates the crash count that routers are to be sent, if it differs from the one sent.
+    fn update_unsent(&mut self, fingerprint: WorkId) {
+        let crashes = self.ledger.ends(fingerprint);
+        let crashes = if crashes < ENDS_FOR_SUSPICION {
+            0
         } else {
-            self.untold.insert(work, ends);
+            crashes
+        };
+        let crashes = u8::try_from(crashes).unwrap_or(u8::MAX);
+        if self.sent.get(&fingerprint).copied().unwrap_or_default() == crashes {
+            self.unsent.remove(&fingerprint);
+        } else {
+            self.unsent.insert(fingerprint, crashes);
         }
     }
 
-    /// The next works to tell, those with the most ends first.
-    fn take_untold(&mut self, most: usize) -> Vec<WorkSuspicion> {
+    /// Removes the next fingerprints to send, those with the most crashes first.
+    fn take_unsent(&mut self, limit: usize) -> Vec<WorkSuspicion> {
         let mut due: Vec<(u8, WorkId)> =
-            self.untold.iter().map(|item| (*item.1, *item.0)).collect();
+            self.unsent.iter().map(|item| (*item.1, *item.0)).collect();
         due.sort_unstable_by(|one, other| other.cmp(one));
-        due.truncate(most);
-        for (ends, work) in &due {
-            self.untold.remove(work);
-            if *ends == 0 {
-                self.told.remove(work);
+        due.truncate(limit);
+        for (crashes, fingerprint) in &due {
+            self.unsent.remove(fingerprint);
+            if *crashes == 0 {
+                self.sent.remove(fingerprint);
             } else {
-                self.told.insert(*work, *ends);
+                self.sent.insert(*fingerprint, *crashes);
             }
         }
         due.into_iter()
-            .map(|(ends, work)| WorkSuspicion { work, ends })
+            .map(|(crashes, fingerprint)| WorkSuspicion {
+                work: fingerprint,
+                ends: crashes,
+            })
             .collect()
     }
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Takes in what a router saw.
-    pub(super) fn on_work_reports(&mut self, reports: &[WorkReport]) {
+    /// Processes a router's reports on request fingerprints.
+    pub(super) fn on_fingerprint_reports(&mut self, reports: &[WorkReport]) {
         for report in reports {
             match report.event {
                 WorkEvent::BackEndEnded { back_end, held_ms } => {
-                    let end = EndReport {
+                    let crash = EndReport {
                         back_end,
                         age: Duration::from_millis(u64::from(report.age_ms)),
                         held: Duration::from_millis(u64::from(held_ms)),
                     };
-                    self.on_end_reported(report.work, end);
+                    self.on_crash_reported(report.work, crash);
                 }
-                WorkEvent::Completed => self.on_work_completed(report.work),
+                WorkEvent::Completed => self.on_request_completed(report.work),
             }
         }
     }
 
-    fn on_end_reported(&mut self, work: WorkId, end: EndReport) {
-        let suspected = &mut self.suspected_work;
-        if !suspected.ledger.note_end(self.now, work, end) {
+    fn on_crash_reported(&mut self, fingerprint: WorkId, report: EndReport) {
+        let suspected = &mut self.suspected_requests;
+        if !suspected.ledger.note_end(self.now, fingerprint, report) {
             return;
         }
-        suspected.note_standing(work);
-        let ends = suspected.ledger.ends(work);
-        if ends >= ENDS_FOR_SUSPICION {
-            self.effects.push(Effect::WorkSuspected { work, ends });
+        suspected.update_unsent(fingerprint);
+        let crashes = suspected.ledger.ends(fingerprint);
+        if crashes >= ENDS_FOR_SUSPICION {
+            self.effects.push(Effect::WorkSuspected {
+                work: fingerprint,
+                ends: crashes,
+            });
         }
-        if self.state.is_quarantined(work) {
-            self.relieve_others(work);
-        } else if ends >= ENDS_FOR_QUARANTINE {
-            self.propose(None, Command::Quarantine { work });
+        if self.state.is_quarantined(fingerprint) {
+            self.clear_explained_suspicions(fingerprint);
+        } else if crashes >= ENDS_FOR_QUARANTINE {
+            self.propose(None, Command::Quarantine { work: fingerprint });
         }
     }
 
-    /// What quarantined work ended no longer speaks against the requests that were beside it.
-    fn relieve_others(&mut self, culprit: WorkId) {
-        for relieved in self.suspected_work.ledger.explain(culprit) {
-            self.suspected_work.note_standing(relieved);
+    /// Crashes under a quarantined request no longer count against the requests that were in flight
+    /// at the same back ends.
+    fn clear_explained_suspicions(&mut self, culprit: WorkId) {
+        for cleared in self.suspected_requests.ledger.explain(culprit) {
+            self.suspected_requests.update_unsent(cleared);
         }
     }
 
-    /// Work that ran to its end does not end whatever runs it.
-    fn on_work_completed(&mut self, work: WorkId) {
-        self.forget_suspicion(work);
-        if self.state.is_quarantined(work) {
-            self.propose(None, Command::Release { work });
+    /// A request that completed does not crash every back end that serves it.
+    fn on_request_completed(&mut self, fingerprint: WorkId) {
+        self.clear_suspicion(fingerprint);
+        if self.state.is_quarantined(fingerprint) {
+            self.propose(None, Command::Release { work: fingerprint });
         }
     }
 
-    fn forget_suspicion(&mut self, work: WorkId) {
-        self.suspected_work.ledger.clear(work);
-        self.suspected_work.note_standing(work);
+    fn clear_suspicion(&mut self, fingerprint: WorkId) {
+        self.suspected_requests.ledger.clear(fingerprint);
+        self.suspected_requests.update_unsent(fingerprint);
     }
 
-    /// The log quarantined work.
-    pub(super) fn on_quarantined(&mut self, work: WorkId) {
+    /// The quarantine was committed.
+    pub(super) fn on_quarantined(&mut self, fingerprint: WorkId) {
         let verdict = Verdict::new(self.now);
-        self.suspected_work.quarantined.insert(work, verdict);
-        self.relieve_others(work);
+        self.suspected_requests
+            .quarantined
+            .insert(fingerprint, verdict);
+        self.clear_explained_suspicions(fingerprint);
     }
 
-    /// The log released work: it is as if it had never come.
-    pub(super) fn on_released(&mut self, work: WorkId) {
-        self.suspected_work.quarantined.remove(&work);
-        self.forget_suspicion(work);
+    /// The release was committed: the fingerprint starts over without a record of crashes.
+    pub(super) fn on_released(&mut self, fingerprint: WorkId) {
+        self.suspected_requests.quarantined.remove(&fingerprint);
+        self.clear_suspicion(fingerprint);
     }
 
-    /// Lets the time of verdicts pass. The leader permits trials, and proposes to release what has been
-    /// quarantined for long enough.
+    /// Checks the age of verdicts. The leader permits trials that are due, and proposes the release
+    /// of fingerprints whose quarantine has expired.
     pub(super) fn review_verdicts(&mut self) {
         let now = self.now;
-        let leads = self.role() == Role::Leader;
+        let is_leader = self.role() == Role::Leader;
         let (mut trials, mut released) = (Vec::new(), Vec::new());
-        for work in self.state.quarantined() {
-            let verdicts = &mut self.suspected_work.quarantined;
-            let verdict = verdicts.entry(work).or_insert(Verdict::new(now));
-            if verdict.trial_is_due(now, work) && leads {
-                trials.push(work);
+        for fingerprint in self.state.quarantined() {
+            let verdicts = &mut self.suspected_requests.quarantined;
+            let verdict = verdicts.entry(fingerprint).or_insert(Verdict::new(now));
+            if verdict.take_due_trial(now, fingerprint) && is_leader {
+                trials.push(fingerprint);
             }
-            if now.since(verdict.at) >= QUARANTINE_FOR && leads {
-                // Asked again when the log does not take it.
-                verdict.at = verdict.at.plus(self.params.patience);
-                released.push(work);
+            if now.since(verdict.at) >= QUARANTINE_FOR && is_leader {
+                // Proposed again after this time if the log does not accept it.
+                verdict.at = verdict.at.plus(self.params.reply_timeout);
+                released.push(fingerprint);
             }
         }
-        for work in trials {
-            self.permit_trial(work);
+        for fingerprint in trials {
+            self.permit_trial(fingerprint);
         }
-        for work in released {
-            self.propose(None, Command::Release { work });
+        for fingerprint in released {
+            self.propose(None, Command::Release { work: fingerprint });
         }
     }
 
-    /// One router may give the work to a back end once.
-    fn permit_trial(&mut self, work: WorkId) {
+    /// Permits one router to send one request with the fingerprint to a back end.
+    fn permit_trial(&mut self, fingerprint: WorkId) {
         let connections = self.routers.connections();
-        let drawn = (work.draw() * connections.len() as f64) as usize;
-        if let Some(connection) = connections.get(drawn) {
-            let message = Message::TryWork(work);
+        let index = (fingerprint.draw() * connections.len() as f64) as usize;
+        if let Some(connection) = connections.get(index) {
+            let message = Message::TryWork(fingerprint);
             self.effects.push(Effect::ToRouter(*connection, message));
         }
     }
 
-    /// Forgets ends that are too old to matter.
+    /// Removes outdated crashes.
     pub(super) fn expire_suspicions(&mut self) {
-        let (now, suspected) = (self.now, &mut self.suspected_work);
-        if now.since(suspected.expired_at) < EXPIRE_EVERY {
+        let (now, suspected) = (self.now, &mut self.suspected_requests);
+        if now.since(suspected.expired_at) < EXPIRY_INTERVAL {
             return;
         }
         suspected.expired_at = now;
         suspected.ledger.expire(now);
-        let told: Vec<WorkId> = suspected.told.keys().copied().collect();
-        for work in told {
-            suspected.note_standing(work);
+        let sent: Vec<WorkId> = suspected.sent.keys().copied().collect();
+        for fingerprint in sent {
+            suspected.update_unsent(fingerprint);
         }
     }
 
-    /// Tells routers of work that is suspected, or no longer is, as much as its part of the traffic
-    /// allows.
-    pub(super) fn share_suspicions(&mut self) {
-        if self.suspected_work.untold.is_empty() {
+    /// Sends routers the changed suspicions, as many as the bandwidth allows.
+    pub(super) fn broadcast_suspicions(&mut self) {
+        if self.suspected_requests.unsent.is_empty() {
             return;
         }
-        let budget = BYTES_PER_SECOND * self.params.tick.as_secs_f64();
-        let most = (budget / WorkSuspicion::BYTES as f64).max(1.0) as usize;
-        let told = self.suspected_work.take_untold(most);
+        let budget = MAX_BYTES_PER_SECOND * self.params.tick.as_secs_f64();
+        let limit = (budget / WorkSuspicion::BYTES as f64).max(1.0) as usize;
+        let sent = self.suspected_requests.take_unsent(limit);
         for connection in self.routers.connections() {
-            let message = Message::WorkSuspicions(List::new(told.clone()));
+            let message = Message::WorkSuspicions(List::new(sent.clone()));
             self.effects.push(Effect::ToRouter(connection, message));
         }
     }
 
-    /// A router that links knows nothing yet.
-    pub(super) fn tell_suspicions(&mut self, connection: ConnectionId) {
-        let told = self.suspected_work.told.iter();
-        let known = told.map(|(work, ends)| WorkSuspicion {
-            work: *work,
-            ends: *ends,
+    /// Sends all suspicions to a router that has just connected.
+    pub(super) fn send_suspicions(&mut self, connection: ConnectionId) {
+        let sent = self.suspected_requests.sent.iter();
+        let suspicions = sent.map(|(fingerprint, crashes)| WorkSuspicion {
+            work: *fingerprint,
+            ends: *crashes,
         });
-        let mut known: Vec<WorkSuspicion> = known.collect();
-        known.sort_unstable_by_key(|suspicion| Reverse(suspicion.ends));
-        known.truncate(MOST_TOLD_AT_LINK);
-        if !known.is_empty() {
-            let message = Message::WorkSuspicions(List::new(known));
+        let mut suspicions: Vec<WorkSuspicion> = suspicions.collect();
+        suspicions.sort_unstable_by_key(|suspicion| Reverse(suspicion.ends));
+        suspicions.truncate(MAX_SENT_ON_CONNECT);
+        if !suspicions.is_empty() {
+            let message = Message::WorkSuspicions(List::new(suspicions));
             self.effects.push(Effect::ToRouter(connection, message));
         }
     }
--- a/crates/gateway-core/src/control/reads.rs
+++ b/crates/gateway-core/src/control/reads.rs
@@ -1,7 +1,8 @@
-//! Reads that a quorum confirms: one question is shared by all who came before it.
+//! Linearizable reads: a quorum confirms them in rounds, and a round covers all reads queued before
+//! it.
 //!
-//! A question that is not answered soon is followed by another, for it may be lost; it still counts
-//! when its answer comes late, and whatever confirms a question confirms those before it.
+//! A round that is not confirmed soon is followed by another, because its messages may be lost. A
+//! late confirmation still counts, and it also confirms all earlier rounds.
 
 use std::time::Duration;
 
@@ -12,94 +13,97 @@
 use super::{ConnectionId, ControlCore, Effect, Reply, Ticket};
 use crate::Message;
 
-/// A question that was not confirmed by then is followed by another.
-const ASK_AGAIN: Duration = Duration::from_millis(300);
-/// A router waits longer than an operator, who asks another machine instead.
-const ROUTER_PATIENCE: Duration = Duration::from_millis(2_000);
+/// A round that is not confirmed within this time is followed by another.
+const ROUND_RETRY_INTERVAL: Duration = Duration::from_millis(300);
+/// Timeout of routers. It is longer than that of operators, who ask another machine instead.
+const ROUTER_READ_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Who waits for a confirmed view.
+/// Who waits for a confirmed read.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Waiting {
+pub(super) enum Reader {
     /// An operator who reads the configuration.
     Operator(Ticket),
-    /// A router that asks whether its view is current.
+    /// A router that checks whether its view is current, with the sequence number of its ping.
     Router(ConnectionId, u64),
-    /// This leader, before it gives orders.
+    /// This leader, before it sends orders.
     Leader,
 }
 
 #[derive(Debug)]
-struct Read {
-    waiting: Waiting,
-    since: Timestamp,
+struct ReadRequest {
+    reader: Reader,
+    queued_at: Timestamp,
 }
 
 #[derive(Debug)]
-struct Round {
+struct ReadRound {
     context: u64,
-    asked: Timestamp,
-    reads: Vec<Read>,
+    sent_at: Timestamp,
+    reads: Vec<ReadRequest>,
 }
 
-/// Reads by how far they have come.
+/// Pending reads by stage.
 #[derive(Debug, Default)]
 pub(super) struct Reads {
     next_context: u64,
-    queued: Vec<Read>,
-    /// Questions under way, the oldest first.
-    asked: Vec<Round>,
-    confirmed: Vec<(LogIndex, Timestamp, Vec<Read>)>,
+    queued: Vec<ReadRequest>,
+    /// Unconfirmed rounds, oldest first.
+    rounds: Vec<ReadRound>,
+    confirmed: Vec<(LogIndex, Timestamp, Vec<ReadRequest>)>,
 }
 
 impl Reads {
     pub fn on_confirmed(&mut self, states: Vec<ReadState>) {
         for state in states {
-            let mut rounds = self.asked.iter();
-            let Some(answered) = rounds.position(|round| round.context == state.context) else {
+            let mut rounds = self.rounds.iter();
+            let Some(confirmed_round) = rounds.position(|round| round.context == state.context)
+            else {
                 continue;
             };
-            for round in self.asked.drain(..=answered) {
-                self.confirmed.push((state.index, round.asked, round.reads));
+            for round in self.rounds.drain(..=confirmed_round) {
+                self.confirmed
+                    .push((state.index, round.sent_at, round.reads));
             }
         }
     }
 
-    fn is_question_due(&self, now: Timestamp) -> bool {
-        let waits = !self.queued.is_empty() || !self.asked.is_empty();
-        let last = self.asked.last();
-        waits && last.is_none_or(|round| now.since(round.asked) >= ASK_AGAIN)
+    fn is_round_due(&self, now: Timestamp) -> bool {
+        let waits = !self.queued.is_empty() || !self.rounds.is_empty();
+        let last = self.rounds.last();
+        waits && last.is_none_or(|round| now.since(round.sent_at) >= ROUND_RETRY_INTERVAL)
     }
 
-    /// Takes out those who waited too long, and questions that nobody waits for.
-    fn take_expired(&mut self, now: Timestamp, patience: Duration) -> Vec<Read> {
-        let is_expired = |read: &mut Read| now.since(read.since) >= read.patience(patience);
-        let mut expired: Vec<Read> = self.queued.extract_if(.., is_expired).collect();
-        for round in &mut self.asked {
+    /// Removes reads that have timed out, and rounds without any remaining read.
+    fn take_expired(&mut self, now: Timestamp, operator_timeout: Duration) -> Vec<ReadRequest> {
+        let is_expired =
+            |read: &mut ReadRequest| now.since(read.queued_at) >= read.timeout(operator_timeout);
+        let mut expired: Vec<ReadRequest> = self.queued.extract_if(.., is_expired).collect();
+        for round in &mut self.rounds {
             expired.extend(round.reads.extract_if(.., is_expired));
         }
-        self.asked.retain(|round| !round.reads.is_empty());
+        self.rounds.retain(|round| !round.reads.is_empty());
         expired
     }
 }
 
-impl Read {
-    fn patience(&self, of_operators: Duration) -> Duration {
-        match self.waiting {
-            Waiting::Router(..) => ROUTER_PATIENCE,
-            Waiting::Operator(_) | Waiting::Leader => of_operators,
+impl ReadRequest {
+    fn timeout(&self, operator_timeout: Duration) -> Duration {
+        match self.reader {
+            Reader::Router(..) => ROUTER_READ_TIMEOUT,
+            Reader::Operator(_) | Reader::Leader => operator_timeout,
         }
     }
 }
 
 impl<D: Directory> ControlCore<D> {
-    pub(super) fn queue_read(&mut self, waiting: Waiting) {
-        let since = self.now;
-        self.reads.queued.push(Read { waiting, since });
+    pub(super) fn queue_read_request(&mut self, reader: Reader) {
+        let queued_at = self.now;
+        self.reads.queued.push(ReadRequest { reader, queued_at });
     }
 
-    /// Asks for all that wait, unless a question has just been asked.
-    pub(super) fn start_reads(&mut self) {
-        if !self.reads.is_question_due(self.now) {
+    /// Starts a round for all queued reads, unless one was started recently.
+    pub(super) fn start_read_round(&mut self) {
+        if !self.reads.is_round_due(self.now) {
             return;
         }
         self.reads.next_context += 1;
@@ -108,18 +112,18 @@
             return;
         }
         let reads = std::mem::take(&mut self.reads.queued);
-        self.reads.asked.push(Round {
+        self.reads.rounds.push(ReadRound {
             context,
-            asked: self.now,
+            sent_at: self.now,
             reads,
         });
     }
 
-    /// Gives up on those who waited too long.
-    pub(super) fn tick_reads(&mut self) {
-        let expired = self.reads.take_expired(self.now, self.params.patience);
+    /// Replies to operators whose reads have timed out.
+    pub(super) fn expire_reads(&mut self) {
+        let expired = self.reads.take_expired(self.now, self.params.reply_timeout);
         for read in expired {
-            if let Waiting::Operator(ticket) = read.waiting {
+            if let Reader::Operator(ticket) = read.reader {
                 self.effects.push(Effect::Reply(ticket, Reply::Unavailable));
             }
         }
@@ -132,22 +136,22 @@
             .confirmed
             .extract_if(.., |(index, ..)| *index <= applied)
             .collect::<Vec<_>>();
-        for (_, asked, reads) in ready {
+        for (_, sent_at, reads) in ready {
             for read in reads {
-                self.serve(read.waiting, asked);
+                self.answer_read(read.reader, sent_at);
             }
         }
     }
 
-    fn serve(&mut self, waiting: Waiting, asked: Timestamp) {
-        match waiting {
-            Waiting::Leader => self.confirmed_at = Some(asked),
-            Waiting::Operator(ticket) => {
+    fn answer_read(&mut self, reader: Reader, sent_at: Timestamp) {
+        match reader {
+            Reader::Leader => self.confirmed_at = Some(sent_at),
+            Reader::Operator(ticket) => {
                 let body = self.state.configuration().map(<[u8]>::to_vec);
                 let reply = Reply::Configuration(body);
                 self.effects.push(Effect::Reply(ticket, reply));
             }
-            Waiting::Router(connection, sequence) => {
+            Reader::Router(connection, sequence) => {
                 let controls = self.controls().into_iter().map(u32::from).collect();
                 let message = Message::Pong {
                     sequence,
--- a/crates/gateway-core/src/control/refusing.rs
+++ b/crates/gateway-core/src/control/refusing.rs
@@ -1,9 +1,9 @@
-//! Back ends that turn requests away, passed on from one router to the others.
+//! Back ends that reject requests, forwarded from one router to the others.
 //!
-//! A back end refuses for some hundred milliseconds: while it loads weights, while its queue is
-//! full, or when it holds other weights than routers believe, because an order was carried out
-//! after it seemed lost and no heartbeat has shown that yet. Of hundreds of routers each would send
-//! it a request of its own to learn that.
+//! A back end rejects requests for some hundred milliseconds: while it loads weights, while its
+//! queue is full, or when its weights differ from those that routers expect because an order took
+//! effect after it seemed lost and no heartbeat has shown that yet. Without notification, each of
+//! hundreds of routers would send it a request to find out.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,23 +15,24 @@
 use super::{ConnectionId, ControlCore};
 use crate::Message;
 
-/// Between two notifications of one back end. Routers avoid it for longer, see their
-/// `REFUSING_PAUSE`.
-const NOTIFY_AGAIN_AFTER: Duration = Duration::from_millis(200);
+/// Minimum interval between two notifications of one back end. Routers avoid the back end for
+/// longer than this.
+const RENOTIFY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Back ends by [`crate::LoadEntry::key_of`], and when routers were last notified.
+/// Time of the last notification of routers, by the [`crate::LoadEntry::key_of`] a back end.
 #[derive(Debug, Default)]
 pub(super) struct Refusing(BTreeMap<u32, Timestamp>);
 
 impl<D: Directory> ControlCore<D> {
-    /// Back ends turned a router's requests away. The leader notifies the other routers.
+    /// Processes a router's report of back ends that rejected its requests. The leader notifies the
+    /// other routers.
     pub(super) fn on_refusing(&mut self, from: ConnectionId, keys: &[u32]) {
         if self.role() != Role::Leader {
             return;
         }
         let now = self.now;
         let notified = &mut self.refusing.0;
-        notified.retain(|_, at| now.since(*at) < NOTIFY_AGAIN_AFTER);
+        notified.retain(|_, at| now.since(*at) < RENOTIFY_INTERVAL);
         let mut new = Vec::new();
         for key in keys {
             notified.entry(*key).or_insert_with(|| {
@@ -43,6 +44,6 @@
             return;
         }
         let message = Message::Refusing(List::new(new));
-        self.tell_all(message, Some(from));
+        self.broadcast_news(message, Some(from));
     }
 }
--- a/crates/gateway-core/src/control/rollout.rs
+++ b/crates/gateway-core/src/control/rollout.rs
@@ -1,8 +1,8 @@
-//! The leader brings back ends to the weights that were named, a few at a time.
+//! Rollout of weights: the leader has back ends load the named version, a few at a time.
 //!
-//! Routers are told first, so that no request meets a back end that is loading. Orders carry the
-//! leader's term as fencing token and the number of orders that the back end is expected to have
-//! taken, so that a late copy of an order changes nothing.
+//! Routers are notified first, so that no request reaches a back end that is loading. Orders carry
+//! the leader's term as fencing token and the number of orders that the back end is expected to
+//! have accepted, so that a delayed copy of an order has no effect.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,51 +11,57 @@
 use drumshore_core::Timestamp;
 
 use super::order::{Order, OrderId, OrderOutcome, Report};
-use super::pending_loads::{pending_loads, Load};
-use super::reads::Waiting;
+use super::pending_weight_loads::{pending_weight_loads, WeightLoad};
+use super::reads::Reader;
 use super::{ControlCore, Effect};
 use crate::{Command, InstanceId, InstanceRecord, LoadPhase, ModelName};
 
-/// A pool is loaded in about so many rounds.
-pub(super) const ROUNDS: usize = 4;
-/// At least so many of a pool load at once.
-const LEAST_AT_ONCE: usize = 2;
-/// The first look at a back end that took an order.
-const FIRST_LOOK: Duration = Duration::from_millis(650);
-/// Between later looks.
-const NEXT_LOOK: Duration = Duration::from_millis(150);
-/// An order that had no effect by then is given again.
-const ORDER_AGAIN: Duration = Duration::from_millis(1_500);
-/// A back end that said nothing for so long is passed over until it is heard again.
-const INSTANCE_SILENCE: Duration = Duration::from_secs(4);
-/// An order is only given while a quorum has confirmed this leader so lately.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(700);
+/// Approximate number of rounds in which the back ends of a pool are loaded.
+pub(super) const LOAD_ROUNDS: usize = 4;
+/// Back ends of a pool that may load at once even if the pool is small.
+const MIN_CONCURRENT_LOADS: usize = 2;
+/// Delay between an accepted order and the first query of the back end.
+const FIRST_QUERY_DELAY: Duration = Duration::from_millis(650);
+/// Interval between later queries.
+const QUERY_INTERVAL: Duration = Duration::from_millis(150);
+/// An order or query without effect is repeated after this time.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(1_500);
+/// A back end without a heartbeat for this long is skipped until it sends one.
+const INSTANCE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Orders are sent only if a quorum has confirmed this leader within this time.
+const CONFIRMATION_TTL: Duration = Duration::from_millis(700);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Routers are told; the order follows.
-    Noticed { at: Timestamp },
-    /// The order is on its way.
+    /// Routers are being notified; the order follows.
+    Announced { at: Timestamp },
+    /// The order is sent; its outcome is pending.
     Ordered { at: Timestamp, id: OrderId },
-    /// It is being done, or may be.
-    Loading { ordered: Timestamp, look: Timestamp },
-    /// The back end was asked.
-    Asked { ordered: Timestamp, at: Timestamp },
+    /// The back end carries the order out, or may do so; it is queried at `next_query`.
+    Loading {
+        ordered_at: Timestamp,
+        next_query: Timestamp,
+    },
+    /// A query is sent; the report is pending.
+    Queried {
+        ordered_at: Timestamp,
+        at: Timestamp,
+    },
 }
 
-/// Loads under way, as this leader knows them.
+/// Progress of weight loads, as this leader knows it.
 #[derive(Debug, Default)]
 pub(super) struct Rollouts {
     steps: BTreeMap<String, Step>,
     orders_taken: BTreeMap<String, u64>,
     expected_at_order: BTreeMap<String, u64>,
     next_order: u64,
-    /// The term in which a back end said that a newer leader has given it orders.
+    /// The term in which a back end reported orders of a newer leader.
     fenced_in_term: Option<u64>,
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Takes in what came of an order.
+    /// Processes the outcome of an order.
     pub fn on_order_outcome(
         &mut self,
         now: Timestamp,
@@ -77,25 +83,29 @@
         if outcome == OrderOutcome::Fenced {
             self.on_fenced();
         }
-        let (ordered, look) = match outcome {
-            OrderOutcome::Taken => (at, at.plus(FIRST_LOOK)),
+        let (ordered_at, next_query) = match outcome {
+            OrderOutcome::Taken => (at, at.plus(FIRST_QUERY_DELAY)),
             OrderOutcome::Holds => (at, now),
-            // The report tells whether it was taken; if not, it is given again at once.
+            // The next report shows whether the order was accepted. The default timestamp allows an
+            // order that was not accepted to be repeated at once.
             OrderOutcome::Conflict | OrderOutcome::Unknown => (Timestamp::default(), now),
-            OrderOutcome::Fenced | OrderOutcome::Gone => (at, now.plus(ORDER_AGAIN)),
+            OrderOutcome::Fenced | OrderOutcome::Gone => (at, now.plus(ORDER_RETRY_INTERVAL)),
+        };
+        let step = Step::Loading {
+            ordered_at,
+            next_query,
         };
-        let step = Step::Loading { ordered, look };
         self.rollouts.steps.insert(name.to_owned(), step);
     }
 
-    /// A newer leader has given orders: what this one orders in its term is refused from now on.
+    /// A newer leader has sent orders: back ends reject all further orders of this term.
     fn on_fenced(&mut self) {
         self.rollouts.fenced_in_term = Some(self.term());
         self.step_down();
     }
 
-    /// Another incarnation answered at its address. When that one has registered, the word of a
-    /// back end that is no more is all that is left of it.
+    /// Another incarnation answers at the address of a back end. Once that incarnation has
+    /// registered, the old one exists only as a record, which is removed.
     fn on_instance_gone(&mut self, name: &str) {
         let Some(record) = self.state.instance(name) else {
             return;
@@ -110,18 +120,18 @@
         }
     }
 
-    /// Takes in a back end's report, or that there was none.
+    /// Processes a back end's report; `None` if the query failed.
     pub fn on_report(&mut self, now: Timestamp, instance: &InstanceId, report: Option<&Report>) {
         self.now = now;
         let name = instance.as_str().to_owned();
-        let Some(Step::Asked { ordered, .. }) = self.rollouts.steps.get(&name).copied() else {
+        let Some(Step::Queried { ordered_at, .. }) = self.rollouts.steps.get(&name).copied() else {
             return;
         };
-        let again = Step::Loading {
-            ordered,
-            look: now.plus(NEXT_LOOK),
+        let next_step = Step::Loading {
+            ordered_at,
+            next_query: now.plus(QUERY_INTERVAL),
         };
-        self.rollouts.steps.insert(name.clone(), again);
+        self.rollouts.steps.insert(name.clone(), next_step);
         let Some(report) = report else {
             return;
         };
@@ -131,64 +141,66 @@
         if report.busy {
             return;
         }
-        self.conclude(&name, report, ordered);
+        self.evaluate_report(&name, report, ordered_at);
     }
 
-    pub(super) fn drive_rollouts(&mut self) {
-        let loads = pending_loads(&self.state);
+    pub(super) fn advance_rollouts(&mut self) {
+        let loads = pending_weight_loads(&self.state);
         if loads.is_empty() {
             self.rollouts.steps.clear();
             return;
         }
-        self.queue_read(Waiting::Leader);
-        self.forget_finished_steps();
-        let heard: Vec<Load> = loads
+        self.queue_read_request(Reader::Leader);
+        self.remove_finished_steps();
+        let responsive: Vec<WeightLoad> = loads
             .into_iter()
-            .filter(|load| self.is_instance_heard(&load.instance))
+            .filter(|load| self.is_instance_responsive(&load.instance))
             .collect();
-        if self.may_order() && self.is_time_to_load(&heard) {
-            self.start_loads(&heard);
+        if self.may_order() && self.may_start_loads(&responsive) {
+            self.start_weight_loads(&responsive);
         }
-        for load in heard {
+        for load in responsive {
             let record = self.state.instance(&load.instance);
             if record.is_some_and(InstanceRecord::is_loading) {
-                self.drive_load(load);
+                self.advance_weight_load(load);
             }
         }
     }
 
-    /// A machine that was cut off or paused must notice before it gives an order.
+    /// Whether this machine may send orders: a machine that was partitioned or paused has to detect
+    /// that first.
     fn may_order(&self) -> bool {
         let now = self.now;
         let confirmed = self
             .confirmed_at
-            .is_some_and(|at| now.since(at) < CONFIRMED_WITHIN);
+            .is_some_and(|at| now.since(at) < CONFIRMATION_TTL);
         let fenced = self.rollouts.fenced_in_term == Some(self.term());
         self.role() == Role::Leader && confirmed && !fenced
     }
 
-    fn is_free_of_others_orders(&self, instance: &str) -> bool {
+    fn is_order_lease_free(&self, instance: &str) -> bool {
         let lease = self.params.order_lease;
         self.order_leases.is_free(self.now, lease, instance)
     }
 
-    /// A step belongs to a load that is under way, or that was proposed just now.
-    fn forget_finished_steps(&mut self) {
+    /// Keeps steps of back ends that are loading and of loads that were proposed recently.
+    fn remove_finished_steps(&mut self) {
         let now = self.now;
         let state = &self.state;
-        self.order_leases.forget_gone(state);
+        self.order_leases.forget_removed(state);
         self.rollouts.steps.retain(|name, step| {
             let record = state.instance(name);
             let loading = record.is_some_and(InstanceRecord::is_loading);
-            let proposed = matches!(step, Step::Noticed { at } if now.since(*at) < ORDER_AGAIN);
+            let proposed =
+                matches!(step, Step::Announced { at } if now.since(*at) < ORDER_RETRY_INTERVAL);
             loading || proposed
         });
     }
 
-    fn start_loads(&mut self, loads: &[Load]) {
+    fn start_weight_loads(&mut self, loads: &[WeightLoad]) {
         let mut by_pool: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         for record in self.state.instances() {
-            if !self.is_instance_heard(record.instance.as_str()) {
+            if !self.is_instance_responsive(record.instance.as_str()) {
                 continue;
             }
             let counts = by_pool.entry(record.pool.as_str().to_owned()).or_default();
@@ -199,63 +211,69 @@
             let Some(record) = self.state.instance(&load.instance) else {
                 continue;
             };
-            let Some((all, busy)) = by_pool.get_mut(record.pool.as_str()) else {
+            let Some((total, loading_count)) = by_pool.get_mut(record.pool.as_str()) else {
                 continue;
             };
-            let at_once = all.div_ceil(ROUNDS).max(LEAST_AT_ONCE);
+            let max_concurrent = total.div_ceil(LOAD_ROUNDS).max(MIN_CONCURRENT_LOADS);
             let proposed = self.rollouts.steps.contains_key(&load.instance)
-                || !self.is_free_of_others_orders(&load.instance);
-            if record.is_loading() || proposed || *busy >= at_once {
+                || !self.is_order_lease_free(&load.instance);
+            if record.is_loading() || proposed || *loading_count >= max_concurrent {
                 continue;
             }
-            *busy += 1;
-            let step = Step::Noticed { at: self.now };
+            *loading_count += 1;
+            let step = Step::Announced { at: self.now };
             self.rollouts.steps.insert(load.instance.clone(), step);
             self.propose_load(load, LoadPhase::Started);
         }
     }
 
-    /// A back end that stopped talking holds up nobody else's load.
-    pub(super) fn is_instance_heard(&self, instance: &str) -> bool {
-        let heard = self.heard.at(instance);
-        heard.is_some_and(|at| self.now.since(at) < INSTANCE_SILENCE)
+    /// Whether a back end has sent a heartbeat recently. An unresponsive one does not delay the
+    /// loads of others.
+    pub(super) fn is_instance_responsive(&self, instance: &str) -> bool {
+        let last_heartbeat = self.heartbeat_times.last(instance);
+        last_heartbeat.is_some_and(|at| self.now.since(at) < INSTANCE_TIMEOUT)
     }
 
-    fn drive_load(&mut self, load: Load) {
+    fn advance_weight_load(&mut self, load: WeightLoad) {
         let now = self.now;
-        let fresh = Step::Loading {
-            ordered: Timestamp::default(),
-            look: now,
+        let initial = Step::Loading {
+            ordered_at: Timestamp::default(),
+            next_query: now,
         };
         let step = *self
             .rollouts
             .steps
             .entry(load.instance.clone())
-            .or_insert(fresh);
+            .or_insert(initial);
         match step {
-            Step::Noticed { at }
-                if now.since(at) >= self.params.load_notice
+            Step::Announced { at }
+                if now.since(at) >= self.params.load_order_delay
                     && self.may_order()
-                    && self.is_free_of_others_orders(&load.instance) =>
+                    && self.is_order_lease_free(&load.instance) =>
             {
-                self.give_order(load);
+                self.send_order(load);
             }
-            Step::Ordered { at, .. } if now.since(at) >= ORDER_AGAIN => {
-                let look = Step::Loading {
-                    ordered: at,
-                    look: now,
+            Step::Ordered { at, .. } if now.since(at) >= ORDER_RETRY_INTERVAL => {
+                let step = Step::Loading {
+                    ordered_at: at,
+                    next_query: now,
                 };
-                self.rollouts.steps.insert(load.instance, look);
+                self.rollouts.steps.insert(load.instance, step);
+            }
+            Step::Loading {
+                ordered_at,
+                next_query,
+            } if next_query <= now => self.query_back_end(load, ordered_at),
+            Step::Queried { ordered_at, at } if now.since(at) >= ORDER_RETRY_INTERVAL => {
+                self.query_back_end(load, ordered_at)
             }
-            Step::Loading { ordered, look } if look <= now => self.ask(load, ordered),
-            Step::Asked { ordered, at } if now.since(at) >= ORDER_AGAIN => self.ask(load, ordered),
             _ => {}
         }
     }
 
-    fn ask(&mut self, load: Load, ordered: Timestamp) {
-        let step = Step::Asked {
-            ordered,
+    fn query_back_end(&mut self, load: WeightLoad, ordered_at: Timestamp) {
+        let step = Step::Queried {
+            ordered_at,
             at: self.now,
         };
         self.rollouts.steps.insert(load.instance.clone(), step);
@@ -265,7 +283,7 @@
         });
     }
 
-    fn give_order(&mut self, load: Load) {
+    fn send_order(&mut self, load: WeightLoad) {
         self.rollouts.next_order += 1;
         let id = OrderId(self.rollouts.next_order);
         let expected = self.rollouts.orders_taken.get(&load.instance);
@@ -288,7 +306,7 @@
         self.effects.push(Effect::Order(order));
     }
 
-    fn conclude(&mut self, name: &str, report: &Report, ordered: Timestamp) {
+    fn evaluate_report(&mut self, name: &str, report: &Report, ordered_at: Timestamp) {
         let Some(record) = self.state.instance(name).cloned() else {
             return;
         };
@@ -298,7 +316,7 @@
                 .iter()
                 .find(|(model, _)| model.as_str() == loaded.model.as_str())
                 .map_or(0, |(_, version)| *version);
-            let load = Load {
+            let load = WeightLoad {
                 instance: name.to_owned(),
                 address: record.address.as_str().to_owned(),
                 model: loaded.model.as_str().to_owned(),
@@ -308,8 +326,8 @@
             if loaded.loading != 0 && held > loaded.version {
                 self.rollouts.steps.remove(name);
                 self.propose_load(&load, LoadPhase::Finished);
-            } else if loaded.loading != 0 && self.now.since(ordered) >= ORDER_AGAIN {
-                let step = Step::Noticed {
+            } else if loaded.loading != 0 && self.now.since(ordered_at) >= ORDER_RETRY_INTERVAL {
+                let step = Step::Announced {
                     at: Timestamp::default(),
                 };
                 self.rollouts.steps.insert(name.to_owned(), step);
@@ -317,20 +335,21 @@
         }
     }
 
-    /// A load that a heartbeat told of has ended without a report.
+    /// Counts the order of a finished load as accepted: the end of a load that was learned from a
+    /// heartbeat comes without a report.
     pub(super) fn on_load_finished(&mut self, instance: &str) {
         let expected = self.rollouts.expected_at_order.remove(instance);
         if let Some(expected) = expected {
-            let taken = self
+            let accepted = self
                 .rollouts
                 .orders_taken
                 .entry(instance.to_owned())
                 .or_default();
-            *taken = (*taken).max(expected + 1);
+            *accepted = (*accepted).max(expected + 1);
         }
     }
 
-    fn propose_load(&mut self, load: &Load, phase: LoadPhase) {
+    fn propose_load(&mut self, load: &WeightLoad, phase: LoadPhase) {
         let command = Command::Load {
             instance: load.instance.as_str().into(),
             model: load.model.as_str().into(),
--- a/crates/gateway-core/src/control/routers.rs
+++ b/crates/gateway-core/src/control/routers.rs
@@ -1,4 +1,4 @@
-//! Routers that are linked to this machine: who they are, and what they are told.
+//! Routers that are connected to this machine: their status, and the messages they are sent.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -9,192 +9,196 @@
 use drumshore_wire::Text;
 
 use super::directory;
-use super::loads::{LoadReport, Totals};
-use super::reads::Waiting;
+use super::loads::{LoadReport, LoadTotals};
+use super::reads::Reader;
 use super::{ConnectionId, ControlCore, Effect};
 use crate::{Announcement, Following, Message, Position, RouterStatus};
 
-/// A router that asked nothing for so long is not handed to callers.
-const SILENCE: Duration = Duration::from_millis(4_000);
+/// A router that has sent no ping or status for this long is not listed for callers.
+const ROUTER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 #[derive(Debug)]
-struct Linked {
+struct ConnectedRouter {
     status: RouterStatus,
-    /// What it is told here.
+    /// The updates that it is sent on this connection.
     following: Following,
-    heard: Timestamp,
-    /// It has asked nothing for a while; it is known again when it asks.
-    is_silent: bool,
+    last_seen: Timestamp,
+    /// No ping or status came within [`ROUTER_TIMEOUT`]; the next one resets this.
+    is_unresponsive: bool,
     loads: LoadReport,
 }
 
-/// Linked routers.
+/// Connected routers.
 #[derive(Debug, Default)]
-pub(super) struct Routers(BTreeMap<ConnectionId, Linked>);
+pub(super) struct Routers(BTreeMap<ConnectionId, ConnectedRouter>);
 
-/// When routers were last notified that something changed.
+/// State of the notifications that the replicated state has changed.
 #[derive(Debug, Default)]
 pub(super) struct Announcements {
     last: Timestamp,
-    /// Something changed since; the notice follows at the next tick.
-    is_owed: bool,
+    /// The state has changed since; the announcement follows at the next tick.
+    is_pending: bool,
 }
 
 impl Routers {
     pub fn count(&self) -> u16 {
-        u16::try_from(self.heard().count()).unwrap_or(u16::MAX)
+        u16::try_from(self.responsive().count()).unwrap_or(u16::MAX)
     }
 
     pub fn connections(&self) -> Vec<ConnectionId> {
-        self.heard().map(|(connection, _)| connection).collect()
+        self.responsive()
+            .map(|(connection, _)| connection)
+            .collect()
     }
 
-    /// Routers that ask.
-    fn heard(&self) -> impl Iterator<Item = (ConnectionId, &Linked)> {
-        let heard = self.0.iter().filter(|(_, linked)| !linked.is_silent);
-        heard.map(|(connection, linked)| (*connection, linked))
+    /// Routers that are not unresponsive.
+    fn responsive(&self) -> impl Iterator<Item = (ConnectionId, &ConnectedRouter)> {
+        let responsive = self.0.iter().filter(|(_, router)| !router.is_unresponsive);
+        responsive.map(|(connection, router)| (*connection, router))
     }
 
     fn followers(&self) -> Vec<ConnectionId> {
         self.following(Following::has_changes)
     }
 
-    /// Routers that hear of loads, caches, silent and refusing back ends here.
-    pub fn receivers_of_news(&self) -> Vec<ConnectionId> {
+    /// Routers that are sent news of the leader on this connection: loads, caches, and unresponsive
+    /// and refusing back ends.
+    pub fn news_receivers(&self) -> Vec<ConnectionId> {
         self.following(Following::has_news)
     }
 
     fn following(&self, is_wanted: impl Fn(Following) -> bool) -> Vec<ConnectionId> {
         let wanted = self
-            .heard()
-            .filter(|(_, linked)| is_wanted(linked.following));
+            .responsive()
+            .filter(|(_, router)| is_wanted(router.following));
         wanted.map(|(connection, _)| connection).collect()
     }
 
-    /// Prompt tokens that all routers together have waiting, by [`crate::LoadEntry::key_of`] a
-    /// back end.
+    /// Prompt tokens that wait at each back end, summed over all routers, by
+    /// [`crate::LoadEntry::key_of`] a back end.
     pub fn pending_tokens(&self) -> BTreeMap<u32, u32> {
         self.total_loads().pending_tokens()
     }
 
-    fn total_loads(&self) -> Totals {
-        let mut totals = Totals::default();
-        for linked in self.0.values() {
-            totals.add(linked.loads.loads());
+    fn total_loads(&self) -> LoadTotals {
+        let mut totals = LoadTotals::default();
+        for router in self.0.values() {
+            totals.add(router.loads.loads());
         }
         totals
     }
 
-    pub fn note_silent(&mut self, now: Timestamp) {
-        for linked in self.0.values_mut() {
-            linked.is_silent = now.since(linked.heard) >= SILENCE;
+    pub fn update_unresponsive(&mut self, now: Timestamp) {
+        for router in self.0.values_mut() {
+            router.is_unresponsive = now.since(router.last_seen) >= ROUTER_TIMEOUT;
         }
     }
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Takes in a router's message.
+    /// Processes a message of a router.
     pub fn on_router(&mut self, now: Timestamp, connection: ConnectionId, message: Message) {
         self.now = now;
         match message {
             Message::Router(status) => self.on_status(connection, status),
             Message::Ping { sequence } => {
-                if let Some(linked) = self.routers.0.get_mut(&connection) {
-                    linked.heard = now;
-                    linked.is_silent = false;
+                if let Some(router) = self.routers.0.get_mut(&connection) {
+                    router.last_seen = now;
+                    router.is_unresponsive = false;
                 }
-                self.queue_read(Waiting::Router(connection, sequence));
+                self.queue_read_request(Reader::Router(connection, sequence));
             }
             Message::Loads(loads) => {
-                if let Some(linked) = self.routers.0.get_mut(&connection) {
-                    linked.loads = LoadReport::of(now, loads.items);
+                if let Some(router) = self.routers.0.get_mut(&connection) {
+                    router.loads = LoadReport::of(now, loads.items);
                 }
             }
             Message::Suspects(keys) => self.on_suspects(connection, &keys.items),
             Message::Refusing(keys) => self.on_refusing(connection, &keys.items),
             Message::Holders(entries) => self.on_holders(&entries.items),
-            Message::WorkReports(reports) => self.on_work_reports(&reports.items),
+            Message::WorkReports(reports) => self.on_fingerprint_reports(&reports.items),
             Message::Usage(entries) => self.on_usage(connection, &entries.items),
             Message::Follow(following) => self.on_follow(connection, following),
             Message::Fetch { since, begun } => {
                 let position = Position { held: since, begun };
-                self.fetches.ask(connection, position);
+                self.fetches.request(connection, position);
             }
             _ => {}
         }
     }
 
-    /// A router's link is new, or it has something else to say of itself.
+    /// Registers a router's new connection, or updates its status.
     fn on_status(&mut self, connection: ConnectionId, status: RouterStatus) {
         let now = self.now;
-        if let Some(linked) = self.routers.0.get_mut(&connection) {
-            linked.status = status;
-            linked.heard = now;
-            linked.is_silent = false;
+        if let Some(router) = self.routers.0.get_mut(&connection) {
+            router.status = status;
+            router.last_seen = now;
+            router.is_unresponsive = false;
             return;
         }
-        let linked = Linked {
+        let router = ConnectedRouter {
             status,
             following: Following::Nothing,
-            heard: now,
-            is_silent: false,
+            last_seen: now,
+            is_unresponsive: false,
             loads: LoadReport::new(now),
         };
-        self.routers.0.insert(connection, linked);
+        self.routers.0.insert(connection, router);
         let zone = Text::new(self.params.zone.as_str());
         let message = Message::ControlZone(zone);
         self.effects.push(Effect::ToRouter(connection, message));
-        self.tell_stored(connection);
-        self.tell_suspicions(connection);
+        self.send_store_contents(connection);
+        self.send_suspicions(connection);
     }
 
     fn on_follow(&mut self, connection: ConnectionId, following: Following) {
-        if let Some(linked) = self.routers.0.get_mut(&connection) {
-            linked.following = following;
+        if let Some(router) = self.routers.0.get_mut(&connection) {
+            router.following = following;
         }
         if following.has_changes() {
             self.announce_to(vec![connection]);
         }
     }
 
-    /// A router's link has ended.
+    /// Removes a router whose connection was closed.
     pub fn on_router_gone(&mut self, connection: ConnectionId) {
         self.routers.0.remove(&connection);
         self.fetches.forget(connection);
         self.forget_usage_of(connection);
     }
 
-    /// The addresses of routers that a caller in this zone is to use.
+    /// Addresses of the routers that a caller in a zone should use.
     pub fn directory(&self, zone: &str, caller: IpAddr) -> Vec<String> {
-        let heard = self.routers.heard();
-        directory::for_caller(heard.map(|(_, linked)| &linked.status), zone, caller)
+        let responsive = self.routers.responsive();
+        directory::for_caller(responsive.map(|(_, router)| &router.status), zone, caller)
     }
 
-    /// Tells routers how busy all of them together keep the back ends, where that has changed.
-    pub(super) fn share_loads(&mut self) {
+    /// Sends routers the changes of the total load of back ends.
+    pub(super) fn broadcast_loads(&mut self) {
         let now = self.now;
-        for linked in self.routers.0.values_mut() {
-            linked.loads.expire(now);
+        for router in self.routers.0.values_mut() {
+            router.loads.expire(now);
         }
         let totals = self.routers.total_loads();
-        if let Some(message) = self.load_news.next_message(now, &totals) {
-            self.tell_all(message, None);
+        if let Some(message) = self.load_broadcast.next_message(now, &totals) {
+            self.broadcast_news(message, None);
         }
     }
 
-    /// Notifies routers that something changed. Thousands of back ends that register together change
-    /// the state with each batch of the log; routers would ask for each of these changes apart.
+    /// Notifies routers that the state has changed, at most once per tick. Thousands of back ends
+    /// that register together change the state with each batch of the log, and routers would
+    /// request each change separately.
     pub(super) fn announce(&mut self) {
         let is_soon = self.now.since(self.announcements.last) < self.params.tick;
-        self.announcements.is_owed = is_soon;
+        self.announcements.is_pending = is_soon;
         if !is_soon {
             self.announce_now();
         }
     }
 
-    /// Sends an announcement that was put off.
-    pub(super) fn announce_if_owed(&mut self) {
-        if std::mem::take(&mut self.announcements.is_owed) {
+    /// Sends a delayed announcement.
+    pub(super) fn announce_if_pending(&mut self) {
+        if std::mem::take(&mut self.announcements.is_pending) {
             self.announce_now();
         }
     }
--- a/crates/gateway-core/src/control/stored.rs
+++ b/crates/gateway-core/src/control/stored.rs
@@ -1,5 +1,5 @@
-//! What each store of cached prompts holds, as its events and lists tell the leader, and what
-//! routers were told of it.
+//! Contents of the stores of cached prompts, as their events and lists report them to the leader,
+//! and the distribution of these contents to routers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,42 +10,42 @@
 use super::{ConnectionId, ControlCore, Effect};
 use crate::{Message, StoreId, StoredKey};
 
-/// News of a store.
+/// An update on the contents of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreNews {
-    /// All that it holds.
+    /// Complete contents.
     Holds(Vec<StoredKey>),
-    /// Parts that came or went.
+    /// Changes of the contents.
     Changed {
-        /// Parts that came.
+        /// Prompt parts that were added.
         added: Vec<StoredKey>,
-        /// Parts that went.
+        /// Prompt parts that were removed.
         removed: Vec<StoredKey>,
     },
-    /// It does not answer.
+    /// The store does not answer.
     Lost,
 }
 
-/// All stores as the leader knows them.
+/// Stores known to the leader.
 #[derive(Debug, Default)]
 pub(super) struct Stores(BTreeMap<StoreId, Stored>);
 
-/// One store.
+/// State of one store.
 #[derive(Debug, Default)]
 struct Stored {
-    /// `None` while it is not known, or does not answer.
+    /// `None` while the contents are unknown or the store does not answer.
     held: Option<BTreeSet<StoredKey>>,
     changed: bool,
-    /// This leader has told routers of it, or is about to.
-    was_told: bool,
+    /// This leader has sent the state of this store to routers, or will at the next tick.
+    was_announced: bool,
     added: Vec<StoredKey>,
     removed: Vec<StoredKey>,
-    /// Routers need to be told all.
+    /// Routers have to be sent the complete contents.
     reset: bool,
 }
 
 impl Stored {
-    fn whole(&self, store: StoreId) -> Message {
+    fn full_contents(&self, store: StoreId) -> Message {
         Message::Stored {
             store,
             known: u8::from(self.held.is_some()),
@@ -55,8 +55,8 @@
         }
     }
 
-    fn take_in(&mut self, news: StoreNews) {
-        match news {
+    fn apply_update(&mut self, update: StoreNews) {
+        match update {
             StoreNews::Holds(keys) => {
                 let keys: BTreeSet<StoredKey> = keys.into_iter().collect();
                 if self.held.as_ref() != Some(&keys) {
@@ -65,16 +65,17 @@
                 }
             }
             StoreNews::Lost => {
-                // Of one that this leader never heard routers may believe what another one told.
-                self.reset |= self.held.take().is_some() || !self.was_told;
+                // Routers may still have contents from an earlier leader if this one has never
+                // reached the store.
+                self.reset |= self.held.take().is_some() || !self.was_announced;
             }
-            StoreNews::Changed { added, removed } => self.change(added, removed),
+            StoreNews::Changed { added, removed } => self.apply_change(added, removed),
         }
         self.changed |= self.reset;
-        self.was_told |= self.changed;
+        self.was_announced |= self.changed;
     }
 
-    fn change(&mut self, added: Vec<StoredKey>, removed: Vec<StoredKey>) {
+    fn apply_change(&mut self, added: Vec<StoredKey>, removed: Vec<StoredKey>) {
         let Some(held) = &mut self.held else {
             return;
         };
@@ -91,7 +92,7 @@
         self.changed |= !self.added.is_empty() || !self.removed.is_empty();
     }
 
-    /// What came and went since the last time.
+    /// The message with the changes since the last call; `None` if there are none.
     fn take_changes(&mut self, store: StoreId) -> Option<Message> {
         if !std::mem::take(&mut self.changed) {
             return None;
@@ -99,7 +100,7 @@
         let added = std::mem::take(&mut self.added);
         let removed = std::mem::take(&mut self.removed);
         if std::mem::take(&mut self.reset) {
-            return Some(self.whole(store));
+            return Some(self.full_contents(store));
         }
         Some(Message::Stored {
             store,
@@ -112,18 +113,18 @@
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Takes in news of a store of cached prompts.
-    pub fn on_store_news(&mut self, now: Timestamp, store: StoreId, news: StoreNews) {
+    /// Processes an update on a store of cached prompts.
+    pub fn on_store_news(&mut self, now: Timestamp, store: StoreId, update: StoreNews) {
         self.now = now;
-        self.stores.0.entry(store).or_default().take_in(news);
+        self.stores.0.entry(store).or_default().apply_update(update);
     }
 
-    pub(super) fn forget_stores(&mut self) {
+    pub(super) fn reset_stores(&mut self) {
         self.stores = Stores::default();
     }
 
-    /// Tells all routers what came and went since the last time.
-    pub(super) fn share_stored(&mut self) {
+    /// Sends all routers the changes since the last call.
+    pub(super) fn broadcast_store_changes(&mut self) {
         let stores = self.stores.0.iter_mut();
         let messages: Vec<Message> = stores
             .filter_map(|(id, stored)| stored.take_changes(*id))
@@ -134,10 +135,11 @@
         }
     }
 
-    /// Tells a router that has just come all there is.
-    pub(super) fn tell_stored(&mut self, connection: ConnectionId) {
+    /// Sends a router that has just connected the contents of all stores.
+    pub(super) fn send_store_contents(&mut self, connection: ConnectionId) {
         let known = self.stores.0.iter().filter(|item| item.1.held.is_some());
-        let messages = known.map(|(id, stored)| Effect::ToRouter(connection, stored.whole(*id)));
+        let messages =
+            known.map(|(id, stored)| Effect::ToRouter(connection, stored.full_contents(*id)));
         self.effects.extend(messages);
     }
 }
--- a/crates/gateway-core/src/control/suspects.rs
+++ b/crates/gateway-core/src/control/suspects.rs
@@ -1,10 +1,11 @@
-//! Back ends that routers found silent, and how long the leader has all routers avoid them.
+//! Back ends that routers reported as unresponsive, and how long the leader has all routers avoid
+//! them.
 //!
-//! One router loses a request to learn that a back end is silent. When each of hundreds of routers
-//! tries it again after a pause, most requests that go there are such losses. So the leader notifies
-//! all routers, and repeats that until a heartbeat of the back end arrives. Neither sign suffices
-//! alone: a router may be cut off from a back end that serves all others, and so may the control
-//! machines.
+//! One router loses a request when it detects that a back end is unresponsive. If each of hundreds
+//! of routers retried the back end after a backoff, most requests sent to it would be lost that
+//! way. Therefore the leader notifies all routers and repeats that until a heartbeat of the back
+//! end arrives. Neither signal suffices alone: a router may be cut off from a back end that serves
+//! all others, and so may the control machines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,14 +17,13 @@
 use super::{ConnectionId, ControlCore};
 use crate::Message;
 
-/// Between two notifications of one suspect. Routers avoid it for twice as long, see their
-/// `SUSPECT_PAUSE`.
-const NOTIFY_AGAIN_AFTER: Duration = Duration::from_secs(1);
-/// A back end whose heartbeat came after the report is alive. Further reports about it are not
-/// passed on for so long: the router that sends them may be cut off from it.
-const DISBELIEVE_FOR: Duration = Duration::from_secs(10);
+/// Interval between two notifications of one suspect. Routers avoid it for twice as long.
+const RENOTIFY_INTERVAL: Duration = Duration::from_secs(1);
+/// A back end whose heartbeat arrived after the report is alive. Further reports about it are not
+/// forwarded for this long, because the router that sends them may be cut off from it.
+const DISTRUST_REPORTS_FOR: Duration = Duration::from_secs(10);
 
-/// A back end that a router found silent.
+/// A back end that a router reported as unresponsive.
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     reported_at: Timestamp,
@@ -32,20 +32,26 @@
 
 impl Suspect {
     /// Whether a further report adds nothing: routers are being notified already, or the back end's
-    /// heartbeats contradict it. One that was heard longer ago than `fresh` may have fallen silent since.
-    fn covers(&self, now: Timestamp, heard: Timestamp, fresh: Duration) -> bool {
-        let is_pending = heard <= self.reported_at;
-        is_pending || now.since(heard) < fresh
+    /// heartbeats contradict it. If the last heartbeat is older than `timeout`, the back end may
+    /// have become unresponsive since.
+    fn makes_redundant(
+        &self,
+        now: Timestamp,
+        last_heartbeat: Timestamp,
+        timeout: Duration,
+    ) -> bool {
+        let is_pending = last_heartbeat <= self.reported_at;
+        is_pending || now.since(last_heartbeat) < timeout
     }
 }
 
-/// Suspects, by [`crate::LoadEntry::key_of`].
+/// Suspects, by [`crate::LoadEntry::key_of`] a back end.
 #[derive(Debug, Default)]
 pub(super) struct Suspects(BTreeMap<u32, Suspect>);
 
 impl<D: Directory> ControlCore<D> {
-    /// A router found back ends silent. The leader notifies the other routers at once: each of them
-    /// would lose a request to learn it.
+    /// Processes a router's report of unresponsive back ends. The leader notifies the other routers
+    /// at once, as each of them would lose a request to find out.
     pub(super) fn on_suspects(&mut self, from: ConnectionId, keys: &[u32]) {
         if self.role() != Role::Leader {
             return;
@@ -55,12 +61,15 @@
             reported_at: now,
             notified_at: now,
         };
-        let fresh = self.params.two_heartbeats();
+        let timeout = self.params.heartbeat_timeout();
         let mut new = Vec::new();
         for key in keys {
-            let heard = self.heard.at_by_short(*key).unwrap_or_default();
+            let last_heartbeat = self
+                .heartbeat_times
+                .last_by_short_key(*key)
+                .unwrap_or_default();
             let known = self.suspects.0.get(key);
-            if !known.is_some_and(|known| known.covers(now, heard, fresh)) {
+            if !known.is_some_and(|known| known.makes_redundant(now, last_heartbeat, timeout)) {
                 self.suspects.0.insert(*key, suspect);
                 new.push(*key);
             }
@@ -68,22 +77,22 @@
         self.notify_of_suspects(&new, Some(from));
     }
 
-    /// Notifies all routers again of the suspects that sent no heartbeat since.
-    pub(super) fn notify_again_of_suspects(&mut self) {
+    /// Notifies all routers again of suspects without a heartbeat since the report.
+    pub(super) fn renotify_of_suspects(&mut self) {
         if self.suspects.0.is_empty() {
             return;
         }
         let now = self.now;
-        let heard = &self.heard;
+        let heartbeat_times = &self.heartbeat_times;
         let mut due_again = Vec::new();
         self.suspects.0.retain(|key, suspect| {
-            let Some(heard) = heard.at_by_short(*key) else {
+            let Some(last_heartbeat) = heartbeat_times.last_by_short_key(*key) else {
                 return false;
             };
-            if heard > suspect.reported_at {
-                return now.since(suspect.reported_at) < DISBELIEVE_FOR;
+            if last_heartbeat > suspect.reported_at {
+                return now.since(suspect.reported_at) < DISTRUST_REPORTS_FOR;
             }
-            if now.since(suspect.notified_at) >= NOTIFY_AGAIN_AFTER {
+            if now.since(suspect.notified_at) >= RENOTIFY_INTERVAL {
                 suspect.notified_at = now;
                 due_again.push(*key);
             }
@@ -97,6 +106,6 @@
             return;
         }
         let message = Message::Suspects(List::new(keys.to_vec()));
-        self.tell_all(message, except);
+        self.broadcast_news(message, except);
     }
 }
--- a/crates/gateway-core/src/control/load_timing.rs
+++ b/crates/gateway-core/src/control/weight_load_timing.rs
@@ -1,58 +1,59 @@
-//! When loads of weights begin.
+//! When weight loads of back ends start.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use drumshore_consensus::Directory;
 
-use super::pending_loads::Load;
-use super::rollout::ROUNDS;
+use super::pending_weight_loads::WeightLoad;
+use super::rollout::LOAD_ROUNDS;
 use super::ControlCore;
 use crate::LoadEntry;
 
-/// Prompt tokens that wait at each usable back end of a pool on the mean while it is too busy for
-/// loads that can wait.
+/// Mean number of waiting prompt tokens per usable back end of a pool above which the pool is too
+/// busy for loads that can be delayed.
 const BUSY_TOKENS: u32 = 4_000;
-/// About how long one load takes, with the notice before it.
+/// Approximate duration of one weight load, including the notification of routers before it.
 const LOAD_CYCLE: Duration = Duration::from_millis(1_050);
-/// Loads that have to be given again.
+/// Time reserved for loads whose order has to be repeated.
 const LOAD_SLACK: Duration = Duration::from_millis(700);
 
 impl<D: Directory> ControlCore<D> {
-    /// Loads start at once, for what begins on replaced weights is worth less. While the pool is
-    /// busy they start no sooner than they must: when those that are behind, so many at a time,
-    /// would just be done in time.
-    pub(super) fn is_time_to_load(&self, loads: &[Load]) -> bool {
-        let waiting: Vec<&Load> = loads
+    /// Whether weight loads may start. They normally start at once, because responses from outdated
+    /// weights are worth less. While the pool is busy they are delayed until the outdated back
+    /// ends, loaded in rounds, would just meet the deadline.
+    pub(super) fn may_start_loads(&self, loads: &[WeightLoad]) -> bool {
+        let outdated: Vec<&WeightLoad> = loads
             .iter()
             .filter(|load| load.version > load.held)
             .collect();
-        let oldest = waiting.iter().filter_map(|load| {
-            let unmet = self
+        let oldest = outdated.iter().filter_map(|load| {
+            let next_version = self
                 .state
                 .weights()
                 .find(|named| named.model.as_str() == load.model && named.version > load.held)?;
-            Some(self.weights_age(unmet.revision))
+            Some(self.weights_age(next_version.revision))
         });
         let Some(oldest) = oldest.max() else {
             return true;
         };
-        let rounds = u32::try_from(ROUNDS).unwrap_or(u32::MAX);
-        let share = waiting.len() as f64 / self.state.instances().count().max(1) as f64;
+        let rounds = u32::try_from(LOAD_ROUNDS).unwrap_or(u32::MAX);
+        let share = outdated.len() as f64 / self.state.instances().count().max(1) as f64;
         let needed = LOAD_CYCLE.mul_f64(f64::from(rounds) * share.min(1.0)) + LOAD_SLACK;
         oldest + needed >= self.params.load_within || !self.is_pool_busy(loads)
     }
 
-    /// True while the back ends that could be loaded have so much to read that the others could not
-    /// take over from those that load.
-    fn is_pool_busy(&self, loads: &[Load]) -> bool {
+    /// Whether so many prompt tokens wait at the back ends that those not loading could not take
+    /// over the traffic of those that load.
+    fn is_pool_busy(&self, loads: &[WeightLoad]) -> bool {
         let pools: BTreeSet<&str> = loads
             .iter()
             .filter_map(|load| self.state.instance(&load.instance))
             .map(|record| record.pool.as_str())
             .collect();
         let members = self.state.instances().filter(|record| {
-            pools.contains(record.pool.as_str()) && self.is_instance_heard(record.instance.as_str())
+            pools.contains(record.pool.as_str())
+                && self.is_instance_responsive(record.instance.as_str())
         });
         let pending_tokens = self.routers.pending_tokens();
         let (mut usable, mut pending) = (0, 0);
