--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -39,9 +39,9 @@
 
 pub use instances::Heartbeat;
 pub use members::{address_of, bootstrap_id};
-pub use order::{Order, OrderId, OrderOutcome, Report};
+pub use order::{BackEndReport, Order, OrderId, OrderOutcome};
 pub use params::ControlParams;
-pub use stored::StoreNews;
+pub use stored::StoreUpdate;
 
 use accounts::TenantAccounts;
 use fetches::Fetches;
@@ -98,18 +98,18 @@
         command: Command,
     },
     /// Log that another back end crashed while serving requests with a fingerprint.
-    WorkSuspected {
+    FingerprintSuspected {
         /// The request fingerprint.
-        work: WorkId,
+        fingerprint: WorkId,
         /// Distinct moments at which back ends crashed.
-        ends: u32,
+        crashes: u32,
     },
     /// Log that another machine sent a message for routers that must not be passed on.
     NewsRefused,
     /// Send an order to a back end; its outcome goes to [`ControlCore::on_order_outcome`].
     Order(Order),
     /// Request a report from a back end; it goes to [`ControlCore::on_report`].
-    Ask {
+    RequestReport {
         /// The incarnation that is to answer.
         instance: InstanceId,
         /// Where it listens, IP:PORT.
--- a/crates/gateway-core/src/control/order.rs
+++ b/crates/gateway-core/src/control/order.rs
@@ -47,7 +47,7 @@
 
 /// Report of a back end on its orders and weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct BackEndReport {
     /// Orders that the back end has accepted.
     pub orders_taken: u64,
     /// Whether it is carrying out an order.
--- a/crates/gateway-core/src/control/params.rs
+++ b/crates/gateway-core/src/control/params.rs
@@ -29,7 +29,7 @@
     /// Delay between notifying routers that a back end loads weights and sending it the order.
     pub load_order_delay: Duration,
     /// Time within which back ends must hold new weights after they were named.
-    pub load_within: Duration,
+    pub load_deadline: Duration,
     /// A voter that is unresponsive for this long is replaced by a learner.
     pub voter_timeout: Duration,
 }
@@ -62,7 +62,7 @@
             reply_timeout: Duration::from_millis(850),
             order_lease: Duration::from_millis(3_300),
             load_order_delay: Duration::from_millis(250),
-            load_within: Duration::from_secs(6),
+            load_deadline: Duration::from_secs(6),
             voter_timeout: Duration::from_secs(5),
         }
     }
--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -134,9 +134,9 @@
         suspected.update_unsent(fingerprint);
         let crashes = suspected.ledger.ends(fingerprint);
         if crashes >= ENDS_FOR_SUSPICION {
-            self.effects.push(Effect::WorkSuspected {
-                work: fingerprint,
-                ends: crashes,
+            self.effects.push(Effect::FingerprintSuspected {
+                fingerprint,
+                crashes,
             });
         }
         if self.state.is_quarantined(fingerprint) {
--- a/crates/gateway-core/src/control/rollout.rs
+++ b/crates/gateway-core/src/control/rollout.rs
@@ -10,7 +10,7 @@
 use drumshore_consensus::{Directory, Role};
 use drumshore_core::Timestamp;
 
-use super::order::{Order, OrderId, OrderOutcome, Report};
+use super::order::{BackEndReport, Order, OrderId, OrderOutcome};
 use super::pending_weight_loads::{pending_weight_loads, WeightLoad};
 use super::reads::Reader;
 use super::{ControlCore, Effect};
@@ -121,7 +121,12 @@
     }
 
     /// Processes a back end's report; `None` if the query failed.
-    pub fn on_report(&mut self, now: Timestamp, instance: &InstanceId, report: Option<&Report>) {
+    pub fn on_report(
+        &mut self,
+        now: Timestamp,
+        instance: &InstanceId,
+        report: Option<&BackEndReport>,
+    ) {
         self.now = now;
         let name = instance.as_str().to_owned();
         let Some(Step::Queried { ordered_at, .. }) = self.rollouts.steps.get(&name).copied() else {
@@ -277,7 +282,7 @@
             at: self.now,
         };
         self.rollouts.steps.insert(load.instance.clone(), step);
-        self.effects.push(Effect::Ask {
+        self.effects.push(Effect::RequestReport {
             instance: InstanceId::new(&load.instance),
             address: load.address,
         });
@@ -306,7 +311,7 @@
         self.effects.push(Effect::Order(order));
     }
 
-    fn evaluate_report(&mut self, name: &str, report: &Report, ordered_at: Timestamp) {
+    fn evaluate_report(&mut self, name: &str, report: &BackEndReport, ordered_at: Timestamp) {
         let Some(record) = self.state.instance(name).cloned() else {
             return;
         };
--- a/crates/gateway-core/src/control/stored.rs
+++ b/crates/gateway-core/src/control/stored.rs
@@ -12,9 +12,9 @@
 
 /// An update on the contents of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreNews {
+pub enum StoreUpdate {
     /// Complete contents.
-    Holds(Vec<StoredKey>),
+    Contents(Vec<StoredKey>),
     /// Changes of the contents.
     Changed {
         /// Prompt parts that were added.
@@ -23,7 +23,7 @@
         removed: Vec<StoredKey>,
     },
     /// The store does not answer.
-    Lost,
+    Unreachable,
 }
 
 /// Stores known to the leader.
@@ -55,21 +55,21 @@
         }
     }
 
-    fn apply_update(&mut self, update: StoreNews) {
+    fn apply_update(&mut self, update: StoreUpdate) {
         match update {
-            StoreNews::Holds(keys) => {
+            StoreUpdate::Contents(keys) => {
                 let keys: BTreeSet<StoredKey> = keys.into_iter().collect();
                 if self.held.as_ref() != Some(&keys) {
                     self.held = Some(keys);
                     self.reset = true;
                 }
             }
-            StoreNews::Lost => {
+            StoreUpdate::Unreachable => {
                 // Routers may still have contents from an earlier leader if this one has never
                 // reached the store.
                 self.reset |= self.held.take().is_some() || !self.was_announced;
             }
-            StoreNews::Changed { added, removed } => self.apply_change(added, removed),
+            StoreUpdate::Changed { added, removed } => self.apply_change(added, removed),
         }
         self.changed |= self.reset;
         self.was_announced |= self.changed;
@@ -114,7 +114,7 @@
 
 impl<D: Directory> ControlCore<D> {
     /// Processes an update on a store of cached prompts.
-    pub fn on_store_news(&mut self, now: Timestamp, store: StoreId, update: StoreNews) {
+    pub fn on_store_update(&mut self, now: Timestamp, store: StoreId, update: StoreUpdate) {
         self.now = now;
         self.stores.0.entry(store).or_default().apply_update(update);
     }
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -28,8 +28,8 @@
 
 pub use command::{Command, LoadPhase, Proposal, ProposalId};
 pub use control::{
-    address_of, bootstrap_id, ConnectionId, ControlCore, ControlParams, Effect, Heartbeat, Order,
-    OrderId, OrderOutcome, Reply, Report, StoreNews, Ticket,
+    address_of, bootstrap_id, BackEndReport, ConnectionId, ControlCore, ControlParams, Effect,
+    Heartbeat, Order, OrderId, OrderOutcome, Reply, StoreUpdate, Ticket,
 };
 pub use document::{
     CacheStore, Document, InvalidDocument, Limits, ModelPool, Pool, RequestKind, Route, Share,
--- a/crates/gateway-core/tests/cluster/mod.rs
+++ b/crates/gateway-core/tests/cluster/mod.rs
@@ -267,9 +267,9 @@
                 at: self.now,
                 order,
             }),
-            Effect::Ask { instance, .. } => self.asked.push((at, instance)),
+            Effect::RequestReport { instance, .. } => self.asked.push((at, instance)),
             Effect::NewsRefused => self.news_refused += 1,
-            Effect::Applied { .. } | Effect::WorkSuspected { .. } => {}
+            Effect::Applied { .. } | Effect::FingerprintSuspected { .. } => {}
         }
     }
 
--- a/crates/gateway-core/tests/control/rollout.rs
+++ b/crates/gateway-core/tests/control/rollout.rs
@@ -43,7 +43,7 @@
     core.on_order_outcome(now, &instance, id, OrderOutcome::Conflict);
     cluster.run(Duration::from_millis(200));
     assert!(cluster.asked.iter().any(|(_, asked)| *asked == instance));
-    let report = Report {
+    let report = BackEndReport {
         orders_taken: 3,
         busy: false,
         models: vec![(ModelName::new("model"), 1)],
@@ -60,7 +60,7 @@
 
 /// Back ends that were asked say that they took no order and hold the old weights.
 fn report_idle(cluster: &mut Cluster) {
-    let report = Report {
+    let report = BackEndReport {
         orders_taken: 0,
         busy: false,
         models: vec![(ModelName::new("model"), 1)],
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -256,11 +256,14 @@
                 }
             }
             Effect::Applied { position, command } => applied::log(position, &command),
-            Effect::WorkSuspected { work, ends } => {
+            Effect::FingerprintSuspected {
+                fingerprint,
+                crashes,
+            } => {
                 tracing::info!(
                     event = "work_suspected",
-                    work = format_args!("{work:#}"),
-                    ends,
+                    work = format_args!("{fingerprint:#}"),
+                    ends = crashes,
                     "control: another back end ended under work"
                 );
             }
@@ -272,7 +275,7 @@
                 );
             }
             Effect::Order(order) => back_ends::give_order(self, order),
-            Effect::Ask { instance, address } => back_ends::ask(self, instance, address),
+            Effect::RequestReport { instance, address } => back_ends::ask(self, instance, address),
         }
     }
 
--- a/crates/gateway/src/control/store.rs
+++ b/crates/gateway/src/control/store.rs
@@ -7,7 +7,7 @@
 
 use drumshore_consensus::Role;
 use drumshore_core::Timestamp;
-use drumshore_gateway_core::{InstanceId, StoreId, StoreNews, StoredKey};
+use drumshore_gateway_core::{InstanceId, StoreId, StoreUpdate, StoredKey};
 use hyper::StatusCode;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
@@ -45,7 +45,7 @@
             let keep = wanted.contains(address);
             if !keep {
                 follower.abort();
-                tell(&control, address, StoreNews::Lost);
+                tell(&control, address, StoreUpdate::Unreachable);
             }
             keep
         });
@@ -72,7 +72,7 @@
             tracing::info!(event = "store_found", %address, "control: a store answers");
         }
         if followed.is_none() {
-            tell(&control, &address, StoreNews::Lost);
+            tell(&control, &address, StoreUpdate::Unreachable);
             sleep(IDLE).await;
         }
         position = followed;
@@ -84,7 +84,7 @@
 async fn start(control: &Control, address: &str) -> Option<Position> {
     let events = ask_events(control, address, 0, Duration::ZERO).await?;
     let list = ask_list(control, address).await?;
-    tell(control, address, StoreNews::Holds(list));
+    tell(control, address, StoreUpdate::Contents(list));
     Some(Position {
         epoch: events.epoch,
         next: events.next,
@@ -107,7 +107,7 @@
         tell(
             control,
             address,
-            StoreNews::Changed {
+            StoreUpdate::Changed {
                 added: came.into_iter().map(|event| event.key).collect(),
                 removed: went.into_iter().map(|event| event.key).collect(),
             },
@@ -140,9 +140,9 @@
     (answer.status == StatusCode::OK).then_some(answer.body)
 }
 
-fn tell(control: &Control, address: &str, news: StoreNews) {
+fn tell(control: &Control, address: &str, news: StoreUpdate) {
     let store = StoreId::at(address);
-    control.with_core(|core, now| core.on_store_news(now, store, news));
+    control.with_core(|core, now| core.on_store_update(now, store, news));
 }
 
 impl Control {
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use drumshore_gateway_core::{
-    BackEndNotice, Document, Heartbeat, InstanceId, InvalidDocument, ModelName, Order, Prompt,
-    Report, StoredKey,
+    BackEndNotice, BackEndReport, Document, Heartbeat, InstanceId, InvalidDocument, ModelName,
+    Order, Prompt, StoredKey,
 };
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{HeaderMap, Method, StatusCode, Uri};
@@ -154,7 +154,7 @@
     fn report_call(&self) -> OutboundCall;
 
     /// Reads a back end's answer to the question.
-    fn report(&self, body: &[u8]) -> Result<Report, InvalidCall>;
+    fn report(&self, body: &[u8]) -> Result<BackEndReport, InvalidCall>;
 
     /// Asks a store what changed; it may wait so long until something does.
     fn store_events_call(&self, since: u64, wait: Duration) -> OutboundCall;
