--- a/crates/gateway-core/src/control/accounts.rs
+++ b/crates/gateway-core/src/control/accounts.rs
@@ -16,8 +16,8 @@
 use crate::limits::{Account, RecentUsage, TenantLimit};
 use crate::{AccountLevel, Message, TenantKey, TenantName, UsageEntry};
 
-/// Interval between updates to routers. A tenant can exceed its limit for the lag, which is this
-/// interval plus half the time that a router's report takes to arrive.
+/// Interval between updates to routers. This interval plus half the time that a router's report
+/// takes to arrive is the lag during which a tenant can exceed its limit.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum interval between updates to a router, even if there is no level to send: without updates
 /// a router assumes that the leader is unreachable and stops using the levels it received.
--- a/crates/gateway-core/src/control/directory.rs
+++ b/crates/gateway-core/src/control/directory.rs
@@ -39,7 +39,7 @@
     listed
 }
 
-/// Leaves out routers without a view while they are a minority. A router that starts before
+/// Leaves out routers without a view unless they are the majority. A router that starts before
 /// thousands of back ends needs a second or two to receive them, and its callers wait or are
 /// rejected. While most routers have no view, as after a restart of the whole fleet, the few with a
 /// view could not serve all callers.
--- a/crates/gateway-core/src/control/fetches.rs
+++ b/crates/gateway-core/src/control/fetches.rs
@@ -20,8 +20,8 @@
 /// at most this much for each link.
 const MAX_CHUNK_BYTES: usize = 64 << 10;
 /// Share of the machine's link that all routers together may use: less than half, so that the log,
-/// heartbeats of back ends and operators always have capacity. Of 1 Gbit/s it still equals the
-/// capacity of the links of forty routers.
+/// heartbeats of back ends and operators always have capacity. On a link of 1 Gbit/s it is still as
+/// much as the links of forty routers carry together.
 const LINK_SHARE: f64 = 0.4;
 /// Period for which unused allowance accumulates: one tick.
 const BURST_DURATION: Duration = Duration::from_millis(50);
--- a/crates/gateway-core/src/control/loads.rs
+++ b/crates/gateway-core/src/control/loads.rs
@@ -47,7 +47,7 @@
     full_list_at: Option<Timestamp>,
 }
 
-/// Sums of the loads of all routers, by [`LoadEntry::key_of`] a back end.
+/// Sums of the loads of all routers, by the back end's [`LoadEntry::key_of`].
 #[derive(Debug, Default)]
 pub(super) struct LoadTotals(BTreeMap<u32, Total>);
 
--- a/crates/gateway-core/src/control/members.rs
+++ b/crates/gateway-core/src/control/members.rs
@@ -23,7 +23,7 @@
 }
 
 /// Identifier of a founding replica. A later replica at the same address adds a random lower half,
-/// because an identifier must not be reused after its disk was lost.
+/// because an identifier must not be reused after the disk was lost.
 pub fn bootstrap_id(address: Ipv4Addr) -> ReplicaId {
     ReplicaId(u64::from(u32::from(address)) << ADDRESS_SHIFT)
 }
--- a/crates/gateway-core/src/control/order_lease.rs
+++ b/crates/gateway-core/src/control/order_lease.rs
@@ -3,7 +3,7 @@
 //! Two control machines must not send orders to the same back end within one lease. A leader sends
 //! an order only after the start of the load is committed, and a successor that a quorum has
 //! confirmed has applied all committed entries. Hence only back ends whose loads were started by
-//! other leaders may have orders of theirs; all others are free.
+//! other leaders may have received orders from them; all others are free.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/gateway-core/src/control/proposals.rs
+++ b/crates/gateway-core/src/control/proposals.rs
@@ -224,7 +224,7 @@
         self.send_to_leader(encoded);
     }
 
-    /// Completes a command of this machine that was applied.
+    /// Handles an applied command: replies to its callers if they wait at this machine.
     pub(super) fn complete_proposal(&mut self, id: ProposalId) {
         self.proposals.record_applied(self.now, id);
         if let Some(pending) = self.proposals.take(id) {
--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Removes the next fingerprints to send, those with the most crashes first.
+    /// Takes the next suspicions to send, those with the most crashes first, and marks them as sent.
     fn take_unsent(&mut self, limit: usize) -> Vec<WorkSuspicion> {
         let mut due: Vec<(u8, WorkId)> =
             self.unsent.iter().map(|item| (*item.1, *item.0)).collect();
@@ -154,7 +154,7 @@
         }
     }
 
-    /// A request that completed does not crash every back end that serves it.
+    /// Clears a fingerprint: a request that completed does not crash every back end that serves it.
     fn on_request_completed(&mut self, fingerprint: WorkId) {
         self.clear_suspicion(fingerprint);
         if self.state.is_quarantined(fingerprint) {
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Sends all suspicions to a router that has just connected.
+    /// Sends suspicions to a router that has just connected, those with the most crashes first.
     pub(super) fn send_suspicions(&mut self, connection: ConnectionId) {
         let sent = self.suspected_requests.sent.iter();
         let suspicions = sent.map(|(fingerprint, crashes)| WorkSuspicion {
--- a/crates/gateway-core/src/control/refusing.rs
+++ b/crates/gateway-core/src/control/refusing.rs
@@ -19,7 +19,7 @@
 /// longer than this.
 const RENOTIFY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time of the last notification of routers, by the [`crate::LoadEntry::key_of`] a back end.
+/// Time of the last notification of routers, by the back end's [`crate::LoadEntry::key_of`].
 #[derive(Debug, Default)]
 pub(super) struct Refusing(BTreeMap<u32, Timestamp>);
 
--- a/crates/gateway-core/src/control/routers.rs
+++ b/crates/gateway-core/src/control/routers.rs
@@ -14,7 +14,8 @@
 use super::{ConnectionId, ControlCore, Effect};
 use crate::{Announcement, Following, Message, Position, RouterStatus};
 
-/// A router that has sent no ping or status for this long is not listed for callers.
+/// A router that has sent no ping or status for this long is not listed for callers, and is sent no
+/// updates until it sends one.
 const ROUTER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 #[derive(Debug)]
@@ -74,8 +75,8 @@
         wanted.map(|(connection, _)| connection).collect()
     }
 
-    /// Prompt tokens that wait at each back end, summed over all routers, by
-    /// [`crate::LoadEntry::key_of`] a back end.
+    /// Prompt tokens that wait at each back end, summed over all routers, by the back end's
+    /// [`crate::LoadEntry::key_of`].
     pub fn pending_tokens(&self) -> BTreeMap<u32, u32> {
         self.total_loads().pending_tokens()
     }
--- a/crates/gateway-core/src/control/suspects.rs
+++ b/crates/gateway-core/src/control/suspects.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Suspects, by [`crate::LoadEntry::key_of`] a back end.
+/// Suspects, by the back end's [`crate::LoadEntry::key_of`].
 #[derive(Debug, Default)]
 pub(super) struct Suspects(BTreeMap<u32, Suspect>);
 
