--- a/crates/gateway-core/src/control/params.rs
+++ b/crates/gateway-core/src/control/params.rs
@@ -15,7 +15,7 @@
     pub heartbeat: Duration,
     /// Parameters of the replicated log.
     pub consensus: Params,
-    /// Interval at which [`ControlCore::on_tick`] is called.
+    /// Interval at which [`super::ControlCore::on_tick`] is called.
     pub tick: Duration,
     /// Minimum number of applied entries between two snapshots.
     pub snapshot_entries: u64,
