--- a/crates/gateway-core/src/router/accounts.rs
+++ b/crates/gateway-core/src/router/accounts.rs
@@ -38,14 +38,14 @@
     /// Age of the last levels received, or of the first configuration before them.
     pub age: Option<Duration>,
     /// True when that is too old, so that this router spends its own part of the limit.
-    pub by_own_part: bool,
+    pub by_own_share: bool,
 }
 
 #[derive(Debug)]
 struct TenantAccount {
     /// Over all routers: the last level received, less what this router has charged since.
     replica: Account,
-    own_part: OwnPart,
+    own_share: OwnPart,
     /// Much of the limit was left when levels came last. What flows in afterwards does not count: others use it.
     was_ample: bool,
     /// Not reported to the leader yet; negative when more was paid back than charged.
@@ -84,7 +84,7 @@
     pub fn set_routers(&mut self, now: Timestamp, routers: u16) {
         self.routers = routers;
         for account in self.accounts.values_mut() {
-            account.own_part.set_routers(now, routers);
+            account.own_share.set_routers(now, routers);
         }
     }
 
@@ -102,10 +102,10 @@
             return Ok(None);
         };
         let age = self.known_at.map(|at| now.since(at));
-        let by_own_part = account.is_unknown(now, self.known_at);
+        let by_own_share = account.is_unknown(now, self.known_at);
         let cost = account.replica.limit().cost(declared_tokens);
-        let (bucket, is_admitted) = if by_own_part {
-            let part = &account.own_part;
+        let (bucket, is_admitted) = if by_own_share {
+            let part = &account.own_share;
             (part.account(), part.admits(now, cost, draw))
         } else {
             (&account.replica, account.replica.admits(now))
@@ -117,7 +117,7 @@
                 level: bucket.level(now),
                 wait: bucket.wait_for(now, cost),
                 age,
-                by_own_part,
+                by_own_share,
             });
         }
         account.charge(now, i64::from(cost));
@@ -145,11 +145,11 @@
             if let Some(account) = self.accounts.get_mut(&received.tenant) {
                 let level = f64::from(received.level) - account.unreported as f64;
                 account.replica.set_level(now, level);
-                account.own_part.set_share(now, received.share());
+                account.own_share.set_share(now, received.share());
             }
         }
         for account in self.accounts.values_mut() {
-            account.own_part.set_share_if_unknown(now);
+            account.own_share.set_share_if_unknown(now);
             account.was_ample = account.is_ample(now);
         }
     }
@@ -175,7 +175,7 @@
         Self {
             was_ample: replica.level(now) >= limit.burst * AMPLE_PART,
             replica,
-            own_part: OwnPart::new(now, limit, routers),
+            own_share: OwnPart::new(now, limit, routers),
             unreported: 0,
         }
     }
@@ -183,7 +183,7 @@
     fn set_limit(&mut self, now: Timestamp, limit: TenantLimit) {
         if *self.replica.limit() != limit {
             self.replica.set_limit(now, limit);
-            self.own_part.set_limit(now, limit);
+            self.own_share.set_limit(now, limit);
         }
     }
 
@@ -206,7 +206,7 @@
 
     fn charge(&mut self, now: Timestamp, amount: i64) {
         self.replica.charge(now, amount as f64);
-        self.own_part.charge(now, amount as f64);
+        self.own_share.charge(now, amount as f64);
         self.unreported += amount;
     }
 }
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -25,7 +25,7 @@
 mod split;
 mod stores;
 mod summary;
-mod suspected_work;
+mod suspected_fingerprints;
 mod view;
 
 use std::rc::Rc;
@@ -57,13 +57,13 @@
 use budget::RetryBudget;
 use endpoints::Endpoints;
 use holders::Holders;
-use notices::{Hearing, RoomUnderLimits};
+use notices::{NoticeContext, RetrySchedule};
 use overload::PoolLoads;
 use prompt_mix::PromptMix;
 use router_count::RouterCount;
 use split::Splitter;
 use stores::Stores;
-use suspected_work::SuspectedWork;
+use suspected_fingerprints::SuspectedFingerprints;
 use view::View;
 
 /// Bounds of a router.
@@ -106,12 +106,12 @@
     first_draw: u64,
     /// Routers that share limits, retries and connections.
     router_count: RouterCount,
-    room_under_limits: RoomUnderLimits,
+    retry_schedule: RetrySchedule,
     stores: Stores,
     holders: Holders,
     suspects: Vec<u32>,
     refusing: Vec<u32>,
-    suspected_work: SuspectedWork,
+    suspected_fingerprints: SuspectedFingerprints,
 }
 
 impl RouterCore {
@@ -129,12 +129,12 @@
             first_draw: xxh3_64(&seed.to_le_bytes()),
             params,
             router_count: RouterCount::default(),
-            room_under_limits: RoomUnderLimits::default(),
+            retry_schedule: RetrySchedule::default(),
             stores: Stores::default(),
             holders: Holders::default(),
             suspects: Vec::new(),
             refusing: Vec::new(),
-            suspected_work: SuspectedWork::default(),
+            suspected_fingerprints: SuspectedFingerprints::default(),
         }
     }
 
@@ -180,7 +180,7 @@
         if let Some(document) = self.view.document().filter(|_| has_configuration) {
             self.tenant_accounts.set_limits(now, document);
         }
-        self.suspected_work.apply(now, &changes);
+        self.suspected_fingerprints.apply(now, &changes);
         self.update_endpoints(&changes);
         Ok(())
     }
@@ -252,7 +252,7 @@
         let endpoint = self.endpoints.get(instance);
         endpoint.is_some_and(|endpoint| {
             let is_ready = endpoint.record.lifecycle == Lifecycle::Ready;
-            is_ready && !endpoint.notices.say_it_leaves(now)
+            is_ready && !endpoint.notices.announced_leaving(now)
         })
     }
 
@@ -289,7 +289,7 @@
         prompt: Option<&Prompt>,
         earlier: EarlierAttempts<'_>,
     ) -> Result<Choice, ChoiceError> {
-        self.judge_work(now, &earlier)?;
+        self.check_fingerprint(now, &earlier)?;
         let is_retry = earlier.arrived > 0;
         if earlier.tried.is_empty() {
             self.budget.on_request(now, &admission.pool);
@@ -380,13 +380,13 @@
         notice: BackEndNotice,
         asked: Timestamp,
     ) -> NoticeChange {
-        let hearing = Hearing {
+        let context = NoticeContext {
             now,
-            asked,
+            request_sent_at: asked,
             routers: self.router_count.get(),
             seed: self.random.random(),
         };
-        self.endpoints.on_notice(instance, notice, hearing)
+        self.endpoints.on_notice(instance, notice, context)
     }
 
     /// Requests a second that a back end takes from all routers together, when it has named a limit.
@@ -410,7 +410,7 @@
         outcome: Outcome,
     ) -> bool {
         if outcome == Outcome::Answered {
-            self.note_stay(instance, now.since(begun));
+            self.record_service_time(instance, now.since(begun));
         }
         let fell_silent = self.endpoints.finished(now, instance, begun, outcome);
         if fell_silent {
--- a/crates/gateway-core/src/router/notices_tests.rs
+++ b/crates/gateway-core/src/router/notices_tests.rs
@@ -25,10 +25,10 @@
     }
 }
 
-fn hearing(now: Timestamp) -> Hearing {
-    Hearing {
+fn context(now: Timestamp) -> NoticeContext {
+    NoticeContext {
         now,
-        asked: now,
+        request_sent_at: now,
         routers: 1,
         seed: 1,
     }
@@ -317,10 +317,10 @@
 
 #[test]
 fn what_is_kept_of_those_that_are_gone_is_bounded() {
-    let mut absent = NoticesOfAbsent::default();
+    let mut absent = AbsentNotices::default();
     for number in 0..3 * MOST_ABSENT as u64 {
-        let mut notices = HeldNotices::default();
-        notices.take_in(leaving(), hearing(at(number)), 0);
+        let mut notices = NoticeState::default();
+        notices.apply(leaving(), context(at(number)), 0);
         absent.keep(id(&format!("app-{number}")), notices);
     }
     assert_eq!(absent.0.len(), MOST_ABSENT);
@@ -445,20 +445,20 @@
 /// A pause within a limit, and the window after it: what lasts longer holds.
 #[test]
 fn a_pause_a_limit_and_leaving_hold_together() {
-    let mut notices = HeldNotices::default();
+    let mut notices = NoticeState::default();
     let all = BackEndNotice {
         retry_after: Some(PAUSE),
         is_leaving: true,
         limit: RequestRate::per_second(1.0),
     };
-    notices.take_in(all, hearing(at(10)), 3);
+    notices.apply(all, context(at(10)), 3);
     assert_eq!(notices.permission(at(20), 0), Permission::Never);
     let paused = BackEndNotice {
         is_leaving: false,
         ..all
     };
-    let mut notices = HeldNotices::default();
-    notices.take_in(paused, hearing(at(10)), 3);
+    let mut notices = NoticeState::default();
+    notices.apply(paused, context(at(10)), 3);
     assert_eq!(
         notices.permission(at(1_010), 0),
         Permission::In(Duration::from_secs(2))
--- a/crates/gateway-core/src/router/overload.rs
+++ b/crates/gateway-core/src/router/overload.rs
@@ -193,7 +193,7 @@
     }
 
     /// A request that was answered has left its back end after so long.
-    pub(super) fn note_stay(&mut self, instance: &InstanceId, stay: Duration) {
+    pub(super) fn record_service_time(&mut self, instance: &InstanceId, stay: Duration) {
         if let Some(endpoint) = self.endpoints.get(instance) {
             let pool = PoolName::new(endpoint.record.pool.as_str());
             self.pool_loads.on_answered(&pool, stay);
--- a/crates/gateway-core/src/router/suspected_work.rs
+++ b/crates/gateway-core/src/router/suspected_fingerprints.rs
@@ -42,7 +42,7 @@
 
 /// What a router knows of work that ends back ends.
 #[derive(Debug, Default)]
-pub(super) struct SuspectedWork {
+pub(super) struct SuspectedFingerprints {
     own: EndLedger,
     completions: Completions,
     /// Ends over all routers, as control machines told.
@@ -56,7 +56,7 @@
     dropped_reports: u64,
 }
 
-impl SuspectedWork {
+impl SuspectedFingerprints {
     /// Moments at which back ends ended under the work, as far as this router knows.
     fn ends(&self, work: WorkId) -> u32 {
         let told = self.told.get(&work).copied().unwrap_or_default();
@@ -123,13 +123,13 @@
 
 impl RouterCore {
     /// Moments at which back ends ended under the work, as far as this router knows.
-    pub fn ends_under(&self, work: WorkId) -> u32 {
-        self.suspected_work.ends(work)
+    pub fn crash_count(&self, work: WorkId) -> u32 {
+        self.suspected_fingerprints.ends(work)
     }
 
     /// Whether work may run now. A call does not send suspected work on: its caller may come back, which
     /// spreads further runs in time and leaves room for what other routers saw.
-    pub(super) fn judge_work(
+    pub(super) fn check_fingerprint(
         &mut self,
         now: Timestamp,
         earlier: &EarlierAttempts<'_>,
@@ -137,14 +137,14 @@
         let Some(work) = earlier.work else {
             return Ok(());
         };
-        if self.suspected_work.is_quarantined(work) {
+        if self.suspected_fingerprints.is_quarantined(work) {
             let is_first = earlier.tried.is_empty();
-            if is_first && self.suspected_work.take_permit(now, work) {
+            if is_first && self.suspected_fingerprints.take_permit(now, work) {
                 return Ok(());
             }
             return Err(ChoiceError::Quarantined);
         }
-        let ends = self.suspected_work.ends(work);
+        let ends = self.suspected_fingerprints.ends(work);
         let ends = ends.max(earlier.ends_before_call + earlier.broken);
         if earlier.broken > 0 && ends >= ENDS_FOR_SUSPICION {
             return Err(ChoiceError::Suspected);
@@ -155,21 +155,21 @@
     /// Work under which so many back ends ended that the next one is to have little to lose.
     pub(super) fn is_suspected(&self, work: Option<WorkId>) -> bool {
         work.is_some_and(|work| {
-            let suspected = &self.suspected_work;
+            let suspected = &self.suspected_fingerprints;
             suspected.is_quarantined(work) || suspected.ends(work) >= ENDS_FOR_SUSPICION
         })
     }
 
     /// The leader permits one run of quarantined work here.
     pub fn on_trial_permitted(&mut self, now: Timestamp, work: WorkId) {
-        let permits = &mut self.suspected_work.permits;
+        let permits = &mut self.suspected_fingerprints.permits;
         permits.retain(|_, at| now.since(*at) < PERMIT_HOLDS_FOR);
         permits.insert(work, now);
     }
 
     /// A back end ended while it had these works in hand, each since a time. Returns those of which that
     /// was not known, with the moments at which back ends ended under each.
-    pub fn on_back_end_ended(
+    pub fn on_back_end_crashed(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
@@ -178,7 +178,7 @@
         let back_end = LoadEntry::key_of(instance.as_str());
         self.endpoints.on_ended(now, instance);
         self.suspect(back_end);
-        let suspected = &mut self.suspected_work;
+        let suspected = &mut self.suspected_fingerprints;
         let works: BTreeMap<WorkId, Timestamp> = works.iter().copied().collect();
         let mut new = Vec::new();
         for (work, begun) in works {
@@ -201,8 +201,8 @@
     }
 
     /// Work ran to its end, so it does not end whatever runs it. True when something spoke against it.
-    pub fn on_work_completed(&mut self, now: Timestamp, work: WorkId) -> bool {
-        let suspected = &mut self.suspected_work;
+    pub fn on_fingerprint_completed(&mut self, now: Timestamp, work: WorkId) -> bool {
+        let suspected = &mut self.suspected_fingerprints;
         suspected.completions.note(now, work);
         let was_suspected = suspected.forget(work) || suspected.quarantined.contains(&work);
         if was_suspected {
@@ -213,8 +213,8 @@
 
     /// Takes in what a control machine added up. Reports only add up, so the most that any of them says
     /// counts, until one says that nothing is left, or the work has just run well here.
-    pub fn on_work_suspicions(&mut self, now: Timestamp, suspicions: &[WorkSuspicion]) {
-        let suspected = &mut self.suspected_work;
+    pub fn on_fingerprint_suspicions(&mut self, now: Timestamp, suspicions: &[WorkSuspicion]) {
+        let suspected = &mut self.suspected_fingerprints;
         for WorkSuspicion { work, ends } in suspicions {
             if *ends == 0 {
                 suspected.forget(*work);
@@ -228,8 +228,8 @@
     }
 
     /// What this router saw of work since `cursor`, which moves on. A new link begins at 0.
-    pub fn work_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<WorkReport> {
-        let suspected = &self.suspected_work;
+    pub fn fingerprint_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<WorkReport> {
+        let suspected = &self.suspected_fingerprints;
         let skipped = cursor.saturating_sub(suspected.dropped_reports) as usize;
         *cursor = suspected.dropped_reports + suspected.reports.len() as u64;
         let fresh = suspected.reports.iter().skip(skipped);
--- a/crates/gateway-core/src/router/tests/mod.rs
+++ b/crates/gateway-core/src/router/tests/mod.rs
@@ -4,7 +4,7 @@
 mod caches;
 mod failures;
 mod placement;
-mod suspected_work;
+mod suspected_fingerprints;
 
 use std::time::Duration;
 
--- a/crates/gateway-core/tests/limits.rs
+++ b/crates/gateway-core/tests/limits.rs
@@ -267,7 +267,7 @@
                 self.exact_level -= f64::from(tokens);
             }
             Err(Refusal::OverLimit(over)) => {
-                assert!(over.by_own_part || over.level <= 0.0);
+                assert!(over.by_own_share || over.level <= 0.0);
                 self.refused += 1;
                 self.refused_below_limit += u32::from(self.exact_level >= f64::from(tokens));
             }
--- a/crates/gateway/src/router/back_end_ends.rs
+++ b/crates/gateway/src/router/back_end_ends.rs
@@ -125,7 +125,7 @@
     let works: Vec<(WorkId, Timestamp)> = runs.iter().filter_map(with_work).collect();
     let now = router.clock.now();
     let mut core = router.core.borrow_mut();
-    for (work, ends) in core.on_back_end_ended(now, instance, &works) {
+    for (work, ends) in core.on_back_end_crashed(now, instance, &works) {
         tracing::info!(event = "work_suspected", %work, ends, %instance, by = "this router",
             "router: a back end ended under work");
     }
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -189,7 +189,7 @@
     };
     let work = identify(router, &parts, &admission, &body);
     let core = router.core.borrow();
-    let ends_before_call = work.map_or(0, |work| core.ends_under(work));
+    let ends_before_call = work.map_or(0, |work| core.crash_count(work));
     Ok(Call {
         id,
         work,
@@ -254,7 +254,7 @@
     let now = router.clock.now();
     let prompt = call.prompt.as_ref();
     let mut core = router.core.borrow_mut();
-    let error = core.backoff_of_all(now, &call.admission, prompt);
+    let error = core.pool_backoff(now, &call.admission, prompt);
     drop(core);
     refusal::give_up(router, &call, &attempts.tried, worst, error)
 }
--- a/crates/gateway/src/router/refusal.rs
+++ b/crates/gateway/src/router/refusal.rs
@@ -164,7 +164,7 @@
     metrics.count_limit_units(over.tenant.as_str(), "refused", over.cost);
     tracing::info!(event = "over_limit", %id, tenant = %over.tenant, cost = over.cost, level = over.level as i64,
         wait_ms = over.wait.as_millis() as u64, age_ms = over.age.map(|age| age.as_millis() as u64),
-        by_own_part = over.by_own_part, "router: over the tenant's limit");
+        by_own_part = over.by_own_share, "router: over the tenant's limit");
 }
 
 fn respond(given_up: GivenUp) -> Response<AnswerBody> {
--- a/crates/gateway/src/router/relay.rs
+++ b/crates/gateway/src/router/relay.rs
@@ -75,7 +75,11 @@
         let Some(work) = self.run.work else {
             return;
         };
-        let was_suspected = self.router.core.borrow_mut().on_work_completed(now, work);
+        let was_suspected = self
+            .router
+            .core
+            .borrow_mut()
+            .on_fingerprint_completed(now, work);
         if was_suspected {
             tracing::info!(event = "work_cleared", id = %self.run.id, %work,
                 instance = %self.choice.instance, "router: suspected work ran to its end");
