--- a/crates/gateway-core/src/router/overload.rs
+++ b/crates/gateway-core/src/router/overload.rs
@@ -1,10 +1,10 @@
-//! What a pool that is given more work than it can serve in time refuses.
+//! Overload control: refuses a share of the requests of a pool that gets more load than it can serve in time.
 //!
-//! Streams last longer the more of them a back end runs and the more prompts it reads beside them, so
-//! a pool whose slots are all taken serves fewer requests a second than one with room, and a queue
-//! that has formed stays although the load that caused it has gone. A router therefore refuses a
-//! part of the work while most slots of the pool are taken, the least urgent first, and tells callers
-//! when those streams will have ended.
+//! Streams last longer the more of them a back end runs and the more prompts it reads at the same time. A pool
+//! with all slots occupied therefore serves fewer requests per second than one with free slots, and a queue
+//! persists after the load that caused it has gone. While most slots of a pool are occupied, a router refuses
+//! a share of the requests, the least urgent first, and tells the callers to retry when the running streams
+//! should have ended.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -15,32 +15,32 @@
 use super::{Admission, ChoiceError, Overload, Prompt, RouterCore};
 use crate::{InstanceId, Pool, PoolName};
 
-/// Refusing begins when this part of the pool's slots is taken. Of the values tried, see
+/// Utilization of the pool's slots above which the proportional term refuses requests. See
 /// docs/design/overload.md.
-const REFUSE_FROM: f64 = 0.75;
-/// Work that is refused at once, for each part of the slots taken beyond that. Of the values tried.
-const REFUSED_PER_TAKEN: f64 = 0.7;
-/// While more than this part of the slots is taken, more and more work is refused; while less is,
-/// less and less.
-const TAKEN_TARGET: f64 = 0.95;
-/// How fast: work that is refused more after a second, for each part of the slots beyond the target.
-const REFUSED_PER_TAKEN_SECOND: f64 = 1.0;
-/// No step of that counts for longer than this: a router that had no request meanwhile does not know
-/// what was taken.
-const LONGEST_STEP: Duration = Duration::from_millis(250);
-/// Of the requests of one urgency, at most this part is refused while more urgent ones are left: some
-/// of each are always served.
-const MOST_REFUSED: f64 = 0.7;
-/// Of all requests, at most this part is refused.
-const MOST_REFUSED_OF_ALL: f64 = 0.95;
-/// The weight of the newest request in the running means.
-const NEWEST: f64 = 0.005;
-/// How long a request stays at its back end, before one has ended.
-const FIRST_STAY: Duration = Duration::from_millis(800);
-/// Callers are spread over this part of a stay before and after it.
-const SPREAD: f64 = 0.5;
-
-/// How urgent a request is, the most urgent first: a tenant's priority goes before the route's.
+const REFUSAL_START_UTILIZATION: f64 = 0.75;
+/// Fraction of the load that the proportional term refuses, per unit of utilization above
+/// [`REFUSAL_START_UTILIZATION`].
+const PROPORTIONAL_GAIN: f64 = 0.7;
+/// Utilization that the integral term steers towards: the term grows above it and shrinks below it.
+const TARGET_UTILIZATION: f64 = 0.95;
+/// Change of the integral term per second, per unit of utilization above [`TARGET_UTILIZATION`].
+const INTEGRAL_GAIN_PER_SECOND: f64 = 1.0;
+/// Longest time that one step of the integral term covers. The utilization is known only when a request
+/// arrives, so an idle router does not know what it was in between.
+const MAX_INTEGRATION_STEP: Duration = Duration::from_millis(250);
+/// Largest fraction of the requests of one urgency that is refused before more urgent ones are refused too.
+/// Some requests of each urgency are thus always served.
+const MAX_REFUSED_OF_URGENCY: f64 = 0.7;
+/// Largest fraction of all requests that is refused.
+const MAX_REFUSED_OF_ALL: f64 = 0.95;
+/// Smallest weight of a new sample in the running means. The first samples weigh more, as in a plain mean.
+const MIN_SAMPLE_WEIGHT: f64 = 0.005;
+/// Service time assumed until the first request of a pool has been answered.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(800);
+/// Retry times of refused callers are spread by this fraction of the mean service time, to either side of it.
+const RETRY_JITTER: f64 = 0.5;
+
+/// Urgency of a request, the most urgent first. The tenant's priority takes precedence over the route's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Urgency {
     priority: u8,
@@ -56,66 +56,70 @@
     }
 }
 
-/// What one router knows of the work and the streams of one pool.
+/// Estimates of one router about the load and the service time of one pool.
 #[derive(Debug)]
 struct PoolLoad {
-    /// Running means of the work of a request.
-    work: BTreeMap<Urgency, f64>,
-    seen: u32,
-    /// How long a request stays at its back end, on the mean.
-    stay: Duration,
-    /// Part of the work that is refused because too many slots have been taken for a while.
-    lasting_excess: f64,
-    judged_at: Timestamp,
+    /// Running mean of the cost per request, split by the urgency that contributed it.
+    mean_cost: BTreeMap<Urgency, f64>,
+    requests_seen: u32,
+    /// Running mean of the time that a request spends at its back end.
+    service_time: Duration,
+    /// Fraction of the load that is refused because utilization has exceeded the target for some time.
+    integral_term: f64,
+    updated_at: Timestamp,
 }
 
 impl Default for PoolLoad {
     fn default() -> Self {
         Self {
-            work: BTreeMap::new(),
-            seen: 0,
-            stay: FIRST_STAY,
-            lasting_excess: 0.0,
-            judged_at: Timestamp::default(),
+            mean_cost: BTreeMap::new(),
+            requests_seen: 0,
+            service_time: INITIAL_SERVICE_TIME,
+            integral_term: 0.0,
+            updated_at: Timestamp::default(),
         }
     }
 }
 
 impl PoolLoad {
-    fn note_work(&mut self, urgency: Urgency, work: f64) {
-        self.seen = self.seen.saturating_add(1);
-        let weight = NEWEST.max(1.0 / f64::from(self.seen));
-        self.work.entry(urgency).or_default();
-        for (other, mean) in &mut self.work {
-            let newest = if *other == urgency { work } else { 0.0 };
+    fn record_cost(&mut self, urgency: Urgency, cost: f64) {
+        self.requests_seen = self.requests_seen.saturating_add(1);
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.requests_seen));
+        self.mean_cost.entry(urgency).or_default();
+        for (other, mean) in &mut self.mean_cost {
+            let newest = if *other == urgency { cost } else { 0.0 };
             *mean += weight * (newest - *mean);
         }
     }
 
-    /// The part of all work that is to be refused when so much of the slots is taken: a proportional
-    /// and integral controller.
-    fn excess(&mut self, now: Timestamp, taken: f64) -> f64 {
-        let step = now.since(self.judged_at).min(LONGEST_STEP).as_secs_f64();
-        self.judged_at = now;
-        let change = (taken - TAKEN_TARGET) * REFUSED_PER_TAKEN_SECOND * step;
-        self.lasting_excess = (self.lasting_excess + change).clamp(0.0, MOST_REFUSED_OF_ALL);
-        let at_once = (taken - REFUSE_FROM).max(0.0) * REFUSED_PER_TAKEN;
-        (at_once + self.lasting_excess).min(MOST_REFUSED_OF_ALL)
+    /// Updates the proportional-integral controller with the current utilization of the slots. Returns the
+    /// fraction of the load that must be refused.
+    fn excess(&mut self, now: Timestamp, utilization: f64) -> f64 {
+        let step = now
+            .since(self.updated_at)
+            .min(MAX_INTEGRATION_STEP)
+            .as_secs_f64();
+        self.updated_at = now;
+        let change = (utilization - TARGET_UTILIZATION) * INTEGRAL_GAIN_PER_SECOND * step;
+        self.integral_term = (self.integral_term + change).clamp(0.0, MAX_REFUSED_OF_ALL);
+        let proportional_term =
+            (utilization - REFUSAL_START_UTILIZATION).max(0.0) * PROPORTIONAL_GAIN;
+        (proportional_term + self.integral_term).min(MAX_REFUSED_OF_ALL)
     }
 
-    /// The part of the requests of one urgency that is refused when `excess` is the part of all
-    /// work that has to be: the less urgent ones go first.
-    fn refused_part(&self, urgency: Urgency, excess: f64) -> f64 {
-        let own = self.work.get(&urgency).copied().unwrap_or_default();
+    /// The fraction of the requests of one urgency to refuse when the fraction `excess` of the whole load must
+    /// be refused. Less urgent requests are refused first.
+    fn refused_fraction(&self, urgency: Urgency, excess: f64) -> f64 {
+        let own = self.mean_cost.get(&urgency).copied().unwrap_or_default();
         if own <= 0.0 {
             return 0.0;
         }
-        let all: f64 = self.work.values().sum();
-        let less_urgent = self.work.iter().filter(|(other, _)| **other > urgency);
-        let less_urgent: f64 = less_urgent.map(|(_, work)| work).sum();
-        let left = excess * all - less_urgent * MOST_REFUSED;
-        let in_order = (left / own).clamp(0.0, MOST_REFUSED);
-        if excess > MOST_REFUSED {
+        let all: f64 = self.mean_cost.values().sum();
+        let less_urgent = self.mean_cost.iter().filter(|(other, _)| **other > urgency);
+        let less_urgent: f64 = less_urgent.map(|(_, cost)| cost).sum();
+        let remaining = excess * all - less_urgent * MAX_REFUSED_OF_URGENCY;
+        let in_order = (remaining / own).clamp(0.0, MAX_REFUSED_OF_URGENCY);
+        if excess > MAX_REFUSED_OF_URGENCY {
             excess
         } else {
             in_order
@@ -123,57 +127,57 @@
     }
 }
 
-/// What a router knows of the work and the streams of each pool.
+/// Load estimates and overload controllers by pool.
 #[derive(Debug, Default)]
 pub(super) struct PoolLoads(HashMap<PoolName, PoolLoad>);
 
 impl PoolLoads {
-    /// A caller has asked for a prompt to be served.
+    /// Records the cost of a prompt that a caller has sent.
     pub fn on_prompt(&mut self, pool: &Pool, urgency: Urgency, prompt: &Prompt) {
         let slots = pool.models.as_ref().map_or(1, |models| models.slots);
         let own = prompt.tokens() - prompt.shared_tokens();
         let load = self.0.entry(pool.name.clone()).or_default();
-        load.note_work(urgency, prompt.cost(own, slots));
+        load.record_cost(urgency, prompt.cost(own, slots));
     }
 
-    /// A request that was answered has left its back end after so long.
-    pub fn on_answered(&mut self, pool: &PoolName, stay: Duration) {
+    /// Updates the mean service time with that of a request that was answered.
+    pub fn on_answered(&mut self, pool: &PoolName, service_time: Duration) {
         let Some(load) = self.0.get_mut(pool) else {
             return;
         };
-        let weight = NEWEST.max(1.0 / f64::from(load.seen.max(1)));
-        load.stay = load.stay.mul_f64(1.0 - weight) + stay.mul_f64(weight);
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(load.requests_seen.max(1)));
+        load.service_time = load.service_time.mul_f64(1.0 - weight) + service_time.mul_f64(weight);
     }
 
-    /// Whether one request is refused; `draw` decides, evenly from 0 to 1.
-    pub fn judge(
+    /// Decides whether one request is refused. `sample` is a random sample, uniform in [0, 1).
+    pub fn check(
         &mut self,
         now: Timestamp,
         pool: &PoolName,
         urgency: Urgency,
-        taken: f64,
-        draw: f64,
+        utilization: f64,
+        sample: f64,
     ) -> Result<(), ChoiceError> {
         let Some(load) = self.0.get_mut(pool) else {
             return Ok(());
         };
-        let excess = load.excess(now, taken);
-        let refused = load.refused_part(urgency, excess);
-        if draw >= refused {
+        let excess = load.excess(now, utilization);
+        let refused = load.refused_fraction(urgency, excess);
+        if sample >= refused {
             return Ok(());
         }
-        // What is left of the draw is even from 0 to 1 again.
-        let spread = 1.0 - SPREAD + 2.0 * SPREAD * draw / refused;
+        // A sample below `refused` is uniform in [0, 1) again after division by `refused`.
+        let spread = 1.0 - RETRY_JITTER + 2.0 * RETRY_JITTER * sample / refused;
         Err(ChoiceError::Overloaded(Overload {
-            retry_after: load.stay.mul_f64(spread),
-            taken_percent: percent(taken),
+            retry_after: load.service_time.mul_f64(spread),
+            taken_percent: percent(utilization),
             refused_percent: percent(refused),
         }))
     }
 }
 
 impl RouterCore {
-    /// Refuses a part of the prompts while their pool has too much work.
+    /// Refuses a share of the prompts while their pool is overloaded.
     pub(super) fn refuse_overload(
         &mut self,
         now: Timestamp,
@@ -184,25 +188,25 @@
         let Some(pool) = document.and_then(|document| document.pool(&admission.pool)) else {
             return Ok(());
         };
-        let taken = self.endpoints.part_of_slots_taken(now, &pool.name);
-        let draw = self.random.random();
+        let utilization = self.endpoints.part_of_slots_taken(now, &pool.name);
+        let sample = self.random.random();
         let loads = &mut self.pool_loads;
         let urgency = Urgency::of(admission);
         loads.on_prompt(pool, urgency, prompt);
-        loads.judge(now, &pool.name, urgency, taken, draw)
+        loads.check(now, &pool.name, urgency, utilization, sample)
     }
 
-    /// A request that was answered has left its back end after so long.
-    pub(super) fn record_service_time(&mut self, instance: &InstanceId, stay: Duration) {
+    /// Records the service time of an answered request for the pool of its back end.
+    pub(super) fn record_service_time(&mut self, instance: &InstanceId, service_time: Duration) {
         if let Some(endpoint) = self.endpoints.get(instance) {
             let pool = PoolName::new(endpoint.record.pool.as_str());
-            self.pool_loads.on_answered(&pool, stay);
+            self.pool_loads.on_answered(&pool, service_time);
         }
     }
 }
 
-fn percent(part: f64) -> u32 {
-    (part * 100.0).round() as u32
+fn percent(fraction: f64) -> u32 {
+    (fraction * 100.0).round() as u32
 }
 
 #[cfg(test)]
--- a/crates/gateway-core/src/router/overload_tests.rs
+++ b/crates/gateway-core/src/router/overload_tests.rs
@@ -1,10 +1,12 @@
+//! Tests of overload control.
+
 use super::super::tests::{at, router_with_slots, short_stream};
 use super::super::EarlierAttempts;
 use super::*;
 use crate::{ModelName, PromptPart, RequestKind};
 
 const SECOND: u64 = 1_000_000;
-const FULL: f64 = 1.2;
+const OVERLOADED: f64 = 1.2;
 const MOST_URGENT: Urgency = Urgency {
     priority: 0,
     route_priority: 0,
@@ -34,7 +36,7 @@
     }
 }
 
-/// As many prompts of each of these urgencies.
+/// Loads that have recorded equally many prompts of each urgency.
 fn loads_of(urgencies: &[Urgency]) -> PoolLoads {
     let mut loads = PoolLoads::default();
     for _ in 0..400 {
@@ -45,9 +47,20 @@
     loads
 }
 
-fn refused(loads: &mut PoolLoads, urgency: Urgency, taken: f64, draw: f64) -> Option<Overload> {
-    // At the same moment as before, so that only what is refused at once counts.
-    match loads.judge(Timestamp::default(), &pool().name, urgency, taken, draw) {
+fn refused(
+    loads: &mut PoolLoads,
+    urgency: Urgency,
+    utilization: f64,
+    sample: f64,
+) -> Option<Overload> {
+    // No time passes between calls, so the integral term stays 0 and only the proportional term counts.
+    match loads.check(
+        Timestamp::default(),
+        &pool().name,
+        urgency,
+        utilization,
+        sample,
+    ) {
         Err(ChoiceError::Overloaded(overload)) => Some(overload),
         Err(error) => panic!("{error}"),
         Ok(()) => None,
@@ -55,17 +68,17 @@
 }
 
 #[test]
-fn the_most_urgent_are_refused_only_when_the_others_do_not_suffice() {
+fn urgent_requests_are_refused_only_when_refusing_others_is_not_enough() {
     let mut loads = loads_of(&[MOST_URGENT, LESS_URGENT]);
-    assert!(refused(&mut loads, LESS_URGENT, FULL, 0.3).is_some());
-    assert!(refused(&mut loads, MOST_URGENT, FULL, 0.0).is_none());
-    assert!(refused(&mut loads, LESS_URGENT, 2.0, MOST_REFUSED - 0.01).is_some());
+    assert!(refused(&mut loads, LESS_URGENT, OVERLOADED, 0.3).is_some());
+    assert!(refused(&mut loads, MOST_URGENT, OVERLOADED, 0.0).is_none());
+    assert!(refused(&mut loads, LESS_URGENT, 2.0, MAX_REFUSED_OF_URGENCY - 0.01).is_some());
     assert!(refused(&mut loads, LESS_URGENT, 2.0, 0.99).is_none());
     assert!(refused(&mut loads, MOST_URGENT, 2.0, 0.3).is_some());
 }
 
 #[test]
-fn a_tenants_priority_goes_before_the_routes() {
+fn tenant_priority_takes_precedence_over_route_priority() {
     let urgent_tenant = Urgency {
         priority: 0,
         route_priority: 9,
@@ -75,32 +88,35 @@
         route_priority: 0,
     };
     let mut loads = loads_of(&[urgent_tenant, other_tenant]);
-    assert!(refused(&mut loads, urgent_tenant, FULL, 0.0).is_none());
-    assert!(refused(&mut loads, other_tenant, FULL, 0.0).is_some());
+    assert!(refused(&mut loads, urgent_tenant, OVERLOADED, 0.0).is_none());
+    assert!(refused(&mut loads, other_tenant, OVERLOADED, 0.0).is_some());
 }
 
 #[test]
-fn callers_come_back_spread_over_the_time_in_which_streams_end() {
+fn retry_after_is_spread_around_the_mean_service_time() {
     let mut loads = loads_of(&[MOST_URGENT]);
     for _ in 0..5_000 {
         loads.on_answered(&pool().name, Duration::from_secs(2));
     }
-    let soonest = refused(&mut loads, MOST_URGENT, FULL, 0.0).unwrap();
-    let latest = refused(&mut loads, MOST_URGENT, FULL, 0.314).unwrap();
-    assert!((990..=1_010).contains(&soonest.retry_after.as_millis()));
+    let earliest = refused(&mut loads, MOST_URGENT, OVERLOADED, 0.0).unwrap();
+    let latest = refused(&mut loads, MOST_URGENT, OVERLOADED, 0.314).unwrap();
+    assert!((990..=1_010).contains(&earliest.retry_after.as_millis()));
     assert!((2_900..=3_010).contains(&latest.retry_after.as_millis()));
-    assert_eq!((soonest.taken_percent, soonest.refused_percent), (120, 31));
+    assert_eq!(
+        (earliest.taken_percent, earliest.refused_percent),
+        (120, 31)
+    );
 }
 
 #[test]
-fn more_is_refused_while_too_many_slots_stay_taken_and_less_once_they_are_free() {
+fn refused_fraction_grows_under_lasting_overload_and_falls_to_zero_afterwards() {
     let mut load = PoolLoad::default();
     let mut now = Timestamp::default();
-    let mut excess_after = |taken: f64, steps: u64| {
+    let mut excess_after = |utilization: f64, steps: u64| {
         let mut excess = 0.0;
         for _ in 0..steps {
             now = now.plus(Duration::from_micros(SECOND / 10));
-            excess = load.excess(now, taken);
+            excess = load.excess(now, utilization);
         }
         excess
     };
@@ -111,16 +127,16 @@
 }
 
 #[test]
-fn a_router_without_requests_for_long_does_not_refuse_more_at_once() {
+fn an_idle_period_counts_as_one_bounded_integration_step() {
     let mut load = PoolLoad::default();
     load.excess(Timestamp::default(), 1.05);
-    let at_once = (1.05 - REFUSE_FROM) * REFUSED_PER_TAKEN;
+    let proportional_term = (1.05 - REFUSAL_START_UTILIZATION) * PROPORTIONAL_GAIN;
     let excess = load.excess(Timestamp(60 * SECOND), 1.05);
-    assert!(excess < at_once + 0.03, "{excess}");
+    assert!(excess < proportional_term + 0.03, "{excess}");
 }
 
 #[test]
-fn back_ends_that_do_not_say_their_slots_are_not_taken_for_full() {
+fn back_ends_without_a_slot_count_are_not_considered_full() {
     let mut router = router_with_slots(0);
     let admission = short_stream(&mut router, RequestKind::Stream);
     for _ in 0..40 {
