--- a/crates/gateway-core/src/router/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/suspected_fingerprints.rs
@@ -1,5 +1,7 @@
-//! Work that ends back ends, as one router knows it: what it saw itself, what control machines told it, and
-//! what they agreed on. Any of these suffices, so a router that is cut off goes by what it saw.
+//! Request fingerprints that are suspected of crashing back ends, as one router knows them.
+//!
+//! A router combines its own observations, crash counts sent by control machines, and the replicated quarantine
+//! list. Any one of them is enough to act on, so a router that is cut off relies on its own observations.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -13,231 +15,260 @@
 };
 use crate::{Changes, InstanceId, LoadEntry, WorkEvent, WorkId, WorkReport, WorkSuspicion};
 
-/// Reports that are kept for control machines that link later; each is sent to all of them.
-const MOST_REPORTS: usize = 512;
-/// Works that control machines suspect.
-const MOST_TOLD: usize = 4_096;
+/// Reports kept for control machines that connect later. Each report is sent to all control machines.
+const MAX_REPORTS: usize = 512;
+/// Fingerprints kept for which control machines have sent crash counts.
+const MAX_ANNOUNCED: usize = 4_096;
 
-/// What this router saw of work, with the time.
+/// An event that this router observed for a fingerprint.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Observation {
     at: Timestamp,
-    work: WorkId,
-    /// `None` once it no longer counts.
+    fingerprint: WorkId,
+    /// `None` once the event no longer counts.
     event: Option<WorkEvent>,
 }
 
-impl Seen {
-    /// Whether a control machine that links now should hear of it. A run to the end from long ago says
-    /// nothing against ends since.
-    fn counts(&self, now: Timestamp) -> bool {
-        let counts_for = match self.event {
+impl Observation {
+    /// Whether the event is still sent to a control machine that connects now. An old completion is no evidence
+    /// against crashes that happened after it.
+    fn is_reportable(&self, now: Timestamp) -> bool {
+        let valid_for = match self.event {
             Some(WorkEvent::BackEndEnded { .. }) => REMEMBER_ENDS_FOR,
             Some(WorkEvent::Completed) => COMPLETION_COUNTS_FOR,
             None => return false,
         };
-        now.since(self.at) < counts_for
+        now.since(self.at) < valid_for
     }
 }
 
-/// What a router knows of work that ends back ends.
+/// Suspected and quarantined fingerprints, and the observations that this router reports about them.
 #[derive(Debug, Default)]
 pub(super) struct SuspectedFingerprints {
     own: EndLedger,
     completions: Completions,
-    /// Ends over all routers, as control machines told.
-    told: HashMap<WorkId, u8>,
-    /// What the log says.
+    /// Crash counts over all routers, as sent by control machines.
+    announced: HashMap<WorkId, u8>,
+    /// The replicated quarantine list.
     quarantined: HashSet<WorkId>,
-    /// Quarantined work of which one run is permitted, and since when.
+    /// Quarantined fingerprints with a permit for one trial, and when each permit arrived.
     permits: HashMap<WorkId, Timestamp>,
-    reports: VecDeque<Seen>,
-    /// Reports that are no longer kept.
+    reports: VecDeque<Observation>,
+    /// How many reports have been removed from the front of `reports`.
     dropped_reports: u64,
 }
 
 impl SuspectedFingerprints {
-    /// Moments at which back ends ended under the work, as far as this router knows.
-    fn ends(&self, work: WorkId) -> u32 {
-        let told = self.told.get(&work).copied().unwrap_or_default();
-        self.own.ends(work).max(u32::from(told))
+    /// How many crashes under the fingerprint this router knows of. Back ends that crash together count once.
+    fn crashes(&self, fingerprint: WorkId) -> u32 {
+        let announced = self
+            .announced
+            .get(&fingerprint)
+            .copied()
+            .unwrap_or_default();
+        self.own.ends(fingerprint).max(u32::from(announced))
     }
 
-    fn is_quarantined(&self, work: WorkId) -> bool {
-        self.quarantined.contains(&work) || self.ends(work) >= ENDS_FOR_QUARANTINE
+    fn is_quarantined(&self, fingerprint: WorkId) -> bool {
+        self.quarantined.contains(&fingerprint) || self.crashes(fingerprint) >= ENDS_FOR_QUARANTINE
     }
 
-    /// Uses up a permit for one run of quarantined work.
-    fn take_permit(&mut self, now: Timestamp, work: WorkId) -> bool {
-        let permitted_at = self.permits.remove(&work);
+    /// Consumes the permit for one trial of a quarantined fingerprint. False when there is none or it has expired.
+    fn take_permit(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+        let permitted_at = self.permits.remove(&fingerprint);
         permitted_at.is_some_and(|at| now.since(at) < PERMIT_HOLDS_FOR)
     }
 
-    fn report(&mut self, at: Timestamp, work: WorkId, event: WorkEvent) {
+    fn report(&mut self, at: Timestamp, fingerprint: WorkId, event: WorkEvent) {
         let event = Some(event);
-        self.reports.push_back(Seen { at, work, event });
-        while self.reports.len() > MOST_REPORTS {
+        self.reports.push_back(Observation {
+            at,
+            fingerprint,
+            event,
+        });
+        while self.reports.len() > MAX_REPORTS {
             self.reports.pop_front();
             self.dropped_reports += 1;
         }
     }
 
-    /// Reports that the work ran well here a moment ago, which the router that saw back ends end under it
-    /// did not know. True when it did.
-    fn contradict(&mut self, now: Timestamp, work: WorkId) -> bool {
-        let ran_well = self.completions.contains(now, work);
-        if ran_well {
-            self.forget(work);
-            self.report(now, work, WorkEvent::Completed);
+    /// Reports a recent completion of a request with this fingerprint, which the router that observed the crashes
+    /// does not know of. Returns whether there was one.
+    fn report_recent_completion(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+        let has_completed = self.completions.contains(now, fingerprint);
+        if has_completed {
+            self.clear(fingerprint);
+            self.report(now, fingerprint, WorkEvent::Completed);
         }
-        ran_well
+        has_completed
     }
 
-    fn forget(&mut self, work: WorkId) -> bool {
-        let was_told = self.told.remove(&work).is_some();
-        // A control machine that links later must not hear of it.
-        let reports = self.reports.iter_mut().filter(|seen| seen.work == work);
+    fn clear(&mut self, fingerprint: WorkId) -> bool {
+        let was_announced = self.announced.remove(&fingerprint).is_some();
+        // Control machines that connect later must not receive these reports.
+        let reports = self
+            .reports
+            .iter_mut()
+            .filter(|seen| seen.fingerprint == fingerprint);
         reports.for_each(|seen| seen.event = None);
-        self.own.clear(work) || was_told
+        self.own.clear(fingerprint) || was_announced
     }
 
-    /// Takes in what the log says; work that it has released is as if it had never come.
+    /// Applies changes of the quarantine list. For a fingerprint that the list no longer contains, all crash counts
+    /// are cleared.
     pub fn apply(&mut self, now: Timestamp, changes: &Changes) {
         let listed = changes.quarantine.items.first();
         if listed.is_none() && changes.since > 0 {
             return;
         }
-        let works = listed.into_iter().flat_map(|listed| &listed.works.items);
-        let listed: HashSet<WorkId> = works.copied().collect();
+        let fingerprints = listed.into_iter().flat_map(|listed| &listed.works.items);
+        let listed: HashSet<WorkId> = fingerprints.copied().collect();
         let before = std::mem::replace(&mut self.quarantined, listed);
         let released: Vec<WorkId> = before.difference(&self.quarantined).copied().collect();
-        for work in released {
-            self.forget(work);
+        for fingerprint in released {
+            self.clear(fingerprint);
         }
         let added: Vec<WorkId> = self.quarantined.difference(&before).copied().collect();
-        for work in added {
-            self.contradict(now, work);
+        for fingerprint in added {
+            self.report_recent_completion(now, fingerprint);
         }
     }
 }
 
 impl RouterCore {
-    /// Moments at which back ends ended under the work, as far as this router knows.
-    pub fn crash_count(&self, work: WorkId) -> u32 {
-        self.suspected_fingerprints.ends(work)
+    /// How many crashes under the fingerprint this router knows of. Back ends that crash together count once.
+    pub fn crash_count(&self, fingerprint: WorkId) -> u32 {
+        self.suspected_fingerprints.crashes(fingerprint)
     }
 
-    /// Whether work may run now. A call does not send suspected work on: its caller may come back, which
-    /// spreads further runs in time and leaves room for what other routers saw.
+    /// Decides whether a request with this fingerprint may be sent now. A suspected request is not retried within
+    /// its call. The caller may call again, which spreads further attempts in time and leaves time for the
+    /// observations of other routers to arrive.
     pub(super) fn check_fingerprint(
         &mut self,
         now: Timestamp,
         earlier: &EarlierAttempts<'_>,
     ) -> Result<(), ChoiceError> {
-        let Some(work) = earlier.work else {
+        let Some(fingerprint) = earlier.work else {
             return Ok(());
         };
-        if self.suspected_fingerprints.is_quarantined(work) {
+        if self.suspected_fingerprints.is_quarantined(fingerprint) {
             let is_first = earlier.tried.is_empty();
-            if is_first && self.suspected_fingerprints.take_permit(now, work) {
+            if is_first && self.suspected_fingerprints.take_permit(now, fingerprint) {
                 return Ok(());
             }
             return Err(ChoiceError::Quarantined);
         }
-        let ends = self.suspected_fingerprints.ends(work);
-        let ends = ends.max(earlier.ends_before_call + earlier.broken);
-        if earlier.broken > 0 && ends >= ENDS_FOR_SUSPICION {
+        let crashes = self.suspected_fingerprints.crashes(fingerprint);
+        let crashes = crashes.max(earlier.ends_before_call + earlier.broken);
+        if earlier.broken > 0 && crashes >= ENDS_FOR_SUSPICION {
             return Err(ChoiceError::Suspected);
         }
         Ok(())
     }
 
-    /// Work under which so many back ends ended that the next one is to have little to lose.
-    pub(super) fn is_suspected(&self, work: Option<WorkId>) -> bool {
-        work.is_some_and(|work| {
+    /// Whether so many back ends have crashed under the fingerprint that its request is placed where a further
+    /// crash loses the fewest other requests.
+    pub(super) fn is_suspected(&self, fingerprint: Option<WorkId>) -> bool {
+        fingerprint.is_some_and(|fingerprint| {
             let suspected = &self.suspected_fingerprints;
-            suspected.is_quarantined(work) || suspected.ends(work) >= ENDS_FOR_SUSPICION
+            suspected.is_quarantined(fingerprint)
+                || suspected.crashes(fingerprint) >= ENDS_FOR_SUSPICION
         })
     }
 
-    /// The leader permits one run of quarantined work here.
-    pub fn on_trial_permitted(&mut self, now: Timestamp, work: WorkId) {
+    /// The leader permits this router one trial of a quarantined fingerprint.
+    pub fn on_trial_permitted(&mut self, now: Timestamp, fingerprint: WorkId) {
         let permits = &mut self.suspected_fingerprints.permits;
         permits.retain(|_, at| now.since(*at) < PERMIT_HOLDS_FOR);
-        permits.insert(work, now);
+        permits.insert(fingerprint, now);
     }
 
-    /// A back end ended while it had these works in hand, each since a time. Returns those of which that
-    /// was not known, with the moments at which back ends ended under each.
+    /// A back end crashed while serving requests with these fingerprints, each since the given time. Returns the
+    /// fingerprints for which this crash was not known before, each with its crash count.
     pub fn on_back_end_crashed(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        works: &[(WorkId, Timestamp)],
+        fingerprints: &[(WorkId, Timestamp)],
     ) -> Vec<(WorkId, u32)> {
         let back_end = LoadEntry::key_of(instance.as_str());
         self.endpoints.on_ended(now, instance);
         self.suspect(back_end);
         let suspected = &mut self.suspected_fingerprints;
-        let works: BTreeMap<WorkId, Timestamp> = works.iter().copied().collect();
+        let fingerprints: BTreeMap<WorkId, Timestamp> = fingerprints.iter().copied().collect();
         let mut new = Vec::new();
-        for (work, begun) in works {
-            if suspected.completions.contains(now, work) {
+        for (fingerprint, sent_at) in fingerprints {
+            if suspected.completions.contains(now, fingerprint) {
                 continue;
             }
-            let held = now.since(begun);
-            let end = EndReport {
+            let held = now.since(sent_at);
+            let crash = EndReport {
                 back_end,
                 age: Duration::ZERO,
                 held,
             };
-            if suspected.own.note_end(now, work, end) {
+            if suspected.own.note_end(now, fingerprint, crash) {
                 let held_ms = u32::try_from(held.as_millis()).unwrap_or(u32::MAX);
-                suspected.report(now, work, WorkEvent::BackEndEnded { back_end, held_ms });
-                new.push((work, suspected.ends(work)));
+                suspected.report(
+                    now,
+                    fingerprint,
+                    WorkEvent::BackEndEnded { back_end, held_ms },
+                );
+                new.push((fingerprint, suspected.crashes(fingerprint)));
             }
         }
         new
     }
 
-    /// Work ran to its end, so it does not end whatever runs it. True when something spoke against it.
-    pub fn on_fingerprint_completed(&mut self, now: Timestamp, work: WorkId) -> bool {
+    /// A request with this fingerprint completed, so it does not crash every back end that serves it. Returns
+    /// whether the fingerprint was quarantined or had any crash counted.
+    pub fn on_fingerprint_completed(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
         let suspected = &mut self.suspected_fingerprints;
-        suspected.completions.note(now, work);
-        let was_suspected = suspected.forget(work) || suspected.quarantined.contains(&work);
+        suspected.completions.note(now, fingerprint);
+        let was_suspected =
+            suspected.clear(fingerprint) || suspected.quarantined.contains(&fingerprint);
         if was_suspected {
-            suspected.report(now, work, WorkEvent::Completed);
+            suspected.report(now, fingerprint, WorkEvent::Completed);
         }
         was_suspected
     }
 
-    /// Takes in what a control machine added up. Reports only add up, so the most that any of them says
-    /// counts, until one says that nothing is left, or the work has just run well here.
+    /// Applies crash counts sent by a control machine. Counts only grow, so the largest one received from any
+    /// control machine holds, until one of them sends 0 or a request with the fingerprint has recently completed
+    /// at this router.
     pub fn on_fingerprint_suspicions(&mut self, now: Timestamp, suspicions: &[WorkSuspicion]) {
         let suspected = &mut self.suspected_fingerprints;
-        for WorkSuspicion { work, ends } in suspicions {
-            if *ends == 0 {
-                suspected.forget(*work);
-            } else if suspected.contradict(now, *work) {
+        for WorkSuspicion {
+            work: fingerprint,
+            ends: crashes,
+        } in suspicions
+        {
+            if *crashes == 0 {
+                suspected.clear(*fingerprint);
+            } else if suspected.report_recent_completion(now, *fingerprint) {
                 continue;
-            } else if suspected.told.len() < MOST_TOLD || suspected.told.contains_key(work) {
-                let told = suspected.told.entry(*work).or_default();
-                *told = (*told).max(*ends);
+            } else if suspected.announced.len() < MAX_ANNOUNCED
+                || suspected.announced.contains_key(fingerprint)
+            {
+                let announced = suspected.announced.entry(*fingerprint).or_default();
+                *announced = (*announced).max(*crashes);
             }
         }
     }
 
-    /// What this router saw of work since `cursor`, which moves on. A new link begins at 0.
+    /// The reports that this router has made since `cursor`, which is advanced past them. A new connection to a
+    /// control machine starts with a cursor of 0.
     pub fn fingerprint_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<WorkReport> {
         let suspected = &self.suspected_fingerprints;
         let skipped = cursor.saturating_sub(suspected.dropped_reports) as usize;
         *cursor = suspected.dropped_reports + suspected.reports.len() as u64;
         let fresh = suspected.reports.iter().skip(skipped);
         fresh
-            .filter(|seen| seen.counts(now))
+            .filter(|seen| seen.is_reportable(now))
             .filter_map(|seen| {
                 Some(WorkReport {
-                    work: seen.work,
+                    work: seen.fingerprint,
                     age_ms: u32::try_from(now.since(seen.at).as_millis()).unwrap_or(u32::MAX),
                     event: seen.event?,
                 })
--- a/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
@@ -1,27 +1,27 @@
-//! Tests of work that ends back ends.
+//! Tests of requests that crash the back ends serving them.
 
 use super::*;
 use crate::{Quarantine, Work, WorkEvent, WorkId, WorkKey, WorkSuspicion};
 
-fn work(body: &str) -> WorkId {
+fn fingerprint(body: &str) -> WorkId {
     WorkKey::draw(1).identify(&Work {
         body: body.as_bytes(),
         ..Work::default()
     })
 }
 
-fn first_of(work: WorkId) -> EarlierAttempts<'static> {
+fn first_attempt(fingerprint: WorkId) -> EarlierAttempts<'static> {
     EarlierAttempts {
-        work: Some(work),
+        work: Some(fingerprint),
         ..EarlierAttempts::default()
     }
 }
 
-/// Back ends of both pools that have ended under the work, a second apart.
-fn end_under(router: &mut RouterCore, work: WorkId, names: &[&str]) {
+/// The named back ends crash while serving a request with the fingerprint, one second apart.
+fn crash_under(router: &mut RouterCore, fingerprint: WorkId, names: &[&str]) {
     for (number, name) in names.iter().enumerate() {
         let now = at(1_000 * (1 + number as u64));
-        router.on_back_end_crashed(now, &InstanceId::new(name), &[(work, now)]);
+        router.on_back_end_crashed(now, &InstanceId::new(name), &[(fingerprint, now)]);
     }
 }
 
@@ -31,33 +31,37 @@
 }
 
 #[test]
-fn a_router_alone_stops_after_three_ends() {
+fn a_fingerprint_is_refused_after_three_crashes_seen_by_this_router_alone() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1", "app-2"]);
-    assert!(choose(&mut router, first_of(work("a"))).is_ok());
-    end_under(&mut router, work("a"), &["app-1", "app-2", "app-3"]);
-    let refused = choose(&mut router, first_of(work("a")));
+    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2"]);
+    assert!(choose(&mut router, first_attempt(fingerprint("a"))).is_ok());
+    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
+    let refused = choose(&mut router, first_attempt(fingerprint("a")));
     assert_eq!(refused, Err(ChoiceError::Quarantined));
-    assert!(choose(&mut router, first_of(work("b"))).is_ok());
+    assert!(choose(&mut router, first_attempt(fingerprint("b"))).is_ok());
 }
 
 #[rstest]
-#[case::on_the_word_of_a_control_machine(true)]
-#[case::on_the_word_of_the_log(false)]
-fn a_router_that_saw_nothing_stops(#[case] told: bool) {
+#[case::crash_count_from_a_control_machine(true)]
+#[case::replicated_quarantine_list(false)]
+fn a_router_that_saw_no_crash_refuses_a_fingerprint(#[case] by_count: bool) {
     let mut router = router();
-    if told {
-        let work = work("a");
+    if by_count {
+        let work = fingerprint("a");
         router.on_fingerprint_suspicions(at(1), &[WorkSuspicion { work, ends: 3 }]);
     } else {
-        update(&mut router, at(1), with_quarantine(10, 11, &[work("a")]));
+        update(
+            &mut router,
+            at(1),
+            with_quarantine(10, 11, &[fingerprint("a")]),
+        );
     }
-    let refused = choose(&mut router, first_of(work("a")));
+    let refused = choose(&mut router, first_attempt(fingerprint("a")));
     assert_eq!(refused, Err(ChoiceError::Quarantined));
 }
 
-fn with_quarantine(since: u64, revision: u64, works: &[WorkId]) -> Changes {
-    let works = List::new(works.to_vec());
+fn with_quarantine(since: u64, revision: u64, fingerprints: &[WorkId]) -> Changes {
+    let works = List::new(fingerprints.to_vec());
     Changes {
         quarantine: List::new(vec![Quarantine { works }]),
         ..changes(since, revision, Vec::new())
@@ -65,59 +69,59 @@
 }
 
 #[test]
-fn released_work_is_as_if_it_had_never_come() {
+fn release_from_quarantine_clears_all_crash_counts() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1", "app-2", "app-3"]);
+    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
     update(
         &mut router,
         at(3_100),
-        with_quarantine(10, 11, &[work("a"), work("b")]),
+        with_quarantine(10, 11, &[fingerprint("a"), fingerprint("b")]),
     );
     update(
         &mut router,
         at(3_200),
-        with_quarantine(11, 12, &[work("b")]),
+        with_quarantine(11, 12, &[fingerprint("b")]),
     );
-    assert_eq!(router.crash_count(work("a")), 0);
-    assert!(choose(&mut router, first_of(work("a"))).is_ok());
-    assert!(choose(&mut router, first_of(work("b"))).is_err());
+    assert_eq!(router.crash_count(fingerprint("a")), 0);
+    assert!(choose(&mut router, first_attempt(fingerprint("a"))).is_ok());
+    assert!(choose(&mut router, first_attempt(fingerprint("b"))).is_err());
     let reports = router.fingerprint_reports_since(at(3_300), &mut 0);
     assert!(
         reports.is_empty(),
-        "a control machine that links later hears nothing of it"
+        "a control machine that connects later receives no report of it"
     );
 }
 
-/// A call whose work broke off at a back end goes on at another one, unless that work has ended another
-/// one before.
+/// A call is retried after its first back end crashed, but not once a second crash under the same fingerprint is
+/// known, from this call or from before it.
 #[rstest]
-#[case::first_end(0, 1, true)]
-#[case::second_end_in_the_call(0, 2, false)]
-#[case::one_before_the_call(1, 1, false)]
-#[case::not_broken_yet(2, 0, true)]
-fn a_call_does_not_send_suspected_work_on(
+#[case::first_crash(0, 1, true)]
+#[case::second_crash_in_the_call(0, 2, false)]
+#[case::one_crash_before_the_call(1, 1, false)]
+#[case::no_broken_attempt_yet(2, 0, true)]
+fn a_suspected_request_is_not_retried_within_its_call(
     #[case] ends_before_call: u32,
     #[case] broken: u32,
-    #[case] goes_on: bool,
+    #[case] is_retried: bool,
 ) {
     let mut router = router();
     let tried = [InstanceId::new("app-1")];
     let earlier = EarlierAttempts {
         tried: if broken > 0 { &tried } else { &[] },
         arrived: broken,
-        work: Some(work("a")),
+        work: Some(fingerprint("a")),
         ends_before_call,
         broken,
     };
     let chosen = choose(&mut router, earlier);
-    assert_eq!(chosen.is_ok(), goes_on, "{chosen:?}");
-    if !goes_on {
+    assert_eq!(chosen.is_ok(), is_retried, "{chosen:?}");
+    if !is_retried {
         assert_eq!(chosen, Err(ChoiceError::Suspected));
     }
 }
 
 #[test]
-fn suspected_work_goes_where_the_least_is_lost_and_without_a_copy() {
+fn a_suspected_request_goes_to_the_least_loaded_back_end_and_is_not_copied() {
     let mut router = router();
     let loads = (4..=9)
         .filter(|number| *number != 6)
@@ -128,14 +132,19 @@
         });
     router.set_others_loads(true, &loads.collect::<Vec<_>>());
     let suspicion = WorkSuspicion {
-        work: work("a"),
+        work: fingerprint("a"),
         ends: 2,
     };
     router.on_fingerprint_suspicions(at(1), &[suspicion]);
     let admission = admit(&mut router, at(1), "/a/b/x");
     for session in ["s1", "s2", "s3", "s4"] {
         let prompt = prompt(session, 300);
-        let choice = router.choose(at(1), &admission, Some(&prompt), first_of(work("a")));
+        let choice = router.choose(
+            at(1),
+            &admission,
+            Some(&prompt),
+            first_attempt(fingerprint("a")),
+        );
         let choice = choice.unwrap();
         assert_eq!((choice.instance.as_str(), &choice.copy), ("llm-6", &None));
         router.finished(at(1), &choice.instance, at(1), Outcome::Answered);
@@ -143,9 +152,9 @@
 }
 
 #[test]
-fn each_control_machine_hears_of_each_end_and_later_ones_too() {
+fn each_crash_is_reported_to_every_control_machine_also_to_those_that_connect_later() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1", "app-2"]);
+    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2"]);
     let (mut early, mut late) = (0, 0);
     assert_eq!(
         router
@@ -156,7 +165,7 @@
     assert!(router
         .fingerprint_reports_since(at(2_000), &mut early)
         .is_empty());
-    end_under(&mut router, work("b"), &["app-1"]);
+    crash_under(&mut router, fingerprint("b"), &["app-1"]);
     assert_eq!(
         router
             .fingerprint_reports_since(at(2_500), &mut early)
@@ -169,95 +178,108 @@
 }
 
 #[test]
-fn work_that_ran_to_its_end_is_cleared_everywhere() {
+fn a_completed_request_clears_its_fingerprint_and_is_reported() {
     let mut router = router();
     assert!(
-        !router.on_fingerprint_completed(at(1), work("b")),
-        "nothing spoke against it"
+        !router.on_fingerprint_completed(at(1), fingerprint("b")),
+        "no crash was counted"
     );
-    end_under(&mut router, work("a"), &["app-1", "app-2", "app-3"]);
-    assert!(router.on_fingerprint_completed(at(3_100), work("a")));
-    assert!(choose(&mut router, first_of(work("a"))).is_ok());
+    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
+    assert!(router.on_fingerprint_completed(at(3_100), fingerprint("a")));
+    assert!(choose(&mut router, first_attempt(fingerprint("a"))).is_ok());
     let reports = router.fingerprint_reports_since(at(3_200), &mut 3);
     let events: Vec<WorkEvent> = reports.iter().map(|report| report.event).collect();
     assert_eq!(events, [WorkEvent::Completed]);
 }
 
-/// A permit is for one run, at the back end with the least to lose, and not for ever.
+/// A permit allows one trial, which is placed as a suspected request, and it expires.
 #[test]
-fn one_run_of_quarantined_work_may_be_permitted() {
+fn a_permit_allows_one_trial_of_a_quarantined_fingerprint() {
     let mut router = router();
-    update(&mut router, at(1), with_quarantine(10, 11, &[work("a")]));
-    router.on_trial_permitted(at(3_400), work("a"));
-    assert!(choose(&mut router, first_of(work("a"))).is_ok());
-    let next = choose(&mut router, first_of(work("a")));
+    update(
+        &mut router,
+        at(1),
+        with_quarantine(10, 11, &[fingerprint("a")]),
+    );
+    router.on_trial_permitted(at(3_400), fingerprint("a"));
+    assert!(choose(&mut router, first_attempt(fingerprint("a"))).is_ok());
+    let next = choose(&mut router, first_attempt(fingerprint("a")));
     assert_eq!(next, Err(ChoiceError::Quarantined));
-    router.on_trial_permitted(at(3_500), work("a"));
-    assert!(router.is_suspected(Some(work("a"))));
+    router.on_trial_permitted(at(3_500), fingerprint("a"));
+    assert!(router.is_suspected(Some(fingerprint("a"))));
     let too_late = at(23_500);
-    let judged = router.check_fingerprint(too_late, &first_of(work("a")));
+    let judged = router.check_fingerprint(too_late, &first_attempt(fingerprint("a")));
     assert_eq!(judged, Err(ChoiceError::Quarantined));
 }
 
-/// A call that was permitted and broke is not sent on.
 #[test]
-fn a_trial_that_broke_is_not_repeated_within_its_call() {
+fn a_broken_trial_is_not_retried_within_its_call() {
     let mut router = router();
-    update(&mut router, at(1), with_quarantine(10, 11, &[work("a")]));
-    router.on_trial_permitted(at(3_400), work("a"));
+    update(
+        &mut router,
+        at(1),
+        with_quarantine(10, 11, &[fingerprint("a")]),
+    );
+    router.on_trial_permitted(at(3_400), fingerprint("a"));
     let tried = [InstanceId::new("app-1")];
     let earlier = EarlierAttempts {
         tried: &tried,
         arrived: 1,
         broken: 1,
-        ..first_of(work("a"))
+        ..first_attempt(fingerprint("a"))
     };
     assert_eq!(choose(&mut router, earlier), Err(ChoiceError::Quarantined));
 }
 
-/// A control machine that links later must not release, on a run from long ago, what has ended back ends since.
+/// A control machine that connects later must not release a fingerprint because of an old completion: the
+/// fingerprint may have crashed back ends since.
 #[test]
-fn an_old_run_to_the_end_is_not_reported_again() {
+fn an_old_completion_is_not_reported_to_a_new_connection() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1"]);
-    router.on_fingerprint_completed(at(2_000), work("a"));
+    crash_under(&mut router, fingerprint("a"), &["app-1"]);
+    router.on_fingerprint_completed(at(2_000), fingerprint("a"));
     assert_eq!(router.fingerprint_reports_since(at(2_100), &mut 0).len(), 1);
     assert!(router
         .fingerprint_reports_since(at(12_100), &mut 0)
         .is_empty());
 }
 
-/// Requests that are all the same work, such as a question for a status, are in hand at every back end that
-/// another request ends. In a soak all of a pool's three ended within 0.3 s, and 1,763 requests of their
-/// callers were refused in the 40 s that were left.
+/// A fingerprint that many requests share, such as a status query, is in flight at every back end that another
+/// request crashes, so it must not be quarantined with the culprit. Otherwise, the crash of
+/// all three back ends of a pool within 0.3 s causes all such requests to be refused: 1,763 in the last 40 s of a
+/// soak test.
 #[test]
-fn work_that_has_just_run_to_its_end_does_not_count_as_having_ended_a_back_end() {
+fn a_crash_is_not_counted_against_a_fingerprint_that_has_just_completed() {
     let mut router = router();
-    router.on_fingerprint_completed(at(900), work("common"));
+    router.on_fingerprint_completed(at(900), fingerprint("common"));
     for name in ["app-1", "app-2", "app-3"] {
         let now = at(1_000 + 300 * u64::from(name.as_bytes()[4] - b'0'));
-        let in_hand = [(work("common"), at(950)), (work("ending"), at(950))];
-        router.on_back_end_crashed(now, &InstanceId::new(name), &in_hand);
+        let in_flight = [
+            (fingerprint("common"), at(950)),
+            (fingerprint("crashing"), at(950)),
+        ];
+        router.on_back_end_crashed(now, &InstanceId::new(name), &in_flight);
     }
-    assert_eq!(router.crash_count(work("common")), 0);
-    assert_eq!(router.crash_count(work("ending")), 3);
+    assert_eq!(router.crash_count(fingerprint("common")), 0);
+    assert_eq!(router.crash_count(fingerprint("crashing")), 3);
 }
 
-/// The router that saw a back end end need not be the one that has run the work well: each contradicts what
-/// control machines add up. In a soak 1,580 requests of one kind were refused until its end, for none of
-/// that kind may run once it is quarantined.
+/// The router that observed a crash need not be the one at which the same fingerprint completed, so every router
+/// with a recent completion must report it. Otherwise, a shared fingerprint stays quarantined, because a
+/// quarantined request never gets to complete: 1,580 requests were refused until the end of a soak test.
 #[rstest]
-#[case::of_a_suspicion(true)]
-#[case::of_a_verdict(false)]
-fn a_router_that_has_just_run_the_work_well_contradicts(#[case] suspicion: bool) {
+#[case::of_a_suspected_fingerprint(true)]
+#[case::of_a_quarantined_fingerprint(false)]
+fn a_router_reports_its_recent_completion(#[case] suspicion: bool) {
     let mut router = router();
-    router.on_fingerprint_completed(at(900), work("common"));
+    router.on_fingerprint_completed(at(900), fingerprint("common"));
     let mut cursor = 0;
     if suspicion {
-        let work = work("common");
+        let work = fingerprint("common");
         router.on_fingerprint_suspicions(at(1_000), &[WorkSuspicion { work, ends: 3 }]);
     } else {
-        let quarantined = with_quarantine(10, 11, &[work("common"), work("ending")]);
+        let quarantined =
+            with_quarantine(10, 11, &[fingerprint("common"), fingerprint("crashing")]);
         update(&mut router, at(1_000), quarantined);
     }
     let reports = router.fingerprint_reports_since(at(1_000), &mut cursor);
@@ -265,28 +287,32 @@
         .iter()
         .map(|report| (report.work, report.event))
         .collect();
-    assert_eq!(events, [(work("common"), WorkEvent::Completed)]);
+    assert_eq!(events, [(fingerprint("common"), WorkEvent::Completed)]);
     assert_eq!(
-        choose(&mut router, first_of(work("common"))).is_ok(),
+        choose(&mut router, first_attempt(fingerprint("common"))).is_ok(),
         suspicion
     );
 }
 
-/// What ran well before may end back ends since they were replaced.
+/// A fingerprint that completed some time ago may crash back ends that were replaced since.
 #[test]
-fn a_run_to_the_end_speaks_for_work_for_some_seconds_only() {
+fn a_completion_protects_a_fingerprint_for_some_seconds_only() {
     let mut router = router();
-    router.on_fingerprint_completed(at(900), work("a"));
+    router.on_fingerprint_completed(at(900), fingerprint("a"));
     let later = at(12_000);
-    router.on_fingerprint_completed(later, work("another"));
-    router.on_back_end_crashed(later, &InstanceId::new("app-1"), &[(work("a"), later)]);
-    assert_eq!(router.crash_count(work("a")), 1);
+    router.on_fingerprint_completed(later, fingerprint("another"));
+    router.on_back_end_crashed(
+        later,
+        &InstanceId::new("app-1"),
+        &[(fingerprint("a"), later)],
+    );
+    assert_eq!(router.crash_count(fingerprint("a")), 1);
 }
 
 #[test]
-fn a_back_end_that_ended_is_avoided_by_all_routers() {
+fn a_crashed_back_end_is_avoided_and_announced_to_other_routers() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1"]);
+    crash_under(&mut router, fingerprint("a"), &["app-1"]);
     assert_eq!(router.take_suspects(), [LoadEntry::key_of("app-1")]);
     let admission = admit(&mut router, at(2_500), "/a/x");
     for _ in 0..20 {
