--- a/crates/gateway-core/src/router/notices.rs
+++ b/crates/gateway-core/src/router/notices.rs
@@ -1,4 +1,5 @@
-//! What back ends said of themselves to this router, and what it does when none of a pool is left.
+//! Notices that back ends send this router in their answers (backoff, rate limit, leaving), and the error for a
+//! request when no back end of its pool accepts one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,93 +11,93 @@
 use crate::limits::RatePart;
 use crate::{BackEndNotice, InstanceId, PoolName, RequestRate};
 
-/// A back end that says it leaves gets no requests for so long after it last said so. It ends within seconds, or
-/// tens of them while it has long streams; the bound is for one that starts again under its name without control
-/// machines having noticed that it was gone.
-const LEAVING_HOLDS: Duration = Duration::from_secs(60);
-/// Back ends that are gone and had said something; what ends first is forgotten first. A rolling restart that takes
-/// two a second away fills a tenth of it within the time that such a word holds.
-const MOST_ABSENT: usize = 1_024;
-/// A limit of a back end that is gone is remembered for so long: one that a cut keeps from control machines is named
-/// again.
-const LIMIT_HOLDS_WHILE_ABSENT: Duration = Duration::from_secs(60);
-/// After a pause a back end gets so many of a router's requests at once, and one more for each that it accepts. It
-/// looks idle, so that all requests of all routers would go there; it would be full at once and ask for the next
-/// pause, and a pool that has room for twice its work would not get out of that by itself.
-const FIRST_WINDOW: f64 = 1.0;
-/// Callers that are refused because all back ends asked for no requests return spread over this part of the time
-/// that is left, after it has passed.
-const SPREAD: f64 = 0.5;
-/// And over no less than this: a short pause ends for all routers at about the same moment.
-const LEAST_SPREAD: Duration = Duration::from_millis(200);
-
-/// Callers that are refused because back ends limit what they take are told times at which one after the other has
-/// room, no further ahead than this.
-const LONGEST_WAIT_FOR_ROOM: Duration = Duration::from_secs(10);
-
-/// What one back end said of itself.
+/// How long a back end gets no requests after it last announced that it is leaving. A leaving back end ends within
+/// seconds, or tens of seconds while it has long streams. The limit matters for a back end that restarts under the
+/// same name before the control machines notice that it was gone.
+const LEAVING_TTL: Duration = Duration::from_secs(60);
+/// Removed back ends whose notices are kept; the notices that expire first are dropped first. A rolling restart that
+/// removes two back ends per second fills about a tenth of this within [`LEAVING_TTL`].
+const MAX_ABSENT: usize = 1_024;
+/// How long the limit of a removed back end is kept. A network partition between a back end and the control machines
+/// removes the back end from the view of the routers, and it is added again when the partition ends.
+const ABSENT_LIMIT_TTL: Duration = Duration::from_secs(60);
+/// Initial size of the window after a backoff, in requests in flight. A back end looks idle when its backoff ends.
+/// Without a window, all requests of all routers would go to it, it would be full at once and would ask for the next
+/// backoff. A pool with room for twice its load would not recover from that by itself.
+const INITIAL_WINDOW: f64 = 1.0;
+/// Callers that are refused because all back ends asked for a backoff are told to retry after it has ended, spread
+/// over this fraction of the time that remains until then.
+const RETRY_JITTER: f64 = 0.5;
+/// Shortest time over which they are spread, because a short backoff ends for all routers at about the same moment.
+const MIN_RETRY_JITTER: Duration = Duration::from_millis(200);
+
+/// Longest time after which a caller is told to retry when back ends limit their request rate. Up to this time, each
+/// caller gets a retry time of its own.
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(10);
+
+/// The notices of one back end that are in force.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NoticeState {
-    /// It asked for no requests until then.
+    /// The back end asked for no requests until this time.
     backoff_until: Timestamp,
-    /// It leaves, and is taken to until then.
-    leaves_until: Timestamp,
-    /// After a pause, how many of this router's requests it is given at once; `None` when there is no such bound.
+    /// The back end is considered leaving until this time.
+    leaving_until: Timestamp,
+    /// Limits this router's requests in flight after a backoff; `None` while there is no such limit.
     window: Option<Window>,
-    /// The limit that it named.
-    limit: Option<HeldLimit>,
+    /// The rate limit that the back end named last.
+    limit: Option<NamedLimit>,
 }
 
-/// A limit that a back end named.
+/// A rate limit that a back end named.
 #[derive(Clone, Debug)]
-struct HeldLimit {
+struct NamedLimit {
     rate: RequestRate,
-    /// What this router may send of it.
-    part: RatePart,
-    /// When it was named last.
-    named: Timestamp,
+    /// This router's share of the rate.
+    share: RatePart,
+    /// When the back end last named a limit.
+    last_named: Timestamp,
 }
 
-/// Whether a back end may be sent a request, by what it said of itself.
+/// Whether a back end may be sent a request according to its notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Permission {
-    /// Now.
+    /// A request may be sent now.
     Granted,
-    /// After so long.
-    In(Duration),
-    /// Once it has accepted one that it has.
-    OnceOneIsAccepted,
-    /// It leaves.
+    /// A request may be sent after this time.
+    After(Duration),
+    /// The window after a backoff is full: the next request may be sent when the back end accepts one in flight.
+    WindowFull,
+    /// The back end is leaving.
     Never,
 }
 
-/// By what and when a notice came.
+/// The circumstances in which a notice arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NoticeContext {
     pub now: Timestamp,
-    /// When the request was sent that the notice is in the answer to.
+    /// When the request was sent whose answer carries the notice.
     pub request_sent_at: Timestamp,
-    /// Routers that share a limit.
+    /// How many routers share a limit.
     pub routers: u16,
-    /// Sets this router's part of a limit apart from the others'.
+    /// Seed that makes this router's use of its share differ from that of the other routers.
     pub seed: u64,
 }
 
-/// Requests that a back end is given at once: few at first, one more for each that it accepts up to half of what was
-/// too many, and from there one more for each time that it has accepted as many (slow start and additive increase,
-/// RFC 5681 §3.1).
+/// Congestion window: the limit on requests in flight to a back end after a backoff. It grows by one per accepted
+/// request up to the threshold, and beyond it by one per window of accepted requests (slow start and additive
+/// increase, RFC 5681 §3.1).
 #[derive(Clone, Copy, Debug)]
 struct Window {
     size: f64,
-    /// Half of the requests that it had when it asked for a pause last.
+    /// Half of the requests in flight when the back end last asked for a backoff.
     threshold: f64,
 }
 
 impl Window {
-    fn after_pause(in_flight: u32) -> Self {
+    fn after_backoff(in_flight: u32) -> Self {
         Self {
-            size: FIRST_WINDOW,
-            threshold: (f64::from(in_flight) / 2.0).max(FIRST_WINDOW),
+            size: INITIAL_WINDOW,
+            threshold: (f64::from(in_flight) / 2.0).max(INITIAL_WINDOW),
         }
     }
 
@@ -109,23 +110,23 @@
     }
 }
 
-/// What a notice changed.
+/// What changed with a notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NoticeChange {
-    /// The back end has asked for no requests, for longer than before.
+    /// True when the notice starts a backoff or extends it.
     pub backs_off: bool,
-    /// It is known to leave from now on.
+    /// True when the back end was not known to be leaving before.
     pub leaves: bool,
-    /// The limit that it names is another one than before.
+    /// The change of the rate limit, if there is one.
     pub limit: Option<LimitChange>,
 }
 
-/// How a limit that a back end names has changed.
+/// A change of the rate limit that a back end names.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// It names this one.
+    /// The back end names this limit.
     Named(RequestRate),
-    /// It names none any more.
+    /// The back end no longer names a limit.
     Ended,
 }
 
@@ -145,17 +146,17 @@
             let until = now.plus(retry_after);
             change.backs_off = until > self.backoff_until;
             self.backoff_until = self.backoff_until.max(until);
-            self.window = Some(Window::after_pause(in_flight));
+            self.window = Some(Window::after_backoff(in_flight));
         }
         if notice.is_leaving {
-            change.leaves = self.leaves_until <= now;
-            self.leaves_until = now.plus(LEAVING_HOLDS);
+            change.leaves = self.leaving_until <= now;
+            self.leaving_until = now.plus(LEAVING_TTL);
         }
         change
     }
 
-    /// A limit that falls is in force at once. One that rises or ends is so only by an answer to a request that was
-    /// sent after the limit was named last: answers overtake one another.
+    /// A lower limit takes effect at once. A higher limit, or the end of the limit, takes effect only if the answer is
+    /// to a request that was sent after the limit was last named, because answers may arrive out of order.
     fn apply_limit(
         &mut self,
         named: Option<RequestRate>,
@@ -165,89 +166,93 @@
         let Some(held) = &mut self.limit else {
             let rate = named?;
             let (routers, seed) = (context.routers, context.seed);
-            let part = RatePart::new(now, rate.as_per_second(), routers, seed);
-            let named = now;
-            self.limit = Some(HeldLimit { rate, part, named });
+            let share = RatePart::new(now, rate.as_per_second(), routers, seed);
+            let last_named = now;
+            self.limit = Some(NamedLimit {
+                rate,
+                share,
+                last_named,
+            });
             return Some(LimitChange::Named(rate));
         };
-        let is_newer = context.request_sent_at >= held.named;
+        let is_newer = context.request_sent_at >= held.last_named;
         let Some(rate) = named else {
             self.limit.take_if(|_| is_newer)?;
             return Some(LimitChange::Ended);
         };
-        held.named = now;
+        held.last_named = now;
         if rate == held.rate || (rate > held.rate && !is_newer) {
             return None;
         }
         held.rate = rate;
-        held.part.set_rate(now, rate.as_per_second());
+        held.share.set_rate(now, rate.as_per_second());
         Some(LimitChange::Named(rate))
     }
 
-    /// The limit that it named, as long as it does.
+    /// The rate limit in force, if there is one.
     pub fn limit(&self) -> Option<RequestRate> {
         self.limit.as_ref().map(|limit| limit.rate)
     }
 
-    /// Requests a second that this router may send it, while it names a limit.
-    fn own_rate(&self) -> Option<f64> {
+    /// Requests per second that this router may send, or `None` without a limit.
+    fn own_rate_per_second(&self) -> Option<f64> {
         let limit = self.limit.as_ref();
-        limit.map(|limit| limit.part.per_second())
+        limit.map(|limit| limit.share.per_second())
     }
 
-    /// So many routers share its limit from now on.
+    /// Changes the number of routers that share the limit.
     pub fn set_routers(&mut self, now: Timestamp, routers: u16) {
         if let Some(limit) = &mut self.limit {
-            limit.part.set_routers(now, routers);
+            limit.share.set_routers(now, routers);
         }
     }
 
-    /// A request goes to it.
+    /// Charges a request that has been placed at the back end to this router's share of the limit.
     pub fn on_sent(&mut self, now: Timestamp) {
         if let Some(limit) = &mut self.limit {
-            limit.part.charge(now);
+            limit.share.charge(now);
         }
     }
 
-    /// A request that was to go to it did not.
+    /// Pays back the charge of a request that was placed at the back end but not sent.
     pub fn on_not_sent(&mut self, now: Timestamp) {
         if let Some(limit) = &mut self.limit {
-            limit.part.pay_back(now);
+            limit.share.pay_back(now);
         }
     }
 
-    /// Whether it may be sent a request, and if not, when. `in_flight` is what it has of this router.
+    /// Whether the back end may be sent a request, and if not, when. `in_flight` counts this router's requests.
     pub fn permission(&self, now: Timestamp, in_flight: u32) -> Permission {
-        if self.leaves_until > now {
+        if self.leaving_until > now {
             return Permission::Never;
         }
-        let limit = self.limit.as_ref().filter(|limit| !limit.part.admits(now));
-        let limit = limit.map_or(Duration::ZERO, |limit| limit.part.wait(now));
+        let limit = self.limit.as_ref().filter(|limit| !limit.share.admits(now));
+        let limit = limit.map_or(Duration::ZERO, |limit| limit.share.wait(now));
         let wait = self.backoff_until.since(now).max(limit);
         if !wait.is_zero() {
-            return Permission::In(wait);
+            return Permission::After(wait);
         }
-        if self.have_room(in_flight) {
+        if self.has_room(in_flight) {
             Permission::Granted
         } else {
-            Permission::OnceOneIsAccepted
+            Permission::WindowFull
         }
     }
 
-    /// False while it is to get nothing, also of what was to be sent before. A limit is no such word: what was chosen
-    /// for it was charged.
+    /// False during a backoff and while the back end is leaving: requests that were placed there but not sent must
+    /// not be sent either. A rate limit does not withhold them, because they were charged when they were placed.
     pub fn allow_requests(&self, now: Timestamp) -> bool {
-        self.backoff_until <= now && self.leaves_until <= now
+        self.backoff_until <= now && self.leaving_until <= now
     }
 
-    /// False while it has as many of this router's requests as it is given at once after a pause.
-    fn have_room(&self, in_flight: u32) -> bool {
+    /// False while this router's requests in flight fill the window after a backoff.
+    fn has_room(&self, in_flight: u32) -> bool {
         self.window
             .is_none_or(|window| f64::from(in_flight) < window.size.floor())
     }
 
-    /// It accepted a request; that a stream has begun suffices. One that has accepted as many at once as it has slots
-    /// is as well as any other.
+    /// The back end accepted a request; for a stream, its start is enough. The window is removed when it exceeds the
+    /// back end's slots: the back end then needs no special treatment.
     pub fn on_accepted(&mut self, slots: u32) {
         if let Some(window) = &mut self.window {
             window.on_accepted();
@@ -255,58 +260,62 @@
         self.window = self.window.filter(|window| window.size <= f64::from(slots));
     }
 
-    /// Whether it said that it leaves.
+    /// Whether the back end has announced that it is leaving.
     pub fn announced_leaving(&self, now: Timestamp) -> bool {
-        self.leaves_until > now
+        self.leaving_until > now
     }
 
-    fn ends_at(&self) -> Timestamp {
+    fn expires_at(&self) -> Timestamp {
         let limit = self.limit.as_ref();
         let limit = limit.map_or(Timestamp::default(), |limit| {
-            limit.named.plus(LIMIT_HOLDS_WHILE_ABSENT)
+            limit.last_named.plus(ABSENT_LIMIT_TTL)
         });
-        self.backoff_until.max(self.leaves_until).max(limit)
+        self.backoff_until.max(self.leaving_until).max(limit)
     }
 }
 
-/// What back ends said that control machines do not name at present. They may name them again: one that is cut
-/// off from them and from no router is removed and comes back, and what it said holds on.
+/// Notices of back ends that the control machines do not list at present. A back end that is cut off from the control
+/// machines but not from the routers is removed and added again later, and its notices must stay in force.
 #[derive(Debug, Default)]
 pub(super) struct AbsentNotices(BTreeMap<InstanceId, NoticeState>);
 
 impl AbsentNotices {
-    /// A back end is no longer named.
+    /// Keeps the notices of a back end that was removed from the view.
     pub fn keep(&mut self, instance: InstanceId, notices: NoticeState) {
-        if notices.ends_at() > Timestamp::default() {
+        if notices.expires_at() > Timestamp::default() {
             self.0.insert(instance, notices);
         }
-        if self.0.len() > MOST_ABSENT {
-            let ends = self.0.iter().map(|(id, notices)| (notices.ends_at(), id));
-            let first = ends.min().map(|(_, id)| id.clone());
+        if self.0.len() > MAX_ABSENT {
+            let expiries = self
+                .0
+                .iter()
+                .map(|(id, notices)| (notices.expires_at(), id));
+            let first = expiries.min().map(|(_, id)| id.clone());
             if let Some(first) = first {
                 self.0.remove(&first);
             }
         }
     }
 
-    /// It is named again.
+    /// Returns the notices of a back end that was added again, or empty ones.
     pub fn restore(&mut self, instance: &InstanceId) -> NoticeState {
         self.0.remove(instance).unwrap_or_default()
     }
 
-    /// It answered a request that was sent before.
+    /// Applies a notice in an answer that arrived after the back end was removed.
     pub fn apply(
         &mut self,
         instance: &InstanceId,
         notice: BackEndNotice,
         context: NoticeContext,
     ) -> NoticeChange {
-        self.0.retain(|_, notices| notices.ends_at() > context.now);
+        self.0
+            .retain(|_, notices| notices.expires_at() > context.now);
         let notices = self.0.entry(instance.clone()).or_default();
         notices.apply(notice, context, 0)
     }
 
-    /// So many routers share limits from now on.
+    /// Changes the number of routers that share each limit.
     pub fn set_routers(&mut self, now: Timestamp, routers: u16) {
         for notices in self.0.values_mut() {
             notices.set_routers(now, routers);
@@ -315,36 +324,36 @@
 }
 
 impl RouterCore {
-    /// When all back ends that could take a request have asked for no requests: until when. For the answer to one
-    /// that was sent to the last of them.
+    /// Returns [`ChoiceError::BackedOff`] when every back end that could serve a request is in backoff or has reached
+    /// its limit. Used to answer a request whose last attempt failed.
     pub fn pool_backoff(
         &mut self,
         now: Timestamp,
         admission: &Admission,
         prompt: Option<&Prompt>,
     ) -> Option<ChoiceError> {
-        let draw = self.random.random();
+        let sample = self.random.random();
         let none_left = self.candidates(now, admission, prompt).is_empty();
-        let reason = none_left.then(|| self.no_candidate_error(now, admission, prompt, draw));
+        let reason = none_left.then(|| self.no_candidate_error(now, admission, prompt, sample));
         reason.filter(|reason| matches!(reason, ChoiceError::BackedOff(_)))
     }
 
-    /// Why no back end of a pool takes a request. When all have asked for no requests, or have got what they take,
-    /// its caller is told when the first of them takes some again: holding the request until then would let it die
-    /// with this router, and sending it all the same would be turned away, or more than the back end has room for.
+    /// The error for a request that no back end of its pool accepts at present. When all of them are in backoff or at
+    /// their limit, the caller is told when the first of them accepts requests again. Holding the request until then
+    /// would lose it if this router crashed. Sending it anyway would get it refused or exceed the back end's capacity.
     pub(super) fn no_candidate_error(
         &mut self,
         now: Timestamp,
         admission: &Admission,
         prompt: Option<&Prompt>,
-        draw: u64,
+        sample: u64,
     ) -> ChoiceError {
         let eligible = self.eligible(now, admission, prompt);
         let waits = eligible.iter().filter_map(|candidate| {
             let endpoint = candidate.endpoint;
             match endpoint.permission(now) {
-                Permission::In(wait) => Some(wait),
-                Permission::Granted | Permission::OnceOneIsAccepted => Some(Duration::ZERO),
+                Permission::After(wait) => Some(wait),
+                Permission::Granted | Permission::WindowFull => Some(Duration::ZERO),
                 Permission::Never => None,
             }
         });
@@ -353,14 +362,20 @@
             return ChoiceError::NoneReady;
         };
         let limits = eligible.iter();
-        let limits = limits.filter_map(|candidate| candidate.endpoint.notices.own_rate());
-        let own_rate: f64 = limits.sum();
-        let draw = draw as f64 / u64::MAX as f64;
-        let retry_after = if own_rate > 0.0 {
-            let room = &mut self.retry_schedule;
-            room.next(now, &admission.pool, soonest, own_rate) + LEAST_SPREAD.mul_f64(draw)
+        let limits =
+            limits.filter_map(|candidate| candidate.endpoint.notices.own_rate_per_second());
+        let own_rate_per_second: f64 = limits.sum();
+        let sample = sample as f64 / u64::MAX as f64;
+        let retry_after = if own_rate_per_second > 0.0 {
+            let schedule = &mut self.retry_schedule;
+            schedule.next(now, &admission.pool, soonest, own_rate_per_second)
+                + MIN_RETRY_JITTER.mul_f64(sample)
         } else {
-            soonest + soonest.mul_f64(SPREAD).max(LEAST_SPREAD).mul_f64(draw)
+            soonest
+                + soonest
+                    .mul_f64(RETRY_JITTER)
+                    .max(MIN_RETRY_JITTER)
+                    .mul_f64(sample)
         };
         ChoiceError::BackedOff(Backoff {
             back_ends: waits.len(),
@@ -370,26 +385,27 @@
     }
 }
 
-/// When callers that were refused return to pools whose back ends limit what they take: one after the other, as this
-/// router's part of the limits has room. Were all told of the next moment, one of them would be served then.
+/// Assigns retry times to refused callers of pools whose back ends limit their rate. The times are spaced by the rate
+/// of this router's share. If all callers were told the same time, only one of them would be served then.
 #[derive(Debug, Default)]
 pub(super) struct RetrySchedule(BTreeMap<PoolName, Timestamp>);
 
 impl RetrySchedule {
-    /// When the next caller has room, who was refused now; `soonest` is when the first has.
+    /// The time until the next refused caller is to retry; `soonest` is the earliest time at which a back end accepts
+    /// a request.
     fn next(
         &mut self,
         now: Timestamp,
         pool: &PoolName,
         soonest: Duration,
-        own_rate: f64,
+        own_rate_per_second: f64,
     ) -> Duration {
-        let taken = self.0.entry(pool.clone()).or_default();
-        let at = now.plus(soonest).max(*taken);
-        let furthest = now.plus(LONGEST_WAIT_FOR_ROOM.max(soonest));
+        let next_free = self.0.entry(pool.clone()).or_default();
+        let at = now.plus(soonest).max(*next_free);
+        let furthest = now.plus(MAX_RETRY_WAIT.max(soonest));
         let at = at.min(furthest);
-        let one_request = Duration::try_from_secs_f64(1.0 / own_rate);
-        *taken = at.plus(one_request.unwrap_or(LONGEST_WAIT_FOR_ROOM));
+        let interval = Duration::try_from_secs_f64(1.0 / own_rate_per_second);
+        *next_free = at.plus(interval.unwrap_or(MAX_RETRY_WAIT));
         at.since(now)
     }
 }
--- a/crates/gateway-core/src/router/notices_tests.rs
+++ b/crates/gateway-core/src/router/notices_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what back ends say of themselves.
+//! Tests of the notices of back ends.
 
 use rstest::rstest;
 
@@ -9,11 +9,11 @@
 use super::*;
 use crate::{Lifecycle, RequestKind};
 
-const PAUSE: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 
-fn pause() -> BackEndNotice {
+fn backing_off() -> BackEndNotice {
     BackEndNotice {
-        retry_after: Some(PAUSE),
+        retry_after: Some(BACKOFF),
         ..BackEndNotice::default()
     }
 }
@@ -38,7 +38,7 @@
     InstanceId::new(name)
 }
 
-/// Back ends that get some of a hundred requests at a time.
+/// The back ends that are chosen for any of a hundred requests.
 fn chosen(router: &mut RouterCore, now: Timestamp) -> Vec<InstanceId> {
     let admission = admit(router, at(1), "/a/x");
     let mut chosen = Vec::new();
@@ -61,9 +61,9 @@
 }
 
 #[test]
-fn one_that_asked_for_a_pause_gets_nothing_until_it_has_passed() {
+fn a_back_end_in_backoff_gets_no_requests_until_it_ends() {
     let mut router = router();
-    let change = router.on_notice(at(10), &id("app-1"), pause(), at(10));
+    let change = router.on_notice(at(10), &id("app-1"), backing_off(), at(10));
     assert!(change.backs_off && !change.leaves);
     assert!(!chosen(&mut router, at(11)).contains(&id("app-1")));
     assert!(!chosen(&mut router, at(3_009)).contains(&id("app-1")));
@@ -71,12 +71,12 @@
 }
 
 #[test]
-fn a_shorter_pause_does_not_end_a_longer_one() {
+fn a_shorter_backoff_does_not_shorten_a_longer_one() {
     let mut router = router();
-    router.on_notice(at(10), &id("app-1"), pause(), at(10));
+    router.on_notice(at(10), &id("app-1"), backing_off(), at(10));
     let shorter = BackEndNotice {
         retry_after: Some(Duration::from_millis(100)),
-        ..pause()
+        ..backing_off()
     };
     assert!(
         !router
@@ -87,50 +87,56 @@
 }
 
 #[test]
-fn when_all_ask_for_a_pause_callers_are_told_when_the_first_one_ends() {
+fn retry_after_is_spread_after_the_first_backoff_when_all_back_ends_back_off() {
     let mut router = router();
     for (index, name) in ["app-1", "app-2", "app-3"].into_iter().enumerate() {
         router.on_notice(
             at(10 + index as u64),
             &id(name),
-            pause(),
+            backing_off(),
             at(10 + index as u64),
         );
     }
-    let mut told = Vec::new();
+    let mut retry_times = Vec::new();
     for _ in 0..200 {
         let ChoiceError::BackedOff(backoff) = error(&mut router, at(1_010)) else {
-            panic!("refused for the pause");
+            panic!("expected a refusal because of the backoff");
         };
         assert_eq!(
             (backoff.back_ends, backoff.soonest),
             (3, Duration::from_secs(2))
         );
-        told.push(backoff.retry_after);
+        retry_times.push(backoff.retry_after);
     }
-    let (first, last) = (told.iter().min().unwrap(), told.iter().max().unwrap());
-    assert!(*first >= Duration::from_secs(2), "not before it ends");
+    let (first, last) = (
+        retry_times.iter().min().unwrap(),
+        retry_times.iter().max().unwrap(),
+    );
+    assert!(
+        *first >= Duration::from_secs(2),
+        "earlier than the end of the first backoff"
+    );
     assert!(
         *last - *first > Duration::from_millis(800),
-        "spread over a second"
+        "expected a spread over a second"
     );
     assert!(*last <= Duration::from_secs(3));
     assert_eq!(chosen(&mut router, at(3_010)), [id("app-1")]);
 }
 
-/// Requests that one back end gets at once when it is the only one.
-fn at_once(router: &mut RouterCore, now: Timestamp) -> Vec<Choice> {
+/// Places requests at the only back end until one is refused; none of them is accepted or finished.
+fn sent_until_refused(router: &mut RouterCore, now: Timestamp) -> Vec<Choice> {
     let admission = admit(router, at(1), "/a/x");
     let mut open = Vec::new();
     while let Ok(choice) = router.choose(now, &admission, None, EarlierAttempts::default()) {
         open.push(choice);
-        assert!(open.len() < 100, "no bound");
+        assert!(open.len() < 100, "requests in flight are not limited");
     }
     open
 }
 
 #[test]
-fn after_a_pause_a_back_end_gets_one_request_and_then_more() {
+fn the_window_after_a_backoff_starts_at_one_and_grows() {
     let mut router = router_with(vec![record("app-1", "apps", 1)]);
     let now = at(10);
     let admission = admit(&mut router, at(1), "/a/x");
@@ -138,36 +144,37 @@
         let choice = router.choose(now, &admission, None, EarlierAttempts::default());
         assert!(choice.is_ok());
     }
-    router.on_notice(now, &id("app-1"), pause(), now);
+    router.on_notice(now, &id("app-1"), backing_off(), now);
     for _ in 0..8 {
         router.finished(now, &id("app-1"), now, Outcome::Shed);
     }
     let later = at(4_000);
     let mut sizes = Vec::new();
     for _ in 0..6 {
-        let open = at_once(&mut router, later);
+        let open = sent_until_refused(&mut router, later);
         sizes.push(open.len());
         for choice in open {
             router.accepted(later, &choice);
             router.finished(later, &choice.instance, later, Outcome::Answered);
         }
     }
-    // It had eight when it asked: one more for each that it accepts up to four, then one more for about as many.
+    // Eight requests were in flight when the backoff began, so the threshold is four: slow start up to four, then one
+    // more per window of accepted requests.
     assert_eq!(sizes, [1, 2, 4, 4, 5, 6]);
     let ChoiceError::BackedOff(backoff) = ({
-        at_once(&mut router, later);
+        sent_until_refused(&mut router, later);
         error(&mut router, later)
     }) else {
-        panic!("refused for the window");
+        panic!("expected a refusal because of the window");
     };
-    assert!(backoff.retry_after <= LEAST_SPREAD, "{backoff:?}");
+    assert!(backoff.retry_after <= MIN_RETRY_JITTER, "{backoff:?}");
 }
 
-/// It speaks to the router that it answers; the others hear of refusals without a pause only.
+/// A backoff is for the router that receives it. Only refusals without a backoff are announced to other routers.
 #[test]
-fn a_pause_is_not_passed_on_to_other_routers() {
+fn a_backoff_is_not_announced_to_other_routers() {
     let mut router = router();
-    router.on_notice(at(10), &id("app-1"), pause(), at(10));
+    router.on_notice(at(10), &id("app-1"), backing_off(), at(10));
     router.finished(at(10), &id("app-1"), at(5), Outcome::Shed);
     assert!(router.take_refusing().is_empty());
     router.finished(at(10), &id("app-2"), at(5), Outcome::Shed);
@@ -175,22 +182,22 @@
 }
 
 #[test]
-fn a_pool_that_leaves_is_not_waited_for() {
+fn a_pool_of_leaving_back_ends_gives_no_retry_time() {
     let mut router = router();
     for name in ["app-1", "app-2", "app-3"] {
         router.on_notice(at(10), &id(name), leaving(), at(10));
-        router.on_notice(at(10), &id(name), pause(), at(10));
+        router.on_notice(at(10), &id(name), backing_off(), at(10));
     }
     assert_eq!(error(&mut router, at(20)), ChoiceError::NoneReady);
 }
 
-/// What control machines say in between changes nothing.
+/// Updates from control machines must not discard the notices of a back end.
 #[rstest]
 #[case::a_change_of_the_record(true)]
 #[case::removed_and_registered_again(false)]
-fn what_was_said_outlives_changes_of_the_view(#[case] stays: bool) {
+fn notices_survive_changes_of_the_view(#[case] stays: bool) {
     let mut router = router();
-    router.on_notice(at(10), &id("app-1"), pause(), at(10));
+    router.on_notice(at(10), &id("app-1"), backing_off(), at(10));
     router.on_notice(at(10), &id("app-2"), leaving(), at(10));
     if stays {
         let mut changed = record("app-1", "apps", 1);
@@ -208,17 +215,17 @@
 }
 
 #[test]
-fn what_was_said_outlives_a_view_that_is_taken_in_anew() {
+fn notices_survive_a_full_transfer_of_the_view() {
     let mut router = router();
-    router.on_notice(at(10), &id("app-1"), pause(), at(10));
+    router.on_notice(at(10), &id("app-1"), backing_off(), at(10));
     let whole = (1..=3).map(|number| record(&format!("app-{number}"), "apps", number));
     update(&mut router, at(20), changes(0, 20, whole.collect()));
     assert!(!chosen(&mut router, at(30)).contains(&id("app-1")));
 }
 
-/// An answer to a request that was under way when control machines removed its back end.
+/// The answer to a request may arrive after the control machines have removed its back end.
 #[test]
-fn one_that_is_not_named_at_present_is_heard_as_well() {
+fn a_notice_from_a_removed_back_end_is_kept() {
     let mut router = router_with(vec![record("app-2", "apps", 2)]);
     router.on_notice(at(10), &id("app-1"), leaving(), at(10));
     let named = vec![record("app-1", "apps", 12)];
@@ -227,7 +234,7 @@
 }
 
 #[test]
-fn one_that_leaves_is_tried_again_when_it_stays_for_long() {
+fn a_leaving_back_end_is_tried_again_after_the_ttl() {
     let mut router = router();
     assert!(
         router
@@ -243,9 +250,9 @@
     assert!(router.allows_requests(at(61_000), &id("app-1")));
 }
 
-/// The others are silent, and avoided while there are better ones: the pause is no preference.
+/// An unresponsive back end is used when no better one is left, but a back end in backoff is never used.
 #[test]
-fn the_last_resort_passes_over_those_that_asked_for_a_pause() {
+fn an_unresponsive_back_end_is_preferred_to_those_in_backoff() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/x");
     let silent = router
@@ -254,16 +261,16 @@
     router.finished(at(1), &silent.instance, at(1), Outcome::Unreachable);
     for name in ["app-1", "app-2", "app-3"] {
         if id(name) != silent.instance {
-            router.on_notice(at(2), &id(name), pause(), at(2));
+            router.on_notice(at(2), &id(name), backing_off(), at(2));
         }
     }
     assert_eq!(chosen(&mut router, at(3)), [silent.instance]);
 }
 
 #[rstest]
-#[case(pause())]
+#[case(backing_off())]
 #[case(leaving())]
-fn a_copy_of_a_run_is_not_gone_on_with_there(#[case] notice: BackEndNotice) {
+fn a_copy_is_not_resumed_at_a_back_end_in_backoff_or_leaving(#[case] notice: BackEndNotice) {
     let mut router = router();
     let admission = short_stream(&mut router, RequestKind::Stream);
     let copy = RunCopy {
@@ -282,52 +289,54 @@
         .is_err());
 }
 
-/// Draining by its heartbeats as well: it is not among those that callers are told to come back for.
+/// A back end that its heartbeats report as draining must not determine when callers are told to retry, even if its
+/// backoff ends first.
 #[test]
-fn only_those_that_could_take_the_request_count() {
-    let mut drains = record("app-2", "apps", 2);
-    drains.lifecycle = Lifecycle::Draining;
-    let mut router = router_with(vec![record("app-1", "apps", 1), drains]);
+fn draining_back_ends_do_not_count_for_retry_after() {
+    let mut draining = record("app-2", "apps", 2);
+    draining.lifecycle = Lifecycle::Draining;
+    let mut router = router_with(vec![record("app-1", "apps", 1), draining]);
     router.on_notice(
         at(5),
         &id("app-2"),
         BackEndNotice {
             retry_after: Some(Duration::from_millis(100)),
-            ..pause()
+            ..backing_off()
         },
         at(5),
     );
-    router.on_notice(at(10), &id("app-1"), pause(), at(10));
+    router.on_notice(at(10), &id("app-1"), backing_off(), at(10));
     let ChoiceError::BackedOff(backoff) = error(&mut router, at(10)) else {
-        panic!("refused for the pause");
+        panic!("expected a refusal because of the backoff");
     };
-    assert_eq!((backoff.back_ends, backoff.soonest), (1, PAUSE));
+    assert_eq!((backoff.back_ends, backoff.soonest), (1, BACKOFF));
 }
 
-/// What it had in hand did not end it.
+/// When a back end ends after it announced that it is leaving, this is not a crash, so the requests in flight there
+/// must not be suspected.
 #[test]
-fn one_that_said_it_leaves_to_this_router_ends_as_announced() {
+fn a_back_end_that_announced_leaving_is_not_serving() {
     let mut router = router();
     assert!(router.is_serving(at(5), &id("app-1")));
     router.on_notice(at(10), &id("app-1"), leaving(), at(10));
     assert!(!router.is_serving(at(11), &id("app-1")));
-    router.on_notice(at(10), &id("app-2"), pause(), at(10));
+    router.on_notice(at(10), &id("app-2"), backing_off(), at(10));
     assert!(router.is_serving(at(11), &id("app-2")));
 }
 
 #[test]
-fn what_is_kept_of_those_that_are_gone_is_bounded() {
+fn the_number_of_absent_back_ends_with_notices_is_bounded() {
     let mut absent = AbsentNotices::default();
-    for number in 0..3 * MOST_ABSENT as u64 {
+    for number in 0..3 * MAX_ABSENT as u64 {
         let mut notices = NoticeState::default();
         notices.apply(leaving(), context(at(number)), 0);
         absent.keep(id(&format!("app-{number}")), notices);
     }
-    assert_eq!(absent.0.len(), MOST_ABSENT);
-    let last = id(&format!("app-{}", 3 * MOST_ABSENT - 1));
+    assert_eq!(absent.0.len(), MAX_ABSENT);
+    let last = id(&format!("app-{}", 3 * MAX_ABSENT - 1));
     assert!(
         !absent.restore(&last).allow_requests(at(9)),
-        "the last are kept"
+        "the latest notices are kept"
     );
 }
 
@@ -338,14 +347,14 @@
     }
 }
 
-/// A limit of 2 that was named at 100 ms, and then an answer.
+/// An answer arrives after a limit of 2 requests per second was named at 100 ms.
 #[rstest]
 #[case::falls(90, Some(1.0), Some(1.0))]
 #[case::rises(100, Some(3.0), Some(3.0))]
 #[case::an_older_answer_that_names_more(90, Some(3.0), Some(2.0))]
 #[case::ends(100, None, None)]
 #[case::an_older_answer_that_names_none(90, None, Some(2.0))]
-fn a_limit_holds_until_a_newer_answer_says_otherwise(
+fn a_limit_is_raised_or_ended_only_by_a_newer_answer(
     #[case] asked: u64,
     #[case] named: Option<f64>,
     #[case] expected: Option<f64>,
@@ -360,7 +369,7 @@
 }
 
 #[test]
-fn a_limit_is_told_apart_from_the_one_before() {
+fn only_changes_of_a_limit_are_returned() {
     let mut router = router();
     let app = id("app-1");
     let named = |rate: f64| RequestRate::per_second(rate).map(LimitChange::Named);
@@ -372,7 +381,7 @@
     assert_eq!(ended.limit, Some(LimitChange::Ended));
 }
 
-/// Requests that a back end gets between two times when it is asked for one each 10 ms.
+/// The number of requests that are placed when one is attempted every 10 ms between the two times.
 fn sent_between(router: &mut RouterCore, from: u64, to: u64) -> usize {
     let admission = admit(router, at(1), "/a/x");
     let mut sent = 0;
@@ -387,19 +396,19 @@
 }
 
 #[test]
-fn one_that_names_a_limit_gets_this_routers_part_of_it() {
+fn requests_stay_within_this_routers_share_of_a_limit() {
     let mut router = router_with(vec![record("app-1", "apps", 1)]);
     router.on_confirmed(at(1), 10, 4);
     router.on_notice(at(10), &id("app-1"), limited(2.0), at(10));
     let sent = sent_between(&mut router, 10, 20_010);
     assert!(
         (9..=11).contains(&sent),
-        "{sent} in 20 s, a quarter of 2 a second"
+        "{sent} requests in 20 s, expected a quarter of 2 per second"
     );
 }
 
 #[test]
-fn a_limit_that_has_ended_holds_nothing_back() {
+fn requests_are_not_limited_after_a_limit_has_ended() {
     let mut router = router_with(vec![record("app-1", "apps", 1)]);
     router.on_notice(at(10), &id("app-1"), limited(0.1), at(10));
     router.on_notice(at(20), &id("app-1"), BackEndNotice::default(), at(15));
@@ -410,7 +419,7 @@
 #[case::not_connected(Outcome::Unreachable)]
 #[case::no_connection_free(Outcome::NoFreeConnection)]
 #[case::withheld(Outcome::Withheld)]
-fn what_did_not_reach_it_is_not_counted(#[case] outcome: Outcome) {
+fn requests_that_were_not_sent_are_not_charged_to_the_limit(#[case] outcome: Outcome) {
     let mut router = router_with(vec![record("app-1", "apps", 1)]);
     router.on_confirmed(at(1), 10, 4);
     router.on_notice(at(10), &id("app-1"), limited(0.1), at(10));
@@ -426,7 +435,7 @@
 }
 
 #[test]
-fn a_limit_holds_while_its_back_end_is_not_named() {
+fn a_limit_is_kept_while_its_back_end_is_removed() {
     let mut router = router();
     let app = id("app-1");
     router.on_notice(at(10), &app, limited(1.0), at(10));
@@ -442,12 +451,12 @@
     assert!(router.limit_of(&app).is_some());
 }
 
-/// A pause within a limit, and the window after it: what lasts longer holds.
+/// With a backoff, a window and a limit in force at once, the longest wait applies; leaving takes precedence.
 #[test]
-fn a_pause_a_limit_and_leaving_hold_together() {
+fn backoff_limit_and_leaving_apply_together() {
     let mut notices = NoticeState::default();
     let all = BackEndNotice {
-        retry_after: Some(PAUSE),
+        retry_after: Some(BACKOFF),
         is_leaving: true,
         limit: RequestRate::per_second(1.0),
     };
@@ -461,54 +470,54 @@
     notices.apply(paused, context(at(10)), 3);
     assert_eq!(
         notices.permission(at(1_010), 0),
-        Permission::In(Duration::from_secs(2))
+        Permission::After(Duration::from_secs(2))
     );
     assert_eq!(notices.permission(at(3_010), 0), Permission::Granted);
-    assert_eq!(
-        notices.permission(at(3_010), 1),
-        Permission::OnceOneIsAccepted
-    );
+    assert_eq!(notices.permission(at(3_010), 1), Permission::WindowFull);
     for _ in 0..4 {
         notices.on_sent(at(3_010));
     }
-    let Permission::In(wait) = notices.permission(at(3_010), 0) else {
-        panic!("the limit holds after the pause");
+    let Permission::After(wait) = notices.permission(at(3_010), 0) else {
+        panic!("the limit applies after the backoff");
     };
     assert!(wait <= Duration::from_secs(4));
 }
 
-/// A whole pool limits what it takes: callers are told times one after the other.
+/// When all back ends of a pool name limits, refused callers must not all be told the same time.
 #[test]
-fn callers_beyond_limits_are_told_when_there_is_room_for_each() {
+fn callers_refused_by_limits_get_spaced_retry_times() {
     let mut router = router();
     router.on_confirmed(at(1), 10, 2);
     for app in ["app-1", "app-2", "app-3"] {
         router.on_notice(at(10), &id(app), limited(1.0), at(10));
     }
     let now = at(60_000);
-    let mut told = Vec::new();
+    let mut retry_times = Vec::new();
     let admission = admit(&mut router, at(1), "/a/x");
-    while told.len() < 6 {
+    while retry_times.len() < 6 {
         if let Err(error) = router.choose(now, &admission, None, EarlierAttempts::default()) {
             let ChoiceError::BackedOff(backoff) = error else {
-                panic!("refused for the limits");
+                panic!("expected a refusal because of the limits");
             };
-            told.push(backoff.retry_after);
+            retry_times.push(backoff.retry_after);
         }
     }
-    // One and a half requests a second are this router's.
-    let between = told[5] - told[0];
+    // This router's share is 1.5 requests per second.
+    let between = retry_times[5] - retry_times[0];
     let expected = Duration::from_millis(5 * 667);
-    assert!(between.abs_diff(expected) < LEAST_SPREAD, "{told:?}");
+    assert!(
+        between.abs_diff(expected) < MIN_RETRY_JITTER,
+        "{retry_times:?}"
+    );
 }
 
-/// What goes to others may bring it work as well.
+/// Requests placed at other back ends must not add load to a limited one through copies or cache fetches.
 #[test]
-fn nothing_is_copied_to_one_that_names_a_limit_or_fetched_from_it() {
+fn limited_back_ends_get_no_copies_and_no_fetches() {
     let mut router = router();
     let instances = (4..=9).map(|number| id(&format!("llm-{number}")));
-    let limited_ones: Vec<InstanceId> = instances.take(5).collect();
-    for instance in &limited_ones {
+    let limited_instances: Vec<InstanceId> = instances.take(5).collect();
+    for instance in &limited_instances {
         router.on_notice(at(10), instance, limited(100.0), at(10));
     }
     let admission = short_stream(&mut router, RequestKind::Stream);
@@ -518,29 +527,33 @@
         let choice = router.choose(now, &admission, Some(&prompt), EarlierAttempts::default());
         let Ok(choice) = choice else { continue };
         let copied_to = choice.copy.as_ref().map(|copy| &copy.instance);
-        assert!(copied_to.is_none_or(|target| !limited_ones.contains(target)));
+        assert!(copied_to.is_none_or(|target| !limited_instances.contains(target)));
         assert!(choice.fetch_from.is_none(), "{:?}", choice.fetch_from);
         router.accepted(now, &choice);
         router.finished(now, &choice.instance, now, Outcome::Answered);
     }
 }
 
-/// It has few requests and would look idle.
+/// A limited back end has few requests in flight and would look idle if all its slots counted.
 #[test]
-fn one_that_names_a_limit_counts_for_the_slots_that_its_rate_fills() {
+fn a_limited_back_end_counts_only_the_slots_that_its_rate_occupies() {
     let mut router = router();
     router.on_notice(at(10), &id("app-1"), limited(2.0), at(10));
     let endpoint = router.endpoints.get(&id("app-1")).unwrap();
-    assert_eq!(endpoint.slots(), 2, "two a second that stay for 0.8 s each");
+    assert_eq!(
+        endpoint.slots(),
+        2,
+        "2 requests per second with a service time of 0.8 s"
+    );
     let other = router.endpoints.get(&id("app-2")).unwrap();
     assert_eq!(other.slots(), 8);
 }
 
-/// What users saw of it in the fault soak: all back ends of a service named 0 for eight seconds, and 23 s after that a
-/// sixth of the callers were still refused, for no router had sent a request by which it would have found out.
-/// The aim: well again 12 s after the last disturbance.
+/// A router learns that a limit has ended only from the answer to a request, so it must send some even at a limit of 0.
+/// In a soak test, all back ends of a service named 0 for eight seconds; a sixth of the callers were still refused 23 s
+/// later because no router had sent a request. The requirement is recovery within 12 s of the last disturbance.
 #[test]
-fn a_pool_that_takes_nothing_is_well_soon_after_it_takes_all_again() {
+fn a_pool_recovers_soon_after_its_limits_of_zero_have_ended() {
     const RECOVERY_MS: u64 = 12_000;
     let mut router = router();
     router.on_confirmed(at(1), 10, 3);
