--- a/crates/gateway-core/src/router/accounts.rs
+++ b/crates/gateway-core/src/router/accounts.rs
@@ -1,4 +1,4 @@
-//! What this router knows of the limits of tenants: how much is left, and what it admitted itself.
+//! Rate limits of tenants as one router knows them: the levels sent by the leader, and what this router has charged.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,47 +8,49 @@
 use crate::limits::{Account, OwnPart, TenantLimit};
 use crate::{AccountLevel, Document, TenantKey, TenantName, UsageEntry};
 
-/// Levels that the leader sent count for so long; afterwards a router spends its own part of the
-/// limits only. Three times the interval at which the leader sends those of tenants close to their limit.
-const LEVELS_COUNT_FOR: Duration = Duration::from_millis(300);
-/// The same for a tenant that had much of its limit left, which is not to notice an election.
-const AMPLE_LEVELS_COUNT_FOR: Duration = Duration::from_millis(1_800);
-/// A tenant has much of its limit left while the account holds this part of its burst.
-const AMPLE_PART: f64 = 0.5;
+/// How long a level sent by the leader is valid. Afterwards, a router spends only its own share of the limit. This is
+/// three times the interval at which the leader sends the levels of tenants close to their limit.
+const LEVEL_TTL: Duration = Duration::from_millis(300);
+/// How long a level is valid for a tenant that had much of its limit left. It is long enough that such a tenant is not
+/// affected by a leader election.
+const AMPLE_LEVEL_TTL: Duration = Duration::from_millis(1_800);
+/// A tenant has much of its limit left while the account holds at least this fraction of its burst.
+const AMPLE_FRACTION: f64 = 0.5;
 
 /// A request that was charged to a tenant's account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge {
     tenant: TenantKey,
-    /// Units of the limit.
+    /// Cost in units of the limit.
     pub cost: u32,
 }
 
-/// Why a request is beyond its tenant's limit.
+/// Details of a request that exceeds its tenant's limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverLimit {
-    /// The tenant.
+    /// The tenant whose limit is used up.
     pub tenant: TenantName,
-    /// What it would have cost, in units of the limit.
+    /// Cost of the request, in units of the limit.
     pub cost: u32,
-    /// What is left of the limit, or of this router's part of it.
+    /// What is left of the limit, or of this router's share of it.
     pub level: f64,
-    /// How long until the account has room for it.
+    /// Time until the account covers the request.
     pub wait: Duration,
-    /// Age of the last levels received, or of the first configuration before them.
+    /// Age of the last levels received, or of the first configuration if no levels have been received.
     pub age: Option<Duration>,
-    /// True when that is too old, so that this router spends its own part of the limit.
+    /// True when the levels are too old, so that this router spends only its own share of the limit.
     pub by_own_share: bool,
 }
 
 #[derive(Debug)]
 struct TenantAccount {
-    /// Over all routers: the last level received, less what this router has charged since.
+    /// Account over all routers: the last level received, minus what this router has charged since.
     replica: Account,
     own_share: OwnPart,
-    /// Much of the limit was left when levels came last. What flows in afterwards does not count: others use it.
+    /// Whether much of the limit was left when levels were last received. What has been refilled since does not
+    /// count, because other routers may have used it.
     was_ample: bool,
-    /// Not reported to the leader yet; negative when more was paid back than charged.
+    /// Charges not yet reported to the leader; negative when more was paid back than charged.
     unreported: i64,
 }
 
@@ -56,16 +58,16 @@
 #[derive(Debug, Default)]
 pub(super) struct TenantAccounts {
     accounts: BTreeMap<TenantKey, TenantAccount>,
-    /// When levels last arrived, or when this router first had limits: levels of a router that has
-    /// just started count as long as those of one that has just lost its leader.
-    known_at: Option<Timestamp>,
+    /// When levels were last received, or when the first limits were set. Full accounts at a router that has just
+    /// started are thus valid as long as the last levels at a router that has just lost its leader.
+    refreshed_at: Option<Timestamp>,
     routers: u16,
 }
 
 impl TenantAccounts {
-    /// Takes in the limits of a configuration; what was used stays charged.
+    /// Applies the limits of a configuration. Existing charges are kept.
     pub fn set_limits(&mut self, now: Timestamp, document: &Document) {
-        self.known_at.get_or_insert(now);
+        self.refreshed_at.get_or_insert(now);
         let mut earlier = std::mem::take(&mut self.accounts);
         let limited = document
             .tenants
@@ -80,7 +82,7 @@
         }
     }
 
-    /// So many routers share the limits.
+    /// Changes the number of routers that share the limits.
     pub fn set_routers(&mut self, now: Timestamp, routers: u16) {
         self.routers = routers;
         for account in self.accounts.values_mut() {
@@ -89,24 +91,24 @@
     }
 
     /// Admits a request of a tenant and charges it; `Ok(None)` when the tenant has no limit.
-    /// `draw` is a random part of one.
+    /// `sample` is a random sample, uniform in [0, 1).
     pub fn admit(
         &mut self,
         now: Timestamp,
         tenant: &TenantName,
         declared_tokens: Option<u32>,
-        draw: f64,
+        sample: f64,
     ) -> Result<Option<Charge>, OverLimit> {
         let key = TenantKey::of(tenant);
         let Some(account) = self.accounts.get_mut(&key) else {
             return Ok(None);
         };
-        let age = self.known_at.map(|at| now.since(at));
-        let by_own_share = account.is_unknown(now, self.known_at);
+        let age = self.refreshed_at.map(|at| now.since(at));
+        let by_own_share = account.is_stale(now, self.refreshed_at);
         let cost = account.replica.limit().cost(declared_tokens);
         let (bucket, is_admitted) = if by_own_share {
-            let part = &account.own_share;
-            (part.account(), part.admits(now, cost, draw))
+            let own = &account.own_share;
+            (own.account(), own.admits(now, cost, sample))
         } else {
             (&account.replica, account.replica.admits(now))
         };
@@ -124,23 +126,23 @@
         Ok(Some(Charge { tenant: key, cost }))
     }
 
-    /// Charges a request once more: it was sent to a further back end.
+    /// Charges a request again because it is sent to another back end.
     pub fn charge_again(&mut self, now: Timestamp, charge: Charge) {
         if let Some(account) = self.accounts.get_mut(&charge.tenant) {
             account.charge(now, i64::from(charge.cost));
         }
     }
 
-    /// Pays back what was charged for a request that ran nowhere.
+    /// Pays back the charge of a request that no back end executed.
     pub fn pay_back(&mut self, now: Timestamp, charge: Charge) {
         if let Some(account) = self.accounts.get_mut(&charge.tenant) {
             account.charge(now, -i64::from(charge.cost));
         }
     }
 
-    /// Takes in what the leader knows.
+    /// Applies levels sent by the leader. Unreported charges of this router are subtracted from them.
     pub fn on_levels(&mut self, now: Timestamp, levels: &[AccountLevel]) {
-        self.known_at = Some(now);
+        self.refreshed_at = Some(now);
         for received in levels {
             if let Some(account) = self.accounts.get_mut(&received.tenant) {
                 let level = f64::from(received.level) - account.unreported as f64;
@@ -154,7 +156,7 @@
         }
     }
 
-    /// What this router admitted and has not reported yet.
+    /// Returns the charges that have not been reported to the leader, and marks them as reported.
     pub fn take_usage(&mut self, now: Timestamp) -> Vec<UsageEntry> {
         let mut usage = Vec::new();
         for (key, account) in &mut self.accounts {
@@ -173,7 +175,7 @@
     fn new(now: Timestamp, limit: TenantLimit, routers: u16) -> Self {
         let replica = Account::new(now, limit);
         Self {
-            was_ample: replica.level(now) >= limit.burst * AMPLE_PART,
+            was_ample: replica.level(now) >= limit.burst * AMPLE_FRACTION,
             replica,
             own_share: OwnPart::new(now, limit, routers),
             unreported: 0,
@@ -187,21 +189,21 @@
         }
     }
 
-    /// True when levels came last, if ever, too long ago.
-    fn is_unknown(&self, now: Timestamp, known_at: Option<Timestamp>) -> bool {
-        known_at.is_none_or(|at| now.since(at) >= self.levels_count_for(now))
+    /// True when the last levels are too old, or none have been received.
+    fn is_stale(&self, now: Timestamp, refreshed_at: Option<Timestamp>) -> bool {
+        refreshed_at.is_none_or(|at| now.since(at) >= self.level_ttl(now))
     }
 
-    fn levels_count_for(&self, now: Timestamp) -> Duration {
+    fn level_ttl(&self, now: Timestamp) -> Duration {
         if self.was_ample && self.is_ample(now) {
-            AMPLE_LEVELS_COUNT_FOR
+            AMPLE_LEVEL_TTL
         } else {
-            LEVELS_COUNT_FOR
+            LEVEL_TTL
         }
     }
 
     fn is_ample(&self, now: Timestamp) -> bool {
-        self.replica.level(now) >= self.replica.limit().burst * AMPLE_PART
+        self.replica.level(now) >= self.replica.limit().burst * AMPLE_FRACTION
     }
 
     fn charge(&mut self, now: Timestamp, amount: i64) {
--- a/crates/gateway-core/src/router/addresses.rs
+++ b/crates/gateway-core/src/router/addresses.rs
@@ -1,20 +1,20 @@
-//! How many back ends are known at each address: of several incarnations at one, all but the latest have ended.
+//! Number of known back ends per address. Of several incarnations at one address, all but the latest have ended.
 
 use std::collections::HashMap;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Back ends by the hash of their address. Nearly always each has an address of its own, and then no choice of a
-/// back end has to look at addresses at all.
+/// Counts of back ends by the hash of their address. Nearly always each back end has an address of its own, and then
+/// addresses need not be checked when a back end is chosen.
 #[derive(Debug, Default)]
 pub(super) struct Addresses {
     counts: HashMap<u64, u32>,
-    /// Addresses of several back ends.
+    /// Number of addresses with more than one back end.
     shared: usize,
 }
 
 impl Addresses {
-    /// A back end listens there.
+    /// Adds a back end at the address.
     pub fn add(&mut self, address: &str) {
         let count = self.counts.entry(hash(address)).or_default();
         *count += 1;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A back end there has gone.
+    /// Removes a back end at the address; has no effect if none is known there.
     pub fn remove(&mut self, address: &str) {
         let hash = hash(address);
         let Some(count) = self.counts.get_mut(&hash) else {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether any address has several back ends.
+    /// Whether any address has more than one back end.
     pub fn any_shared(&self) -> bool {
         self.shared > 0
     }
--- a/crates/gateway-core/src/router/addresses_tests.rs
+++ b/crates/gateway-core/src/router/addresses_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is known of addresses.
+//! Tests of the counts of back ends per address.
 
 use super::*;
 
--- a/crates/gateway-core/src/router/budget.rs
+++ b/crates/gateway-core/src/router/budget.rs
@@ -1,4 +1,4 @@
-//! A router's part of the retries that all routers together may add, for each pool.
+//! Retry budget: this router's share of the retries that all routers together may add, per pool.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,26 +8,27 @@
 use super::RouterParams;
 use crate::PoolName;
 
-/// Part of what is allowed that is used; the rest covers routers that are not counted.
-const USED_PART: f64 = 0.6;
-/// Part of the slack in the first window of a process: what its predecessor used is not known.
-const FIRST_SLACK: f64 = 0.5;
-/// A window is counted in so many slots.
-const SLOTS: u32 = 20;
+/// Fraction of the allowed retries that is used. The rest is a reserve for routers that are not counted.
+const USED_FRACTION: f64 = 0.6;
+/// Fraction of the slack that is used in the first window of a process, which does not know how much of it the
+/// previous process has used.
+const INITIAL_SLACK_FRACTION: f64 = 0.5;
+/// Number of slots into which the sliding window is divided.
+const SLOTS_PER_WINDOW: u32 = 20;
 
-/// What came in one slot of time.
+/// Counters of one slot of the window.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
-    begun: Timestamp,
+    started_at: Timestamp,
     requests: u32,
     retries: u32,
 }
 
-/// Requests and retries at one pool within the last window.
+/// Requests and retries of one pool within the sliding window, the oldest slot first.
 #[derive(Clone, Debug, Default)]
 struct Window(VecDeque<Slot>);
 
-/// The retries that this router may add.
+/// The retries that this router may add to each pool.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     ratio: f64,
@@ -40,15 +41,15 @@
 impl RetryBudget {
     pub fn new(params: &RouterParams) -> Self {
         Self {
-            ratio: params.retry_ratio * USED_PART,
-            slack: params.retry_slack * USED_PART,
+            ratio: params.retry_ratio * USED_FRACTION,
+            slack: params.retry_slack * USED_FRACTION,
             window: params.retry_window,
             routers: 1,
             pools: HashMap::new(),
         }
     }
 
-    /// The slack is shared among so many routers.
+    /// Sets the number of routers among which the slack is divided.
     pub fn set_routers(&mut self, routers: u16) {
         self.routers = routers.max(1);
     }
@@ -61,21 +62,27 @@
         self.slot(now, pool).retries += 1;
     }
 
-    /// In no window do retries exceed a share of its requests and the slack.
+    /// Whether one more retry keeps the retries of the window within a fraction of its requests plus this router's
+    /// share of the slack.
     pub fn may_retry(&self, now: Timestamp, pool: &PoolName) -> bool {
         let slots = self
             .pools
             .get(pool)
             .into_iter()
             .flat_map(|window| &window.0);
-        let recent = slots.filter(|slot| now.since(slot.begun) < self.window);
+        let recent = slots.filter(|slot| now.since(slot.started_at) < self.window);
         let (mut requests, mut retries) = (0, 0);
         for slot in recent {
             requests += slot.requests;
             retries += slot.retries;
         }
-        let is_first = now.since(Timestamp::default()) < self.window;
-        let slack = self.slack / f64::from(self.routers) * if is_first { FIRST_SLACK } else { 1.0 };
+        let is_first_window = now.since(Timestamp::default()) < self.window;
+        let slack = self.slack / f64::from(self.routers)
+            * if is_first_window {
+                INITIAL_SLACK_FRACTION
+            } else {
+                1.0
+            };
         f64::from(retries + 1) <= f64::from(requests) * self.ratio + slack.max(1.0)
     }
 
@@ -84,17 +91,17 @@
         let slots = &mut window.0;
         while slots
             .front()
-            .is_some_and(|slot| now.since(slot.begun) >= self.window)
+            .is_some_and(|slot| now.since(slot.started_at) >= self.window)
         {
             slots.pop_front();
         }
-        let length = self.window / SLOTS;
+        let length = self.window / SLOTS_PER_WINDOW;
         if slots
             .back()
-            .is_none_or(|slot| now.since(slot.begun) >= length)
+            .is_none_or(|slot| now.since(slot.started_at) >= length)
         {
             slots.push_back(Slot {
-                begun: now,
+                started_at: now,
                 requests: 0,
                 retries: 0,
             });
--- a/crates/gateway-core/src/router/budget_tests.rs
+++ b/crates/gateway-core/src/router/budget_tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the retry budget.
+
 use super::*;
 
 const WINDOW: Duration = Duration::from_secs(10);
@@ -30,18 +32,19 @@
 }
 
 #[test]
-fn a_burst_of_retries_may_use_what_a_window_of_requests_allows() {
-    // 158 streams broke at once in three crashes of scale-2, and a bucket of four let half go on.
+fn a_burst_may_use_all_retries_of_a_window() {
+    // In a load test with three crashes, 158 streams broke at once, and a token bucket of four let only half of them
+    // be retried. A sliding window lets a burst use the whole budget of the window.
     let pool = PoolName::new("models");
     let mut budget = budget(8);
     (0..100).for_each(|n| budget.on_request(at(20_000 + n * 100), &pool));
     let spent = spend_all(&mut budget, at(29_950), &pool);
-    // 0.6 of 0.2 of 100 requests, and 0.6 of an eighth of 50.
+    // 0.6 * 0.2 * 100 requests, plus 0.6 of an eighth of the slack of 50.
     assert_eq!(spent, 15);
 }
 
 #[test]
-fn no_window_sees_more_than_its_part() {
+fn retries_in_any_window_stay_within_this_routers_share() {
     let pool = PoolName::new("models");
     let mut budget = budget(8);
     let mut retries = Vec::new();
@@ -52,13 +55,13 @@
     }
     for step in 0..500 {
         let within = retries.iter().filter(|at| (step..step + 100).contains(*at));
-        // A slot that is half gone may count as gone.
+        // A slot leaves the window when its start does, although some of its retries are still within it.
         assert!(within.count() <= 20, "from step {step}");
     }
 }
 
 #[test]
-fn each_pool_has_its_own_retries() {
+fn each_pool_has_its_own_budget() {
     let (busy, idle) = (PoolName::new("busy"), PoolName::new("idle"));
     let mut budget = budget(8);
     (0..100).for_each(|_| budget.on_request(at(20_000), &busy));
@@ -67,7 +70,7 @@
 }
 
 #[test]
-fn a_process_that_has_just_started_uses_half_of_the_slack() {
+fn the_first_window_of_a_process_gets_half_of_the_slack() {
     let pool = PoolName::new("models");
     assert_eq!(spend_all(&mut budget(1), at(100), &pool), 15);
     assert_eq!(spend_all(&mut budget(1), at(20_000), &pool), 30);
--- a/crates/gateway-core/src/router/notices_tests.rs
+++ b/crates/gateway-core/src/router/notices_tests.rs
@@ -255,16 +255,16 @@
 fn an_unresponsive_back_end_is_preferred_to_those_in_backoff() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/x");
-    let silent = router
+    let unresponsive = router
         .choose(at(1), &admission, None, EarlierAttempts::default())
         .unwrap();
-    router.finished(at(1), &silent.instance, at(1), Outcome::Unreachable);
+    router.finished(at(1), &unresponsive.instance, at(1), Outcome::Unreachable);
     for name in ["app-1", "app-2", "app-3"] {
-        if id(name) != silent.instance {
+        if id(name) != unresponsive.instance {
             router.on_notice(at(2), &id(name), backing_off(), at(2));
         }
     }
-    assert_eq!(chosen(&mut router, at(3)), [silent.instance]);
+    assert_eq!(chosen(&mut router, at(3)), [unresponsive.instance]);
 }
 
 #[rstest]
--- a/crates/gateway-core/src/router/reads.rs
+++ b/crates/gateway-core/src/router/reads.rs
@@ -1,4 +1,4 @@
-//! What a back end has to read of a prompt, by what is known of caches.
+//! How many tokens of a prompt a back end has to read (prefill), given the known contents of caches.
 
 use drumshore_core::Timestamp;
 
@@ -6,14 +6,14 @@
 use super::holders::{self, Held};
 use super::{Admission, Prompt, RouterCore};
 
-/// Part of the shared tokens of a short prompt that is expected to be read all the same: nobody
-/// keeps track of who holds them.
-const UNTRACKED_PART: f64 = 0.25;
+/// Fraction of the shared tokens of a short prompt that a back end is expected to read. Which back ends cache them is
+/// not tracked.
+const UNTRACKED_MISS_FRACTION: f64 = 0.25;
 
-/// Which of a prompt's shared parts are cached under one version of the weights, and where.
+/// Where the shared parts of a prompt are cached for one version of the weights.
 #[derive(Debug, Default)]
 pub(super) struct CachedParts {
-    /// Tokens of the leading shared parts, by how many of them.
+    /// Cumulative token counts: element `n` is the number of tokens in the first `n` shared parts.
     leading_tokens: Vec<u32>,
     own_tokens: u32,
     is_tracked: bool,
@@ -37,27 +37,28 @@
         }
     }
 
-    /// Shared parts that a back end is believed to hold.
-    pub fn at(&self, back_end: u32) -> usize {
+    /// Number of leading shared parts that a back end is estimated to cache.
+    pub fn parts_at(&self, back_end: u32) -> usize {
         let held = self.held.iter().find(|held| held.key == back_end);
         held.map_or(0, |held| held.parts)
     }
 
-    /// Shared parts that some back end or store can give.
-    pub fn anywhere(&self) -> usize {
+    /// Number of leading shared parts that any back end or store can provide.
+    pub fn parts_anywhere(&self) -> usize {
         let held = self.held.iter().map(|held| held.parts).max();
         held.unwrap_or(0).max(self.in_store)
     }
 
-    /// Tokens that a back end has to read when it fetches what others hold.
+    /// Number of tokens that a back end has to read after it has fetched everything that is cached elsewhere.
     pub fn tokens_to_read(&self) -> u32 {
-        self.own_tokens + self.missing_beyond(self.anywhere())
+        self.own_tokens + self.uncached_tokens_after(self.parts_anywhere())
     }
 
-    /// Tokens that a back end fetches before it reads the rest.
+    /// Number of tokens that a back end has to fetch from another cache before it reads the rest.
     pub fn tokens_to_fetch(&self, back_end: u32) -> u32 {
-        let here = self.at(back_end);
-        let fetched = self.leading(self.anywhere().max(here)) - self.leading(here);
+        let here = self.parts_at(back_end);
+        let fetched =
+            self.tokens_of_leading(self.parts_anywhere().max(here)) - self.tokens_of_leading(here);
         if self.is_tracked {
             fetched
         } else {
@@ -65,24 +66,24 @@
         }
     }
 
-    fn missing_beyond(&self, parts: usize) -> u32 {
+    fn uncached_tokens_after(&self, parts: usize) -> u32 {
         let shared = self.leading_tokens.last().copied().unwrap_or(0);
-        let missing = shared - self.leading(parts);
+        let missing = shared - self.tokens_of_leading(parts);
         if self.is_tracked {
             missing
         } else {
-            (f64::from(missing) * UNTRACKED_PART) as u32
+            (f64::from(missing) * UNTRACKED_MISS_FRACTION) as u32
         }
     }
 
-    fn leading(&self, parts: usize) -> u32 {
+    fn tokens_of_leading(&self, parts: usize) -> u32 {
         let last = self.leading_tokens.len() - 1;
         self.leading_tokens[parts.min(last)]
     }
 }
 
 impl RouterCore {
-    /// What is known of the shared parts of a prompt under one version of the weights.
+    /// The estimate of where the shared parts of a prompt are cached for one version of the weights.
     pub(super) fn cached_parts(
         &self,
         now: Timestamp,
--- a/crates/gateway-core/src/router/reported_loads.rs
+++ b/crates/gateway-core/src/router/reported_loads.rs
@@ -1,4 +1,4 @@
-//! What a router reported of its own load, to take it out of sums over all routers.
+//! Recent load reports of this router, used to subtract its own load from the sums over all routers.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,32 +7,32 @@
 
 use crate::LoadEntry;
 
-/// Sums that arrive hold reports of up to this age: a report waits 80 ms at the router and 50 ms at the leader, and
-/// the list is on its way or waits for its turn.
-const SUMS_LAG: Duration = Duration::from_millis(200);
+/// Maximum age of a report that a received sum includes. A report waits 80 ms at the router and 50 ms at the leader,
+/// and the sums then take time to be queued and sent.
+const MAX_SUM_LAG: Duration = Duration::from_millis(200);
 
-/// The reports that sums which arrive now may hold, the newest last.
+/// The reports that sums received now may include, the newest last.
 #[derive(Debug, Default)]
 pub struct ReportedLoads(VecDeque<(Timestamp, Vec<LoadEntry>)>);
 
 impl ReportedLoads {
-    /// What was reported last.
+    /// The last report, empty before the first one.
     pub fn last(&self) -> &[LoadEntry] {
         self.0.back().map_or(&[], |(_, loads)| loads)
     }
 
-    /// A report has been sent.
+    /// Records a report that has been sent.
     pub fn note(&mut self, now: Timestamp, loads: Vec<LoadEntry>) {
         self.0.push_back((now, loads));
         self.forget_before(now);
     }
 
-    /// What the others put on back ends, by sums over all routers.
+    /// The load that the other routers put on back ends, computed from sums over all routers.
     ///
-    /// Nobody says which report a sum holds. With the last one taken out, a prompt that has just been answered would
-    /// count as load of others at its home, and the next one like it would be read again elsewhere. So the most that
-    /// any report of late had is taken out: what others put on a back end that this router uses itself is rather
-    /// taken for too little, for a moment.
+    /// A sum does not tell which of this router's reports it includes. If only the last report were subtracted, a
+    /// prompt that has just been answered would count as load of other routers at its home, and the next prompt with
+    /// the same prefix would be sent elsewhere and read again. The maximum over the recent reports is subtracted
+    /// instead, which briefly underestimates the load of others on back ends that this router uses itself.
     pub fn without_own(&mut self, now: Timestamp, sums: &[LoadEntry]) -> Vec<LoadEntry> {
         self.forget_before(now);
         let mut most: HashMap<u32, LoadEntry> = HashMap::new();
@@ -45,9 +45,9 @@
         LoadEntry::without(sums, &own)
     }
 
-    /// Forgets reports that were replaced before any sum that arrives now.
+    /// Drops the reports that a newer one replaced so long ago that no sum received now includes them.
     fn forget_before(&mut self, now: Timestamp) {
-        let is_replaced = |next: &(Timestamp, Vec<LoadEntry>)| now.since(next.0) >= SUMS_LAG;
+        let is_replaced = |next: &(Timestamp, Vec<LoadEntry>)| now.since(next.0) >= MAX_SUM_LAG;
         while self.0.get(1).is_some_and(is_replaced) {
             self.0.pop_front();
         }
--- a/crates/gateway-core/src/router/reported_loads_tests.rs
+++ b/crates/gateway-core/src/router/reported_loads_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what remains of sums without a router's own part.
+//! Tests of the subtraction of a router's own load from sums over all routers.
 
 use super::*;
 
@@ -17,26 +17,27 @@
 }
 
 #[test]
-fn what_others_put_on_a_back_end_remains() {
+fn own_load_is_subtracted_from_the_sum() {
     let mut reported = ReportedLoads::default();
     reported.note(at(0), vec![load(10, 1)]);
     assert_eq!(reported.without_own(at(500), &[load(25, 3)]), [load(15, 2)]);
 }
 
-/// The sum still holds a prompt that this router has had answered and reported as such.
+/// A sum may still include a prompt that has been answered since. If it counted as load of others, the next prompt with
+/// the same prefix would avoid the back end that caches it.
 #[test]
-fn a_prompt_that_has_just_been_answered_is_no_load_of_others() {
+fn an_answered_prompt_in_a_late_sum_is_not_counted_as_load_of_others() {
     let mut reported = ReportedLoads::default();
     reported.note(at(0), vec![load(140, 1)]);
     reported.note(at(1_000), Vec::new());
     let late = reported.without_own(at(1_090), &[load(140, 1)]);
     assert_eq!(late, [load(0, 0)]);
     let current = reported.without_own(at(1_300), &[load(5, 1)]);
-    assert_eq!(current, [load(5, 1)], "by now it is others'");
+    assert_eq!(current, [load(5, 1)], "the old report no longer counts");
 }
 
 #[test]
-fn the_last_report_holds_however_old_it_is() {
+fn the_last_report_is_kept_regardless_of_its_age() {
     let mut reported = ReportedLoads::default();
     assert_eq!(reported.last(), []);
     for step in 0..100 {
--- a/crates/gateway-core/src/router/router_count_tests.rs
+++ b/crates/gateway-core/src/router/router_count_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how many routers are taken to be there.
+//! Tests of the router count.
 
 use super::*;
 
@@ -7,12 +7,12 @@
 }
 
 #[test]
-fn before_the_first_count_there_is_one() {
+fn the_count_is_one_before_the_first_report() {
     assert_eq!(RouterCount::default().get(), 1);
 }
 
 #[test]
-fn a_lower_count_holds_only_once_the_higher_is_old() {
+fn a_lower_count_applies_only_after_the_higher_one_has_expired() {
     let mut count = RouterCount::default();
     count.note(at(1), 7);
     count.note(at(2), 3);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_higher_count_holds_at_once() {
+fn a_higher_count_applies_at_once() {
     let mut count = RouterCount::default();
     count.note(at(1), 3);
     count.note(at(1), 985);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded_by_falling_counts() {
+fn the_number_of_kept_counts_is_bounded_when_counts_fall() {
     let mut count = RouterCount::default();
     for second in 0..100 {
         count.note(at(second), 1_000 - second as u16);
--- a/crates/gateway-core/src/router/tests/admission.rs
+++ b/crates/gateway-core/src/router/tests/admission.rs
@@ -1,9 +1,9 @@
-//! Tests of routes, keys, the view, and the shares of pools.
+//! Tests of routes, keys, confirmations of the view, and traffic shares of pools.
 
 use super::*;
 
 #[test]
-fn the_longest_prefix_wins() {
+fn a_request_matches_the_route_with_the_longest_prefix() {
     let mut router = router();
     assert_eq!(admit(&mut router, at(1), "/a/x").route.name, "short");
     assert_eq!(admit(&mut router, at(1), "/a/b/x").route.name, "long");
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn keys_name_tenants_and_tenants_priorities() {
+fn keys_determine_tenant_and_priority() {
     let mut router = router();
     let unknown = router.admit(at(1), head("host", "/a/x", Some("key 9")));
     assert_eq!(unknown.unwrap_err(), Refusal::UnknownKey);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_router_that_is_not_confirmed_in_time_judges_nothing() {
+fn a_router_refuses_all_requests_after_its_key_lease_expires() {
     let mut router = router();
     let late = at(LEASE.as_millis() as u64 + 1);
     let refused = router.admit(late, head("host", "/a/x", Some("key 1")));
@@ -48,7 +48,7 @@
 #[case::no_route("/c/x", Some("key 1"), Refusal::NoRoute)]
 #[case::unknown_key("/a/x", Some("key 9"), Refusal::UnknownKey)]
 #[case::no_key("/a/x", None, Refusal::UnknownKey)]
-fn a_route_or_key_that_may_have_been_added_since_is_not_said_to_be_missing(
+fn an_unknown_route_or_key_is_reported_only_within_the_absence_lease(
     #[case] path: &str,
     #[case] key: Option<&str>,
     #[case] missing: Refusal,
@@ -61,11 +61,11 @@
     let refused = router.admit(past, head("host", path, key));
     assert_eq!(refused.unwrap_err(), Refusal::Unconfirmed);
     let known = router.admit(past, head("host", "/a/x", Some("key 1")));
-    assert!(known.is_ok(), "what is known is served meanwhile");
+    assert!(known.is_ok(), "known routes and keys are still served");
 }
 
 #[test]
-fn a_confirmation_of_something_newer_counts_only_once_that_has_arrived() {
+fn a_confirmation_of_a_newer_revision_counts_only_after_that_revision_has_arrived() {
     let mut router = router();
     let late = at(5_000);
     router.on_confirmed(at(4_900), 12, 1);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_view_never_leads_back_and_has_no_gaps() {
+fn changes_to_an_older_revision_or_with_a_gap_are_rejected() {
     let mut router = router();
     let parse = |_: &[u8]| Ok(document());
     let older = router.apply(at(1), changes(0, 9, Vec::new()), parse);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn shares_hold_over_few_requests() {
+fn traffic_shares_are_exact_over_few_requests() {
     let mut router = router();
     let mut apps = 0;
     for _ in 0..40 {
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn shares_hold_over_many_routers_with_one_request_each() {
-    // With a common start each of them would choose the pool with the most weight.
+fn traffic_shares_hold_over_many_routers_with_one_request_each() {
+    // If all routers started at the same point of the sequence, each would choose the pool with the largest weight.
     let apps = (0..400).filter(|seed| {
         let mut router = RouterCore::new(params(), *seed);
         update(&mut router, at(0), changes(0, 10, Vec::new()));
@@ -110,5 +110,8 @@
         admission.pool.as_str() == "apps"
     });
     let apps = apps.count();
-    assert!((270..=330).contains(&apps), "{apps} of 400, 300 expected");
+    assert!(
+        (270..=330).contains(&apps),
+        "{apps} of 400 requests, expected about 300"
+    );
 }
--- a/crates/gateway-core/src/router/tests/failures.rs
+++ b/crates/gateway-core/src/router/tests/failures.rs
@@ -1,9 +1,9 @@
-//! Tests of retries, and of back ends that refuse, fail or fall silent.
+//! Tests of retries, and of back ends that refuse, fail or become unresponsive.
 
 use super::*;
 
 #[test]
-fn retries_are_bounded_by_requests() {
+fn retries_are_limited_to_a_fraction_of_requests() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/x");
     let mut retries = 0;
@@ -19,18 +19,17 @@
         }
         router.finished(at(1), &first.instance, at(1), Outcome::Failed);
     }
-    // 0.2 of 200 requests, and the slack.
+    // At most 0.2 * 200 requests, plus the slack.
     assert!((20..=90).contains(&retries), "{retries}");
 }
 
 #[rstest]
 #[case::full_or_loading(Outcome::Shed)]
-#[case::loaded_by_an_order_that_nobody_heard_of_yet(Outcome::OtherWeights)]
-fn a_back_end_that_turns_one_router_away_is_avoided_by_the_others_for_a_moment(
-    #[case] outcome: Outcome,
-) {
-    // sqbc-large scale-2: single back ends turned away up to twelve requests of one zone's routers,
-    // each 3 ms after it was sent: they held the weights of an order that was carried out late.
+#[case::serving_other_weights_than_expected(Outcome::OtherWeights)]
+fn a_back_end_that_refuses_one_router_is_avoided_briefly_by_the_others(#[case] outcome: Outcome) {
+    // Without the announcement, each router of a zone loses a request to the same back end. In a load test, single back
+    // ends refused up to twelve requests, each 3 ms after it was sent, because they held the weights of a load order
+    // that was executed late.
     let mut first = router();
     let mut other = router();
     let admission = admit(&mut first, at(1), "/a/x");
@@ -40,18 +39,18 @@
     first.finished(at(1), &refused.instance, at(1), outcome);
     other.on_refusing(at(2), &first.take_refusing());
     assert!(first.take_refusing().is_empty());
-    let mut goes_there = |now: Timestamp| {
+    let mut is_sent_there = |now: Timestamp| {
         let choice = other.choose(now, &admission, None, EarlierAttempts::default());
         let choice = choice.unwrap();
         other.finished(now, &choice.instance, now, Outcome::Answered);
         choice.instance == refused.instance
     };
-    assert!(!(0..40).any(|n| goes_there(at(3 + n * 9))));
-    assert!((0..40).any(|n| goes_there(at(410 + n))));
+    assert!(!(0..40).any(|n| is_sent_there(at(3 + n * 9))));
+    assert!((0..40).any(|n| is_sent_there(at(410 + n))));
 }
 
 #[test]
-fn a_router_without_a_free_connection_does_not_call_the_back_end_refusing() {
+fn a_lack_of_free_connections_is_not_announced_as_a_refusal() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/x");
     let choice = router.choose(at(1), &admission, None, EarlierAttempts::default());
@@ -61,9 +60,10 @@
 }
 
 #[test]
-fn an_attempt_that_reached_no_back_end_takes_nothing_from_the_retry_budget() {
-    // sqbc-large scale-2: 963 of the 1,148 requests that 43 routers turned away in 14 s ended with
-    // the budget used up, 803 of them after one connection that a crashed back end refused.
+fn an_attempt_that_reached_no_back_end_does_not_use_the_retry_budget() {
+    // A refused connection adds no load, so it must not use up the budget. In a load test, 963 of the 1,148 requests that
+    // 43 routers refused in 14 s failed because the budget was used up, 803 of them after a single connection that a
+    // crashed back end refused.
     let mut router = router();
     router.on_confirmed(at(1), 10, 295);
     let admission = admit(&mut router, at(1), "/a/x");
@@ -82,21 +82,21 @@
 }
 
 #[test]
-fn the_part_of_one_router_shrinks_with_the_number_of_routers() {
+fn the_connection_share_of_a_router_shrinks_with_the_number_of_routers() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/x");
     let alone = router
         .choose(at(1), &admission, None, EarlierAttempts::default())
         .unwrap();
     router.on_confirmed(at(1), 10, 7);
-    let one_of_seven = router
+    let among_seven = router
         .choose(at(1), &admission, None, EarlierAttempts::default())
         .unwrap();
-    assert!(alone.connections > 6 * one_of_seven.connections);
-    assert!(one_of_seven.connections >= 1);
+    assert!(alone.connections > 6 * among_seven.connections);
+    assert!(among_seven.connections >= 1);
 }
 
-/// Retries that a router may add at once.
+/// The number of retries that a router may send at one moment.
 fn retries(router: &mut RouterCore, now: Timestamp) -> usize {
     let admission = admit(router, at(1), "/a/x");
     let tried = [InstanceId::new("app-1")];
@@ -110,10 +110,11 @@
     retries
 }
 
-/// A control machine that has just started, or is cut off from some routers, counts few. Each router that asked it took
-/// a larger part of the retries, connections and limits of tenants, while the others had theirs still.
+/// A control machine that has just started, or is cut off from some routers, counts too few routers. If a router used
+/// such a count at once, it would take a larger share of retries, connections and tenant limits while the other routers
+/// still use theirs.
 #[test]
-fn a_control_machine_that_counts_few_routers_enlarges_no_part() {
+fn a_low_router_count_does_not_enlarge_the_shares_of_a_router() {
     let connections = |router: &mut RouterCore, now| {
         let admission = admit(router, at(1), "/a/x");
         let choice = router.choose(now, &admission, None, EarlierAttempts::default());
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn a_back_end_that_cannot_be_reached_is_avoided_and_tried_again_later() {
+fn an_unreachable_back_end_is_avoided_and_tried_again_later() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/x");
     let lost = router
@@ -161,41 +162,43 @@
     assert!(seen);
 }
 
-/// One router loses a request to a back end; what another one does when it is told.
-fn other_router_after(waited_ms: u64, heard_by_other_at: u64) -> (bool, bool) {
+/// A router loses a request after waiting `waited_ms` for a back end, and reports the back end to another router, which
+/// last received an answer from it at `last_answer_to_other_ms`. Returns whether each router considers the back end
+/// unresponsive.
+fn lose_a_request(waited_ms: u64, last_answer_to_other_ms: u64) -> (bool, bool) {
     let (mut router, mut other) = (router(), router());
     let admission = admit(&mut router, at(1), "/a/x");
     let lost = router
         .choose(at(1), &admission, None, EarlierAttempts::default())
         .unwrap();
     let ended = at(1 + waited_ms);
-    let fell_silent = router.finished(ended, &lost.instance, at(1), Outcome::Broken);
+    let is_unresponsive = router.finished(ended, &lost.instance, at(1), Outcome::Broken);
     let tried: Vec<InstanceId> = (1..=3)
         .map(|number| InstanceId::new(&format!("app-{number}")))
         .filter(|id| *id != lost.instance)
         .collect();
     let admission = admit(&mut other, at(1), "/a/x");
-    let heard = other
+    let chosen = other
         .choose(at(1), &admission, None, after(&tried))
         .unwrap();
-    assert_eq!(heard.instance, lost.instance);
-    heard.heard.set(at(heard_by_other_at));
-    let silent = other.on_suspects(ended, &router.take_suspects());
+    assert_eq!(chosen.instance, lost.instance);
+    chosen.heard.set(at(last_answer_to_other_ms));
+    let unresponsive = other.on_suspects(ended, &router.take_suspects());
     assert!(router.take_suspects().is_empty());
-    (fell_silent, silent == [lost.instance])
+    (is_unresponsive, unresponsive == [lost.instance])
 }
 
 #[test]
-fn one_that_lost_a_request_in_silence_is_avoided_by_all_routers() {
-    assert_eq!(other_router_after(2_000, 1), (true, true));
+fn a_back_end_that_lost_a_request_while_unresponsive_is_avoided_by_all_routers() {
+    assert_eq!(lose_a_request(2_000, 1), (true, true));
 }
 
 #[test]
-fn a_short_wait_is_no_silence() {
-    assert_eq!(other_router_after(400, 1), (false, false));
+fn a_short_wait_does_not_make_a_back_end_unresponsive() {
+    assert_eq!(lose_a_request(400, 1), (false, false));
 }
 
 #[test]
-fn one_that_this_router_hears_is_not_taken_for_silent_on_the_word_of_another() {
-    assert_eq!(other_router_after(2_000, 1_900), (true, false));
+fn a_back_end_that_answers_this_router_is_not_avoided_because_of_another_routers_report() {
+    assert_eq!(lose_a_request(2_000, 1_900), (true, false));
 }
--- a/crates/gateway-core/src/router/view.rs
+++ b/crates/gateway-core/src/router/view.rs
@@ -1,4 +1,4 @@
-//! What a router knows of the replicated state, and when it was surely current.
+//! A router's view of the replicated state, and when the view was last confirmed as current.
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -8,49 +8,53 @@
 
 use crate::{Changes, Document, InstanceRecord, InvalidDocument, Position, Route, Tenant, WorkKey};
 
-/// Why changes are not taken in.
+/// Error for changes that cannot be applied to the view.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ViewError {
-    /// They follow on a revision that this router does not have, or lead back.
-    #[error("changes from {since} to {revision} do not follow on {held}")]
+    /// The changes begin after the held revision, or do not lead beyond it.
+    #[error("changes from revision {since} to {revision} cannot be applied to revision {held}")]
     Gap {
-        /// Where they begin.
+        /// The revision at which the changes begin.
         since: u64,
-        /// Where they lead.
+        /// The revision to which the changes lead.
         revision: u64,
-        /// What is held.
+        /// The revision that this router holds.
         held: u64,
     },
-    /// The configuration in them cannot be read.
+    /// The configuration in the changes is invalid.
     #[error(transparent)]
     Document(#[from] InvalidDocument),
 }
 
-/// Confirmations of revisions that have not arrived; the oldest give way.
-const MOST_AWAITED: usize = 64;
+/// Confirmations kept for revisions that have not arrived yet; the oldest are dropped first.
+const MAX_PENDING_CONFIRMATIONS: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-struct Named {
+struct NamedVersion {
     version: u64,
     received: Timestamp,
-    /// How old the name was when it arrived; it may be older than this process.
+    /// How long ago the version was named when the notice arrived. This may be before this process started.
     age: Duration,
 }
 
-/// The replicated state as a router has it.
+/// A router's view of the replicated state.
 #[derive(Debug, Default)]
 pub(super) struct View {
     revision: u64,
     /// See [`Position::begun`].
     begun: u64,
+    /// When the latest request was sent whose answer confirmed the held revision as current.
     confirmed: Option<Timestamp>,
-    /// Confirmations of revisions that have not arrived yet.
-    awaiting: Vec<(u64, Timestamp)>,
+    /// Confirmations of revisions that have not arrived yet, each with the time of its request.
+    pending_confirmations: Vec<(u64, Timestamp)>,
     document: Option<Document>,
+    /// Routes by host, the longest prefix first.
     routes: HashMap<String, Vec<Rc<Route>>>,
+    /// Tenants by key.
     tenants: HashMap<String, Rc<Tenant>>,
     instances: BTreeMap<String, Rc<InstanceRecord>>,
-    named: HashMap<String, Vec<Named>>,
+    /// Versions of the weights by model, in the order in which they were received.
+    named_versions: HashMap<String, Vec<NamedVersion>>,
     work_key: Option<WorkKey>,
 }
 
@@ -95,7 +99,7 @@
         self.work_key.as_ref()
     }
 
-    /// The route of the host with the longest prefix that begins the path.
+    /// The route of the host with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let routes = self.routes.get(host)?;
         let mut routes = routes.iter();
@@ -104,30 +108,35 @@
             .cloned()
     }
 
-    /// The oldest version that a request may begin on.
+    /// The oldest version of a model's weights on which a request may begin; 0 when any may be used.
     pub fn required_version(&self, model: &str, now: Timestamp, grace: std::time::Duration) -> u64 {
-        let named = self.named.get(model).into_iter().flatten();
-        named
-            .filter(|named| now.since(named.received) + named.age >= grace)
-            .map(|named| named.version)
+        let named_versions = self.named_versions.get(model).into_iter().flatten();
+        named_versions
+            .filter(|named_versions| {
+                now.since(named_versions.received) + named_versions.age >= grace
+            })
+            .map(|named_versions| named_versions.version)
             .max()
             .unwrap_or(0)
     }
 
-    pub fn on_confirmed(&mut self, asked: Timestamp, revision: u64) {
+    /// A quorum confirmed that nothing newer than `revision` was accepted before `asked_at`.
+    pub fn on_confirmed(&mut self, asked_at: Timestamp, revision: u64) {
         if revision <= self.revision {
-            self.confirmed = self.confirmed.max(Some(asked));
+            self.confirmed = self.confirmed.max(Some(asked_at));
         } else {
-            // A later answer that needs no more makes up for earlier ones.
-            self.awaiting.retain(|(needed, _)| *needed < revision);
-            if self.awaiting.len() == MOST_AWAITED {
-                self.awaiting.remove(0);
+            // A later confirmation supersedes earlier ones of the same or a newer revision.
+            self.pending_confirmations
+                .retain(|(needed, _)| *needed < revision);
+            if self.pending_confirmations.len() == MAX_PENDING_CONFIRMATIONS {
+                self.pending_confirmations.remove(0);
             }
-            self.awaiting.push((revision, asked));
+            self.pending_confirmations.push((revision, asked_at));
         }
     }
 
-    /// A view never leads back: what is older than what is held is refused, whoever sends it.
+    /// Applies changes. A view never goes back: changes that do not lead beyond the held revision are rejected,
+    /// whichever control machine sends them.
     pub fn apply(
         &mut self,
         now: Timestamp,
@@ -160,41 +169,42 @@
         if let Some(key) = changes.work_key.items.first() {
             self.work_key = Some(key.clone());
         }
-        self.note_weights(now, changes);
+        self.record_weights(now, changes);
         self.revision = changes.revision;
-        self.settle_confirmations();
+        self.apply_pending_confirmations();
         Ok(())
     }
 
-    fn note_weights(&mut self, now: Timestamp, changes: &Changes) {
-        /// Enough versions to cover those named within the grace period.
-        const REMEMBERED: usize = 16;
+    fn record_weights(&mut self, now: Timestamp, changes: &Changes) {
+        /// Named versions kept per model, enough to cover those named within the grace period.
+        const MAX_NAMED_VERSIONS: usize = 16;
         for weights in &changes.weights.items {
-            let named = self
-                .named
+            let named_versions = self
+                .named_versions
                 .entry(weights.model.as_str().to_owned())
                 .or_default();
-            named.push(Named {
+            named_versions.push(NamedVersion {
                 version: weights.version,
                 received: now,
                 age: Duration::from_millis(u64::from(weights.age_ms)),
             });
-            if named.len() > REMEMBERED {
-                named.remove(0);
+            if named_versions.len() > MAX_NAMED_VERSIONS {
+                named_versions.remove(0);
             }
         }
     }
 
-    fn settle_confirmations(&mut self) {
+    fn apply_pending_confirmations(&mut self) {
         let revision = self.revision;
-        let settled = self
-            .awaiting
+        let latest = self
+            .pending_confirmations
             .iter()
             .filter(|(needed, _)| *needed <= revision)
-            .map(|(_, asked)| *asked)
+            .map(|(_, asked_at)| *asked_at)
             .max();
-        self.awaiting.retain(|(needed, _)| *needed > revision);
-        self.confirmed = self.confirmed.max(settled);
+        self.pending_confirmations
+            .retain(|(needed, _)| *needed > revision);
+        self.confirmed = self.confirmed.max(latest);
     }
 
     fn set_document(&mut self, document: Document) {
--- a/crates/gateway-core/src/router/view_tests.rs
+++ b/crates/gateway-core/src/router/view_tests.rs
@@ -1,23 +1,23 @@
-//! Tests of when a view was surely current.
+//! Tests of the confirmations of a view.
 
 use super::*;
 
 #[test]
-fn a_view_that_stays_behind_remembers_few_confirmations() {
+fn pending_confirmations_of_a_lagging_view_are_bounded() {
     let mut view = View::default();
     for count in 1..10_000 {
         view.on_confirmed(Timestamp(count), count / 2);
     }
-    assert!(view.awaiting.len() <= MOST_AWAITED);
-    let (newest, asked) = *view.awaiting.last().unwrap();
-    assert_eq!((newest, asked), (4_999, Timestamp(9_999)));
+    assert!(view.pending_confirmations.len() <= MAX_PENDING_CONFIRMATIONS);
+    let (newest, asked_at) = *view.pending_confirmations.last().unwrap();
+    assert_eq!((newest, asked_at), (4_999, Timestamp(9_999)));
 }
 
 #[test]
-fn the_latest_confirmation_of_what_has_arrived_counts() {
+fn the_latest_confirmation_up_to_the_held_revision_counts() {
     let mut view = View::default();
-    for (asked, revision) in [(10, 3), (20, 3), (30, 5), (40, 9)] {
-        view.on_confirmed(Timestamp(asked), revision);
+    for (asked_at, revision) in [(10, 3), (20, 3), (30, 5), (40, 9)] {
+        view.on_confirmed(Timestamp(asked_at), revision);
     }
     let changes = Changes {
         revision: 6,
