--- a/crates/gateway-core/src/router/overload.rs
+++ b/crates/gateway-core/src/router/overload.rs
@@ -94,7 +94,7 @@
 
     /// Updates the proportional-integral controller with the current utilization of the slots. Returns the
     /// fraction of the load that must be refused.
-    fn excess(&mut self, now: Timestamp, utilization: f64) -> f64 {
+    fn update_excess(&mut self, now: Timestamp, utilization: f64) -> f64 {
         let step = now
             .since(self.updated_at)
             .min(MAX_INTEGRATION_STEP)
@@ -161,7 +161,7 @@
         let Some(load) = self.0.get_mut(pool) else {
             return Ok(());
         };
-        let excess = load.excess(now, utilization);
+        let excess = load.update_excess(now, utilization);
         let refused = load.refused_fraction(urgency, excess);
         if sample >= refused {
             return Ok(());
--- a/crates/gateway-core/src/router/overload_tests.rs
+++ b/crates/gateway-core/src/router/overload_tests.rs
@@ -116,7 +116,7 @@
         let mut excess = 0.0;
         for _ in 0..steps {
             now = now.plus(Duration::from_micros(SECOND / 10));
-            excess = load.excess(now, utilization);
+            excess = load.update_excess(now, utilization);
         }
         excess
     };
@@ -129,9 +129,9 @@
 #[test]
 fn an_idle_period_counts_as_one_bounded_integration_step() {
     let mut load = PoolLoad::default();
-    load.excess(Timestamp::default(), 1.05);
+    load.update_excess(Timestamp::default(), 1.05);
     let proportional_term = (1.05 - REFUSAL_START_UTILIZATION) * PROPORTIONAL_GAIN;
-    let excess = load.excess(Timestamp(60 * SECOND), 1.05);
+    let excess = load.update_excess(Timestamp(60 * SECOND), 1.05);
     assert!(excess < proportional_term + 0.03, "{excess}");
 }
 
--- a/crates/gateway-core/src/router/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/suspected_fingerprints.rs
@@ -109,8 +109,8 @@
         let reports = self
             .reports
             .iter_mut()
-            .filter(|seen| seen.fingerprint == fingerprint);
-        reports.for_each(|seen| seen.event = None);
+            .filter(|observation| observation.fingerprint == fingerprint);
+        reports.for_each(|observation| observation.event = None);
         self.own.clear(fingerprint) || was_announced
     }
 
@@ -265,12 +265,13 @@
         *cursor = suspected.dropped_reports + suspected.reports.len() as u64;
         let fresh = suspected.reports.iter().skip(skipped);
         fresh
-            .filter(|seen| seen.is_reportable(now))
-            .filter_map(|seen| {
+            .filter(|observation| observation.is_reportable(now))
+            .filter_map(|observation| {
                 Some(WorkReport {
-                    work: seen.fingerprint,
-                    age_ms: u32::try_from(now.since(seen.at).as_millis()).unwrap_or(u32::MAX),
-                    event: seen.event?,
+                    work: observation.fingerprint,
+                    age_ms: u32::try_from(now.since(observation.at).as_millis())
+                        .unwrap_or(u32::MAX),
+                    event: observation.event?,
                 })
             })
             .collect()
