--- a/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
@@ -245,9 +245,8 @@
 }
 
 /// A fingerprint that many requests share, such as a status query, is in flight at every back end that another
-/// request crashes, so it must not be quarantined with the culprit. Otherwise, the crash of
-/// all three back ends of a pool within 0.3 s causes all such requests to be refused: 1,763 in the last 40 s of a
-/// soak test.
+/// request crashes, so it must not be quarantined with the culprit. Otherwise, the crash of all three back ends of a
+/// pool within 0.3 s causes all such requests to be refused: 1,763 in the last 40 s of a soak test.
 #[test]
 fn a_crash_is_not_counted_against_a_fingerprint_that_has_just_completed() {
     let mut router = router();
