--- /dev/null
+++ b/crates/gateway-core/src/router/suspected_fingerprints.rs
@@ -0,0 +1,279 @@
+//! Request fingerprints that are suspected of crashing back ends, as one router knows them.
+//!
+//! A router combines its own observations, crash counts sent by control machines, and the replicated quarantine
+//! list. Any one of them is enough to act on, so a router that is cut off relies on its own observations.
+
+use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
+use std::time::Duration;
+
+use drumshore_core::Timestamp;
+
+use super::{ChoiceError, EarlierAttempts, RouterCore};
+use crate::quarantine::{
+    Completions, EndLedger, EndReport, COMPLETION_COUNTS_FOR, ENDS_FOR_QUARANTINE,
+    ENDS_FOR_SUSPICION, PERMIT_HOLDS_FOR, REMEMBER_ENDS_FOR,
+};
+use crate::{Changes, InstanceId, LoadEntry, WorkEvent, WorkId, WorkReport, WorkSuspicion};
+
+/// Reports kept for control machines that connect later. Each report is sent to all control machines.
+const MAX_REPORTS: usize = 512;
+/// Fingerprints kept for which control machines have sent crash counts.
+const MAX_ANNOUNCED: usize = 4_096;
+
+/// An event that this router observed for a fingerprint.
+#[derive(Clone, Copy, Debug)]
+struct Observation {
+    at: Timestamp,
+    fingerprint: WorkId,
+    /// `None` once the event no longer counts.
+    event: Option<WorkEvent>,
+}
+
+impl Observation {
+    /// Whether the event is still sent to a control machine that connects now. An old completion is no evidence
+    /// against crashes that happened after it.
+    fn is_reportable(&self, now: Timestamp) -> bool {
+        let valid_for = match self.event {
+            Some(WorkEvent::BackEndEnded { .. }) => REMEMBER_ENDS_FOR,
+            Some(WorkEvent::Completed) => COMPLETION_COUNTS_FOR,
+            None => return false,
+        };
+        now.since(self.at) < valid_for
+    }
+}
+
+/// Suspected and quarantined fingerprints, and the observations that this router reports about them.
+#[derive(Debug, Default)]
+pub(super) struct SuspectedFingerprints {
+    own: EndLedger,
+    completions: Completions,
+    /// Crash counts over all routers, as sent by control machines.
+    announced: HashMap<WorkId, u8>,
+    /// The replicated quarantine list.
+    quarantined: HashSet<WorkId>,
+    /// Quarantined fingerprints with a permit for one trial, and when each permit arrived.
+    permits: HashMap<WorkId, Timestamp>,
+    reports: VecDeque<Observation>,
+    /// How many reports have been removed from the front of `reports`.
+    dropped_reports: u64,
+}
+
+impl SuspectedFingerprints {
+    /// How many crashes under the fingerprint this router knows of. Back ends that crash together count once.
+    fn crashes(&self, fingerprint: WorkId) -> u32 {
+        let announced = self
+            .announced
+            .get(&fingerprint)
+            .copied()
+            .unwrap_or_default();
+        self.own.ends(fingerprint).max(u32::from(announced))
+    }
+
+    fn is_quarantined(&self, fingerprint: WorkId) -> bool {
+        self.quarantined.contains(&fingerprint) || self.crashes(fingerprint) >= ENDS_FOR_QUARANTINE
+    }
+
+    /// Consumes the permit for one trial of a quarantined fingerprint. False when there is none or it has expired.
+    fn take_permit(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+        let permitted_at = self.permits.remove(&fingerprint);
+        permitted_at.is_some_and(|at| now.since(at) < PERMIT_HOLDS_FOR)
+    }
+
+    fn report(&mut self, at: Timestamp, fingerprint: WorkId, event: WorkEvent) {
+        let event = Some(event);
+        self.reports.push_back(Observation {
+            at,
+            fingerprint,
+            event,
+        });
+        while self.reports.len() > MAX_REPORTS {
+            self.reports.pop_front();
+            self.dropped_reports += 1;
+        }
+    }
+
+    /// Reports a recent completion of a request with this fingerprint, which the router that observed the crashes
+    /// does not know of. Returns whether there was one.
+    fn report_recent_completion(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+        let has_completed = self.completions.contains(now, fingerprint);
+        if has_completed {
+            self.clear(fingerprint);
+            self.report(now, fingerprint, WorkEvent::Completed);
+        }
+        has_completed
+    }
+
+    fn clear(&mut self, fingerprint: WorkId) -> bool {
+        let was_announced = self.announced.remove(&fingerprint).is_some();
+        // Control machines that connect later must not receive these reports.
+        let reports = self
+            .reports
+            .iter_mut()
+            .filter(|observation| observation.fingerprint == fingerprint);
+        reports.for_each(|observation| observation.event = None);
+        self.own.clear(fingerprint) || was_announced
+    }
+
+    /// Applies changes of the quarantine list. For a fingerprint that the list no longer contains, all crash counts
+    /// are cleared.
+    pub fn apply(&mut self, now: Timestamp, changes: &Changes) {
+        let listed = changes.quarantine.items.first();
+        if listed.is_none() && changes.since > 0 {
+            return;
+        }
+        let fingerprints = listed.into_iter().flat_map(|listed| &listed.works.items);
+        let listed: HashSet<WorkId> = fingerprints.copied().collect();
+        let before = std::mem::replace(&mut self.quarantined, listed);
+        let released: Vec<WorkId> = before.difference(&self.quarantined).copied().collect();
+        for fingerprint in released {
+            self.clear(fingerprint);
+        }
+        let added: Vec<WorkId> = self.quarantined.difference(&before).copied().collect();
+        for fingerprint in added {
+            self.report_recent_completion(now, fingerprint);
+        }
+    }
+}
+
+impl RouterCore {
+    /// How many crashes under the fingerprint this router knows of. Back ends that crash together count once.
+    pub fn crash_count(&self, fingerprint: WorkId) -> u32 {
+        self.suspected_fingerprints.crashes(fingerprint)
+    }
+
+    /// Decides whether a request with this fingerprint may be sent now. A suspected request is not retried within
+    /// its call. The caller may call again, which spreads further attempts in time and leaves time for the
+    /// observations of other routers to arrive.
+    pub(super) fn check_fingerprint(
+        &mut self,
+        now: Timestamp,
+        earlier: &EarlierAttempts<'_>,
+    ) -> Result<(), ChoiceError> {
+        let Some(fingerprint) = earlier.work else {
+            return Ok(());
+        };
+        if self.suspected_fingerprints.is_quarantined(fingerprint) {
+            let is_first = earlier.tried.is_empty();
+            if is_first && self.suspected_fingerprints.take_permit(now, fingerprint) {
+                return Ok(());
+            }
+            return Err(ChoiceError::Quarantined);
+        }
+        let crashes = self.suspected_fingerprints.crashes(fingerprint);
+        let crashes = crashes.max(earlier.ends_before_call + earlier.broken);
+        if earlier.broken > 0 && crashes >= ENDS_FOR_SUSPICION {
+            return Err(ChoiceError::Suspected);
+        }
+        Ok(())
+    }
+
+    /// Whether so many back ends have crashed under the fingerprint that its request is placed where a further
+    /// crash loses the fewest other requests.
+    pub(super) fn is_suspected(&self, fingerprint: Option<WorkId>) -> bool {
+        fingerprint.is_some_and(|fingerprint| {
+            let suspected = &self.suspected_fingerprints;
+            suspected.is_quarantined(fingerprint)
+                || suspected.crashes(fingerprint) >= ENDS_FOR_SUSPICION
+        })
+    }
+
+    /// The leader permits this router one trial of a quarantined fingerprint.
+    pub fn on_trial_permitted(&mut self, now: Timestamp, fingerprint: WorkId) {
+        let permits = &mut self.suspected_fingerprints.permits;
+        permits.retain(|_, at| now.since(*at) < PERMIT_HOLDS_FOR);
+        permits.insert(fingerprint, now);
+    }
+
+    /// A back end crashed while serving requests with these fingerprints, each since the given time. Returns the
+    /// fingerprints for which this crash was not known before, each with its crash count.
+    pub fn on_back_end_crashed(
+        &mut self,
+        now: Timestamp,
+        instance: &InstanceId,
+        fingerprints: &[(WorkId, Timestamp)],
+    ) -> Vec<(WorkId, u32)> {
+        let back_end = LoadEntry::key_of(instance.as_str());
+        self.endpoints.on_ended(now, instance);
+        self.suspect(back_end);
+        let suspected = &mut self.suspected_fingerprints;
+        let fingerprints: BTreeMap<WorkId, Timestamp> = fingerprints.iter().copied().collect();
+        let mut new = Vec::new();
+        for (fingerprint, sent_at) in fingerprints {
+            if suspected.completions.contains(now, fingerprint) {
+                continue;
+            }
+            let held = now.since(sent_at);
+            let crash = EndReport {
+                back_end,
+                age: Duration::ZERO,
+                held,
+            };
+            if suspected.own.note_end(now, fingerprint, crash) {
+                let held_ms = u32::try_from(held.as_millis()).unwrap_or(u32::MAX);
+                suspected.report(
+                    now,
+                    fingerprint,
+                    WorkEvent::BackEndEnded { back_end, held_ms },
+                );
+                new.push((fingerprint, suspected.crashes(fingerprint)));
+            }
+        }
+        new
+    }
+
+    /// A request with this fingerprint completed, so it does not crash every back end that serves it. Returns
+    /// whether the fingerprint was quarantined or had any crash counted.
+    pub fn on_fingerprint_completed(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+        let suspected = &mut self.suspected_fingerprints;
+        suspected.completions.note(now, fingerprint);
+        let was_suspected =
+            suspected.clear(fingerprint) || suspected.quarantined.contains(&fingerprint);
+        if was_suspected {
+            suspected.report(now, fingerprint, WorkEvent::Completed);
+        }
+        was_suspected
+    }
+
+    /// Applies crash counts sent by a control machine. Counts only grow, so the largest one received from any
+    /// control machine holds, until one of them sends 0 or a request with the fingerprint has recently completed
+    /// at this router.
+    pub fn on_fingerprint_suspicions(&mut self, now: Timestamp, suspicions: &[WorkSuspicion]) {
+        let suspected = &mut self.suspected_fingerprints;
+        for WorkSuspicion {
+            work: fingerprint,
+            ends: crashes,
+        } in suspicions
+        {
+            if *crashes == 0 {
+                suspected.clear(*fingerprint);
+            } else if suspected.report_recent_completion(now, *fingerprint) {
+                continue;
+            } else if suspected.announced.len() < MAX_ANNOUNCED
+                || suspected.announced.contains_key(fingerprint)
+            {
+                let announced = suspected.announced.entry(*fingerprint).or_default();
+                *announced = (*announced).max(*crashes);
+            }
+        }
+    }
+
+    /// The reports that this router has made since `cursor`, which is advanced past them. A new connection to a
+    /// control machine starts with a cursor of 0.
+    pub fn fingerprint_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<WorkReport> {
+        let suspected = &self.suspected_fingerprints;
+        let skipped = cursor.saturating_sub(suspected.dropped_reports) as usize;
+        *cursor = suspected.dropped_reports + suspected.reports.len() as u64;
+        let fresh = suspected.reports.iter().skip(skipped);
+        fresh
+            .filter(|observation| observation.is_reportable(now))
+            .filter_map(|observation| {
+                Some(WorkReport {
+                    work: observation.fingerprint,
+                    age_ms: u32::try_from(now.since(observation.at).as_millis())
+                        .unwrap_or(u32::MAX),
+                    event: observation.event?,
+                })
+            })
+            .collect()
+    }
+}
