--- a/crates/gateway/src/control/back_ends.rs
+++ b/crates/gateway/src/control/back_ends.rs
@@ -74,9 +74,9 @@
         let response = connection.send(request).await.ok()?;
         let status = response.status();
         let headers = response.headers();
-        let knows_of = |name: &HeaderName| control.dialect.knows_of(name);
+        let is_known_header = |name: &HeaderName| control.dialect.is_known_header(name);
         self.unknown_headers
-            .note(knows_of, &control.metrics, instance, headers);
+            .note(is_known_header, &control.metrics, instance, headers);
         let notice = control.dialect.notice(status, headers);
         if let Some(retry_after) = notice.retry_after {
             self.note_backoff(control, instance, retry_after);
--- a/crates/gateway/src/control/store.rs
+++ b/crates/gateway/src/control/store.rs
@@ -102,7 +102,8 @@
         return start(control, address).await;
     }
     position.next = events.next;
-    let (came, went): (Vec<_>, Vec<_>) = events.events.into_iter().partition(|event| event.came);
+    let (came, went): (Vec<_>, Vec<_>) =
+        events.events.into_iter().partition(|event| event.is_added);
     if !came.is_empty() || !went.is_empty() {
         tell(
             control,
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreEvent {
     /// True when it came.
-    pub came: bool,
+    pub is_added: bool,
     /// The part.
     pub key: StoredKey,
 }
@@ -127,7 +127,7 @@
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> BackEndNotice;
 
     /// Whether a header of an answer is read, or is known to need no reading.
-    fn knows_of(&self, header: &HeaderName) -> bool;
+    fn is_known_header(&self, header: &HeaderName) -> bool;
 
     /// Names a run of which the back end at `address` has a copy.
     fn copied_run(&self, address: &str, request_id: &str) -> String;
--- a/crates/gateway/src/router/mod.rs
+++ b/crates/gateway/src/router/mod.rs
@@ -209,7 +209,7 @@
         tokio::time::sleep(STOP_CHECK).await;
         let passed = router.clock.now().since(begun);
         let left_alone =
-            passed >= router.settings.directory_memory && router.open_requests.get() == 0;
+            passed >= router.settings.directory_max_age && router.open_requests.get() == 0;
         if passed >= last || left_alone {
             break;
         }
--- a/crates/gateway/src/router/notices.rs
+++ b/crates/gateway/src/router/notices.rs
@@ -25,11 +25,11 @@
     let headers = response.headers();
     let notice = router.dialect.notice(response.status(), headers);
     let instance = answered_by(router, choice, response);
-    let knows_of = |name: &HeaderName| router.dialect.knows_of(name);
+    let is_known_header = |name: &HeaderName| router.dialect.is_known_header(name);
     let metrics = &router.metrics;
     router
         .unknown_headers
-        .note(knows_of, metrics, &instance, headers);
+        .note(is_known_header, metrics, &instance, headers);
     let mut core = router.core.borrow_mut();
     if notice == BackEndNotice::default() && core.limit_of(&instance).is_none() {
         return;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -29,7 +29,7 @@
     /// From the signal to stop until the process is killed.
     pub grace: Duration,
     /// How long callers may go on using a directory answer.
-    pub directory_memory: Duration,
+    pub directory_max_age: Duration,
     /// Of its decisions.
     pub params: RouterParams,
 }
--- a/crates/gateway/src/unknown_headers.rs
+++ b/crates/gateway/src/unknown_headers.rs
@@ -23,15 +23,15 @@
 pub(crate) struct UnknownHeaders(RefCell<HashSet<HeaderName>>);
 
 impl UnknownHeaders {
-    /// Looks through the head of an answer of a back end; `knows_of` is what [`Dialect::knows_of`](crate::Dialect::knows_of) says.
+    /// Looks through the head of an answer of a back end; `is_known_header` is what [`Dialect::is_known_header`](crate::Dialect::knows_of) says.
     pub fn note(
         &self,
-        knows_of: impl Fn(&HeaderName) -> bool,
+        is_known_header: impl Fn(&HeaderName) -> bool,
         metrics: &Metrics,
         instance: &InstanceId,
         headers: &HeaderMap,
     ) {
-        for name in headers.keys().filter(|name| !knows_of(name)) {
+        for name in headers.keys().filter(|name| !is_known_header(name)) {
             let label = self.label(name, instance);
             metrics.count_unknown_header(label);
         }
