--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -9,7 +9,7 @@
 mod peers;
 mod quarantine;
 mod store;
-mod traffic_line;
+mod traffic_log;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -115,7 +115,7 @@
     listen(&control)?;
     tokio::task::spawn_local(flush_when_asked(Rc::clone(&control)));
     tokio::task::spawn_local(tick(Rc::clone(&control)));
-    tokio::task::spawn_local(traffic_line::tell(Rc::clone(&control)));
+    tokio::task::spawn_local(traffic_log::tell(Rc::clone(&control)));
     tokio::task::spawn_local(store::follow_all(Rc::clone(&control)));
     tracing::info!(event = "started", role = "control", node = %control.settings.node,
         listen = %control.settings.listen, bootstrap = control.settings.bootstrap,
--- a/crates/gateway/src/router/mod.rs
+++ b/crates/gateway/src/router/mod.rs
@@ -1,7 +1,8 @@
 //! The router daemon: callers on one side, back ends on the other, control machines beside it.
 
 mod attempt;
-mod back_end_ends;
+mod control_links;
+mod crash_detection;
 mod events;
 mod first_view;
 mod forward;
@@ -12,7 +13,6 @@
 mod reports;
 mod resume;
 mod timeliness;
-mod updates;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -39,7 +39,7 @@
 
 pub(crate) use relay::Relay;
 
-use back_end_ends::Examinations;
+use crash_detection::Examinations;
 use first_view::FirstView;
 
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
@@ -109,7 +109,7 @@
         settings,
     });
     listen(&router)?;
-    updates::start(&router);
+    control_links::start(&router);
     tokio::task::spawn_local(prune(Rc::clone(&router)));
     tracing::info!(event = "started", role = "router", node = %router.settings.node,
         listen = %router.settings.listen, "router: started");
--- a/crates/gateway/src/router/relay.rs
+++ b/crates/gateway/src/router/relay.rs
@@ -14,7 +14,7 @@
 use tokio::time::Sleep;
 use tracing::field::DisplayValue;
 
-use super::back_end_ends::{self, BrokenRun};
+use super::crash_detection::{self, BrokenRun};
 use super::forward::{Call, OpenRequest};
 use super::resume::Resumption;
 use super::timeliness::Timeliness;
@@ -111,7 +111,7 @@
         }
         if self.outcome == Outcome::Broken && self.execution != Execution::NotRun {
             let address = &self.choice.address;
-            back_end_ends::examine(&self.router, instance, address, self.run.clone());
+            crash_detection::examine(&self.router, instance, address, self.run.clone());
         }
     }
 }
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -9,7 +9,7 @@
 use drumshore_wire::{List, Text};
 use tokio::time::sleep;
 
-use super::updates::Links;
+use super::control_links::Links;
 use super::Router;
 use crate::link::Sender;
 
