--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -15,7 +15,7 @@
 use crate::dialect::ControlCall;
 use crate::server::{NoAnswer, Peer};
 
-const MOST_BODY_BYTES: usize = 8 << 20;
+const MAX_BODY_BYTES: usize = 8 << 20;
 
 /// Serves one call.
 pub(super) async fn serve(
@@ -27,7 +27,7 @@
         return Ok(answer::plain(StatusCode::NOT_FOUND, ""));
     };
     let caller = request.extensions().get::<Peer>().copied();
-    let body = Limited::new(request.into_body(), MOST_BODY_BYTES);
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES);
     let body = body.collect().await.map_err(|_| NoAnswer)?.to_bytes();
     let response = match call {
         ControlCall::PutConfiguration => put_configuration(&control, body).await,
--- a/crates/gateway/src/control/back_ends.rs
+++ b/crates/gateway/src/control/back_ends.rs
@@ -19,19 +19,19 @@
 use crate::upstream::Upstreams;
 
 /// A back end that takes an order says so at once.
-const PATIENCE: Duration = Duration::from_millis(400);
+const TIMEOUT: Duration = Duration::from_millis(400);
 const CONNECTIONS: usize = 2;
-const MOST_ANSWER_BYTES: usize = 1 << 20;
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 /// Between two questions to a back end that limits what it takes. One that loads weights is asked several times a
 /// second otherwise, which is more than some take of all callers. A load is noticed so much later.
-const QUESTION_INTERVAL_UNDER_LIMIT: Duration = Duration::from_secs(2);
+const QUERY_INTERVAL_UNDER_LIMIT: Duration = Duration::from_secs(2);
 
 /// Connections to back ends, and until when some of them want no calls of this machine.
 pub(super) struct BackEnds {
     upstreams: Upstreams,
     backoff_until: RefCell<HashMap<InstanceId, Timestamp>>,
     /// Of those that limit what they take: until when they are asked nothing.
-    no_question_until: RefCell<HashMap<InstanceId, Timestamp>>,
+    no_query_until: RefCell<HashMap<InstanceId, Timestamp>>,
     unknown_headers: UnknownHeaders,
 }
 
@@ -47,7 +47,7 @@
         Self {
             upstreams,
             backoff_until: RefCell::default(),
-            no_question_until: RefCell::default(),
+            no_query_until: RefCell::default(),
             unknown_headers: UnknownHeaders::default(),
         }
     }
@@ -64,10 +64,10 @@
     ) -> Option<CallAnswer> {
         let connecting = self
             .upstreams
-            .connect(instance, address, CONNECTIONS, PATIENCE);
+            .connect(instance, address, CONNECTIONS, TIMEOUT);
         let mut connection = connecting.await.ok()?;
         if self.backs_off(control.clock.now(), instance) {
-            connection.give_back(control.clock.now());
+            connection.release(control.clock.now());
             return None;
         }
         let request = request(control, expect.then_some(instance), address, call)?;
@@ -76,14 +76,14 @@
         let headers = response.headers();
         let is_known_header = |name: &HeaderName| control.dialect.is_known_header(name);
         self.unknown_headers
-            .note(is_known_header, &control.metrics, instance, headers);
+            .record(is_known_header, &control.metrics, instance, headers);
         let notice = control.dialect.notice(status, headers);
         if let Some(retry_after) = notice.retry_after {
-            self.note_backoff(control, instance, retry_after);
+            self.record_backoff(control, instance, retry_after);
         }
-        let body = Limited::new(response.into_body(), MOST_ANSWER_BYTES);
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
         let body = body.collect().await.ok()?.to_bytes();
-        connection.give_back(control.clock.now());
+        connection.release(control.clock.now());
         let limit = notice.limit;
         Some(CallAnswer {
             status,
@@ -93,17 +93,17 @@
     }
 
     /// False while a back end that limits what it takes was asked a moment ago.
-    fn may_ask(&self, now: Timestamp, instance: &InstanceId) -> bool {
-        let until = self.no_question_until.borrow().get(instance).copied();
+    fn may_query(&self, now: Timestamp, instance: &InstanceId) -> bool {
+        let until = self.no_query_until.borrow().get(instance).copied();
         until.is_none_or(|until| until <= now)
     }
 
-    fn note_limit(&self, control: &Control, instance: &InstanceId, limit: RequestRate) {
+    fn record_limit(&self, control: &Control, instance: &InstanceId, limit: RequestRate) {
         let now = control.clock.now();
-        let mut no_question_until = self.no_question_until.borrow_mut();
-        no_question_until.retain(|_, until| *until > now);
-        let until = now.plus(QUESTION_INTERVAL_UNDER_LIMIT);
-        no_question_until.insert(instance.clone(), until);
+        let mut no_query_until = self.no_query_until.borrow_mut();
+        no_query_until.retain(|_, until| *until > now);
+        let until = now.plus(QUERY_INTERVAL_UNDER_LIMIT);
+        no_query_until.insert(instance.clone(), until);
         control.metrics.count_notice("limit");
         tracing::info!(event = "back_end_limit", %instance, requests_per_second = %limit,
             "control: a back end limits what it takes from all callers");
@@ -114,7 +114,7 @@
         until.is_some_and(|until| until > now)
     }
 
-    fn note_backoff(&self, control: &Control, instance: &InstanceId, retry_after: Duration) {
+    fn record_backoff(&self, control: &Control, instance: &InstanceId, retry_after: Duration) {
         let now = control.clock.now();
         let mut backoff_until = self.backoff_until.borrow_mut();
         backoff_until.retain(|_, until| *until > now);
@@ -149,14 +149,15 @@
 }
 
 /// Gives an order; its outcome goes back to the core.
-pub(super) fn give_order(control: &Rc<Control>, order: Order) {
+pub(super) fn send_order(control: &Rc<Control>, order: Order) {
     let control = Rc::clone(control);
     tokio::task::spawn_local(async move {
         let call = control.dialect.order(&order);
-        let calling = control
-            .back_ends
-            .call(&control, &order.instance, &order.address, call, true);
-        let answer = timeout(PATIENCE, calling).await.ok().flatten();
+        let call_future =
+            control
+                .back_ends
+                .call(&control, &order.instance, &order.address, call, true);
+        let answer = timeout(TIMEOUT, call_future).await.ok().flatten();
         let outcome = answer.as_ref().map_or(OrderOutcome::Unknown, outcome_of);
         tracing::info!(event = "order", instance = %order.instance, model = %order.model,
             version = order.version, fencing_token = order.fencing_token,
@@ -181,21 +182,21 @@
 }
 
 /// Asks a back end what it holds; the answer goes back to the core.
-pub(super) fn ask(control: &Rc<Control>, instance: InstanceId, address: String) {
+pub(super) fn query_report(control: &Rc<Control>, instance: InstanceId, address: String) {
     let control = Rc::clone(control);
     tokio::task::spawn_local(async move {
-        let may_ask = control.back_ends.may_ask(control.clock.now(), &instance);
+        let may_query = control.back_ends.may_query(control.clock.now(), &instance);
         let call = control.dialect.report_call();
-        let calling = control
+        let call_future = control
             .back_ends
             .call(&control, &instance, &address, call, true);
-        let answer = if may_ask {
-            timeout(PATIENCE, calling).await.ok().flatten()
+        let answer = if may_query {
+            timeout(TIMEOUT, call_future).await.ok().flatten()
         } else {
             None
         };
         if let Some(limit) = answer.as_ref().and_then(|answer| answer.limit) {
-            control.back_ends.note_limit(&control, &instance, limit);
+            control.back_ends.record_limit(&control, &instance, limit);
         }
         let report: Option<Report> = answer
             .filter(|answer| answer.status == StatusCode::OK)
--- a/crates/gateway/src/control/configuration.rs
+++ b/crates/gateway/src/control/configuration.rs
@@ -4,24 +4,24 @@
 
 /// Stores, and the limits of tenants, which go to the core.
 #[derive(Debug, Default)]
-pub(super) struct KnownConfiguration {
+pub(super) struct CachedConfiguration {
     version: u64,
     store_addresses: Vec<String>,
 }
 
 impl Control {
     /// Reads the configuration that is applied, if it is another one than before.
-    pub(super) fn note_configuration(&self) {
+    pub(super) fn refresh_configuration(&self) {
         let mut core = self.core.borrow_mut();
         let Some(core) = core.as_mut() else {
             return;
         };
         let version = core.state().configuration_version();
-        let mut known = self.configuration.borrow_mut();
-        if known.version == version {
+        let mut cached = self.configuration.borrow_mut();
+        if cached.version == version {
             return;
         }
-        known.version = version;
+        cached.version = version;
         let body = core.state().configuration().unwrap_or_default();
         let document = match self.dialect.document(body) {
             Ok(document) => document,
@@ -33,7 +33,7 @@
             }
         };
         let stores = document.pools.into_iter().filter_map(|pool| pool.store);
-        known.store_addresses = stores.map(|store| store.address).collect();
+        cached.store_addresses = stores.map(|store| store.address).collect();
         let tenants = document.tenants.into_iter();
         let limits: Vec<_> = tenants
             .filter_map(|tenant| Some((tenant.name, tenant.limit?)))
--- a/crates/gateway/src/control/connections.rs
+++ b/crates/gateway/src/control/connections.rs
@@ -10,9 +10,9 @@
 const RESERVED_DESCRIPTORS: usize = 920;
 /// Part of the others for back ends and operators; the rest is for callers of the directory, who
 /// come and go.
-const CONTROL_PART: f64 = 0.75;
+const CONTROL_SHARE: f64 = 0.75;
 /// Connections of each kind on a machine with few descriptors.
-const FEWEST_CONNECTIONS: usize = 256;
+const MIN_CONNECTIONS: usize = 256;
 
 /// Connections at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,10 +27,10 @@
     /// For a process that may have so many descriptors open.
     pub fn new(max_descriptors: usize) -> Self {
         let free = max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
-        let control = (free as f64 * CONTROL_PART) as usize;
+        let control = (free as f64 * CONTROL_SHARE) as usize;
         Self {
-            control: control.max(FEWEST_CONNECTIONS),
-            directory: (free - control).max(FEWEST_CONNECTIONS),
+            control: control.max(MIN_CONNECTIONS),
+            directory: (free - control).max(MIN_CONNECTIONS),
         }
     }
 }
--- a/crates/gateway/src/control/folder.rs
+++ b/crates/gateway/src/control/folder.rs
@@ -15,9 +15,9 @@
 pub(super) fn open(settings: &ControlSettings) -> Result<Core, ReplicaError> {
     let mut directory = FileDirectory::open(&settings.data_dir).map_err(WalError::Io)?;
     let seeds = (settings.seeds)();
-    let founds = settings.bootstrap && seeds.contains(&settings.ip);
-    let replica = replica_of(&mut directory, settings, founds)?;
-    let members = if founds && replica == bootstrap_id(settings.ip) {
+    let is_founder = settings.bootstrap && seeds.contains(&settings.ip);
+    let replica = replica_of(&mut directory, settings, is_founder)?;
+    let members = if is_founder && replica == bootstrap_id(settings.ip) {
         Membership::of_voters(seeds.iter().map(|seed| bootstrap_id(*seed)))
     } else {
         Membership::default()
@@ -37,14 +37,14 @@
 fn replica_of(
     directory: &mut FileDirectory,
     settings: &ControlSettings,
-    founds: bool,
+    is_founder: bool,
 ) -> Result<ReplicaId, WalError> {
     let stored = directory.read(REPLICA_FILE)?;
     if let Some(bytes) = stored.and_then(|bytes| <[u8; 8]>::try_from(bytes).ok()) {
         return Ok(ReplicaId(u64::from_le_bytes(bytes)));
     }
     let founding = bootstrap_id(settings.ip);
-    let replica = if founds {
+    let replica = if is_founder {
         founding
     } else {
         ReplicaId(founding.0 | u64::from((Control::seed() as u32).max(1)))
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -42,16 +42,16 @@
 use crate::{run_on_event_loop, DaemonError};
 
 use back_ends::BackEnds;
-use configuration::KnownConfiguration;
+use configuration::CachedConfiguration;
 use connections::ConnectionLimits;
 use peers::Peers;
 
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 const MAX_METRICS_CONNECTIONS: usize = 32;
 /// Between two tries to open a folder whose disk failed.
-const REOPEN_AFTER: Duration = Duration::from_millis(500);
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
 /// Between handing leadership over and the end of the process.
-const HAND_OVER: Duration = Duration::from_millis(400);
+const LEADERSHIP_TRANSFER: Duration = Duration::from_millis(400);
 
 type Core = ControlCore<FileDirectory>;
 
@@ -71,7 +71,7 @@
     next_ticket: Cell<u64>,
     flush: Notify,
     role: Cell<Option<Role>>,
-    configuration: RefCell<KnownConfiguration>,
+    configuration: RefCell<CachedConfiguration>,
 }
 
 /// Runs a control machine until it is told to stop.
@@ -94,7 +94,7 @@
         }
     };
     let metrics = Metrics::new();
-    let traffic = LinkTraffic::counted_by(metrics.link_bytes.clone());
+    let traffic = LinkTraffic::with_counters(metrics.link_bytes.clone());
     let traffic = Rc::new(traffic);
     let control = Rc::new(Control {
         core: RefCell::new(core),
@@ -113,9 +113,9 @@
         settings,
     });
     listen(&control)?;
-    tokio::task::spawn_local(flush_when_asked(Rc::clone(&control)));
+    tokio::task::spawn_local(flush_on_request(Rc::clone(&control)));
     tokio::task::spawn_local(tick(Rc::clone(&control)));
-    tokio::task::spawn_local(traffic_log::tell(Rc::clone(&control)));
+    tokio::task::spawn_local(traffic_log::log_periodically(Rc::clone(&control)));
     tokio::task::spawn_local(store::follow_all(Rc::clone(&control)));
     tracing::info!(event = "started", role = "control", node = %control.settings.node,
         listen = %control.settings.listen, bootstrap = control.settings.bootstrap,
@@ -126,7 +126,7 @@
     }
     tracing::info!(event = "stopping", "control: stopping");
     control.with_core(|core, _| core.step_down());
-    tokio::time::sleep(HAND_OVER).await;
+    tokio::time::sleep(LEADERSHIP_TRANSFER).await;
     tracing::info!(event = "stopped", "control: stopped");
     Ok(())
 }
@@ -142,12 +142,12 @@
         max_connections: MAX_METRICS_CONNECTIONS,
         when_full: WhenFull::Close,
     };
-    for (what, address, max_connections) in addresses {
+    for (purpose, address, max_connections) in addresses {
         let params = ServerParams {
             max_connections,
             ..params
         };
-        let listener = sockets::open(what, address)?;
+        let listener = sockets::open(purpose, address)?;
         let shared = Rc::clone(control);
         let answering = server::serve(listener, params, move |request| {
             api::serve(Rc::clone(&shared), request)
@@ -159,7 +159,7 @@
         let shared = Rc::clone(control);
         let answering = server::serve(listener, params, move |request: Request<Incoming>| {
             let shared = Rc::clone(&shared);
-            async move { Ok::<_, NoAnswer>(for_operators(&shared, &request).await) }
+            async move { Ok::<_, NoAnswer>(serve_operators(&shared, &request).await) }
         });
         tokio::task::spawn_local(answering);
     }
@@ -170,7 +170,10 @@
 }
 
 /// What people on call ask of a control machine: its quarantine, or else its figures.
-async fn for_operators(control: &Rc<Control>, request: &Request<Incoming>) -> Response<AnswerBody> {
+async fn serve_operators(
+    control: &Rc<Control>,
+    request: &Request<Incoming>,
+) -> Response<AnswerBody> {
     match quarantine::call_of(request.method(), request.uri().path()) {
         Some(call) => quarantine::serve(control, call).await,
         None => control.metrics.answer(request),
@@ -185,13 +188,13 @@
         if control.core.borrow().is_none() {
             control.reopen().await;
         }
-        control.note_configuration();
+        control.refresh_configuration();
         control.with_core(Core::on_tick);
-        control.note_role();
+        control.record_role();
     }
 }
 
-async fn flush_when_asked(control: Rc<Control>) {
+async fn flush_on_request(control: Rc<Control>) {
     loop {
         control.flush.notified().await;
         control.flush_now();
@@ -201,10 +204,10 @@
 impl Control {
     /// Lets the core take something in; what follows is sent when the loop gets to it, so that
     /// all that gathers until then shares one sync of the disk. `None` while the disk fails.
-    fn with_core<R>(&self, take_in: impl FnOnce(&mut Core, Timestamp) -> R) -> Option<R> {
+    fn with_core<R>(&self, operation: impl FnOnce(&mut Core, Timestamp) -> R) -> Option<R> {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
-        let result = take_in(core.as_mut()?, now);
+        let result = operation(core.as_mut()?, now);
         self.flush.notify_one();
         Some(result)
     }
@@ -230,14 +233,14 @@
             Some(core) => core.flush(&mut |effect| effects.push(effect)),
         };
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         if let Err(error) = flushed {
             self.on_disk_failure(&error);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::ToControl(address, message) => self.peers.send(address, &message),
             Effect::ToRouter(connection, message) => {
@@ -271,8 +274,8 @@
                     "control: another machine sent what is not passed on to routers"
                 );
             }
-            Effect::Order(order) => back_ends::give_order(self, order),
-            Effect::Ask { instance, address } => back_ends::ask(self, instance, address),
+            Effect::Order(order) => back_ends::send_order(self, order),
+            Effect::Ask { instance, address } => back_ends::query_report(self, instance, address),
         }
     }
 
@@ -300,12 +303,12 @@
     }
 
     async fn reopen(&self) {
-        tokio::time::sleep(REOPEN_AFTER).await;
+        tokio::time::sleep(REOPEN_DELAY).await;
         match folder::open(&self.settings) {
             Ok(core) => {
                 tracing::info!(event = "disk_regained", "control: the disk works again");
                 *self.core.borrow_mut() = Some(core);
-                *self.configuration.borrow_mut() = KnownConfiguration::default();
+                *self.configuration.borrow_mut() = CachedConfiguration::default();
             }
             Err(error) => {
                 tracing::error!(event = "folder_failed", %error,
@@ -319,7 +322,7 @@
         self.with_core(|core, _| core.set_seeds(seeds));
     }
 
-    fn note_role(&self) {
+    fn record_role(&self) {
         let core = self.core.borrow();
         let Some(core) = core.as_ref() else {
             return;
--- a/crates/gateway/src/control/peers.rs
+++ b/crates/gateway/src/control/peers.rs
@@ -17,14 +17,14 @@
 
 /// Messages that wait for a link to come up; beyond it they are lost, as on a network.
 const QUEUED_MESSAGES: usize = 128;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Between two questions on a link whether it still carries bytes. A link may go silent for good while new
 /// ones work, and something on the way may acknowledge what it drops, so that the kernel sees nothing.
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// A link on which nothing came back for so long is dialled anew: three questions.
-const SILENCE: Duration = Duration::from_millis(3_200);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_200);
 /// An accepted link on which nothing came for so long is closed: its peer has dialled anew.
-const ACCEPTED_SILENCE: Duration = Duration::from_secs(10);
+const ACCEPTED_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Outgoing links to other control machines, dialled on first use and again when they break.
 pub(super) struct Peers {
@@ -48,74 +48,74 @@
         let queue = queues.entry(address).or_insert_with(|| {
             let (sender, queue) = mpsc::channel(QUEUED_MESSAGES);
             let target = SocketAddr::from((address, self.port));
-            let redial = Redial::counted_by(Rc::clone(&self.traffic));
-            tokio::task::spawn_local(keep_sending(target, redial, queue));
+            let redial = Redial::with_traffic(Rc::clone(&self.traffic));
+            tokio::task::spawn_local(maintain_link(target, redial, queue));
             sender
         });
         let _ = queue.try_send(message.clone());
     }
 }
 
-async fn keep_sending(target: SocketAddr, mut redial: Redial, mut queue: mpsc::Receiver<Message>) {
-    let mut lost = false;
+async fn maintain_link(target: SocketAddr, mut redial: Redial, mut queue: mpsc::Receiver<Message>) {
+    let mut loss_logged = false;
     loop {
         let Ok((sender, receiver)) = redial.dial(target).await else {
-            if !std::mem::replace(&mut lost, true) {
+            if !std::mem::replace(&mut loss_logged, true) {
                 tracing::info!(event = "peer_lost", peer = %target,
                     "control: a control machine is lost");
             }
-            tokio::time::sleep(redial.pause()).await;
+            tokio::time::sleep(redial.retry_delay()).await;
             // What has waited is outdated; the log sends it again.
             while queue.try_recv().is_ok() {}
             continue;
         };
         tracing::info!(event = "peer_linked", peer = %target,
             "control: linked to a control machine");
-        let reason = match converse(&sender, receiver, &mut queue).await {
-            Ended::NothingToSay => return,
-            Ended::Closed => "closed",
-            Ended::Silent => "silent",
+        let reason = match run_link(&sender, receiver, &mut queue).await {
+            LinkEnd::Unneeded => return,
+            LinkEnd::Closed => "closed",
+            LinkEnd::Unresponsive => "silent",
         };
         tracing::info!(event = "peer_lost", peer = %target, reason,
             "control: a control machine is lost");
-        lost = true;
-        tokio::time::sleep(redial.pause()).await;
+        loss_logged = true;
+        tokio::time::sleep(redial.retry_delay()).await;
     }
 }
 
 /// Why a link to another control machine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
+enum LinkEnd {
     /// It was closed.
     Closed,
     /// Nothing came back.
-    Silent,
+    Unresponsive,
     /// This process has no use for it any more.
-    NothingToSay,
+    Unneeded,
 }
 
 /// Sends what is queued until the link ends.
-async fn converse(
+async fn run_link(
     sender: &Sender,
     receiver: Receiver,
     queue: &mut mpsc::Receiver<Message>,
-) -> Ended {
-    let heard = Rc::new(Cell::new(Instant::now()));
-    let listening = listen(receiver, Rc::clone(&heard));
-    tokio::pin!(listening);
-    let mut keep_alive = interval(KEEP_ALIVE);
+) -> LinkEnd {
+    let last_received = Rc::new(Cell::new(Instant::now()));
+    let receiving = listen(receiver, Rc::clone(&last_received));
+    tokio::pin!(receiving);
+    let mut keep_alive = interval(KEEP_ALIVE_INTERVAL);
     loop {
         tokio::select! {
             message = queue.recv() => match message {
                 Some(message) if sender.send(&message) => {}
                 Some(_) if !sender.is_closed() => {}
-                Some(_) => return Ended::Closed,
-                None => return Ended::NothingToSay,
+                Some(_) => return LinkEnd::Closed,
+                None => return LinkEnd::Unneeded,
             },
-            _ = &mut listening => return Ended::Closed,
+            _ = &mut receiving => return LinkEnd::Closed,
             _ = keep_alive.tick() => {
-                if heard.get().elapsed() > SILENCE {
-                    return Ended::Silent;
+                if last_received.get().elapsed() > RESPONSE_TIMEOUT {
+                    return LinkEnd::Unresponsive;
                 }
                 sender.send(&Message::KeepAlive);
             }
@@ -124,9 +124,9 @@
 }
 
 /// Notes what comes back, until the link is closed.
-async fn listen(mut receiver: Receiver, heard: Rc<Cell<Instant>>) {
+async fn listen(mut receiver: Receiver, last_received: Rc<Cell<Instant>>) {
     while receiver.receive().await.is_ok() {
-        heard.set(Instant::now());
+        last_received.set(Instant::now());
     }
 }
 
@@ -143,7 +143,7 @@
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error,
                     "control: a connection was not accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -159,7 +159,7 @@
     if let Message::Router(status) = &first {
         let address = status.address.as_str().to_owned();
         tracing::info!(event = "router_linked", %address, ?wire, "control: a router linked");
-        let sender = sender.laid_out(wire);
+        let sender = sender.with_wire(wire);
         control.routers.borrow_mut().insert(connection, sender);
         serve_router(&control, connection, wire, first, receiver).await;
         control.routers.borrow_mut().remove(&connection);
@@ -203,7 +203,7 @@
         } else {
             control.with_core(|core: &mut Core, now| core.on_control(now, message));
         }
-        match timeout(ACCEPTED_SILENCE, receiver.receive()).await {
+        match timeout(ACCEPTED_IDLE_TIMEOUT, receiver.receive()).await {
             Ok(Ok(next)) => message = next,
             Ok(Err(_)) | Err(_) => return,
         }
--- a/crates/gateway/src/control/peers_tests.rs
+++ b/crates/gateway/src/control/peers_tests.rs
@@ -6,10 +6,10 @@
 use super::*;
 
 /// The other end of links: it takes bytes, and says something back or nothing.
-async fn accept_links(listener: TcpListener, answers: bool, accepted: Rc<Cell<usize>>) {
+async fn accept_links(listener: TcpListener, responds: bool, accepted: Rc<Cell<usize>>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         accepted.set(accepted.get() + 1);
-        if !answers {
+        if !responds {
             tokio::task::spawn_local(async move {
                 let mut bytes = [0; 1_024];
                 while stream.read(&mut bytes).await.is_ok_and(|read| read > 0) {}
@@ -27,30 +27,32 @@
 
 /// How a link to such an end ended; `None` when it did not within a time that is longer than a link may
 /// be silent.
-fn link_ends(answers: bool) -> Option<Ended> {
+fn link_end(responds: bool) -> Option<LinkEnd> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     LocalSet::new().block_on(&runtime.unwrap(), async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let target = listener.local_addr().unwrap();
-        tokio::task::spawn_local(accept_links(listener, answers, Rc::default()));
+        tokio::task::spawn_local(accept_links(listener, responds, Rc::default()));
         let (sender, receiver) = Redial::default().dial(target).await.unwrap();
         let (_keeps_queue_open, mut queue) = mpsc::channel(1);
-        let ended = converse(&sender, receiver, &mut queue);
-        timeout(SILENCE + 3 * KEEP_ALIVE, ended).await.ok()
+        let ended = run_link(&sender, receiver, &mut queue);
+        timeout(RESPONSE_TIMEOUT + 3 * KEEP_ALIVE_INTERVAL, ended)
+            .await
+            .ok()
     })
 }
 
 /// The kernel acknowledges all that is sent, so only the question that gets no answer shows it.
 #[test]
 fn a_link_that_takes_bytes_and_says_nothing_is_given_up() {
-    assert_eq!(link_ends(false), Some(Ended::Silent));
+    assert_eq!(link_end(false), Some(LinkEnd::Unresponsive));
 }
 
 #[test]
 fn a_link_without_traffic_of_its_own_stays() {
-    assert_eq!(link_ends(true), None);
+    assert_eq!(link_end(true), None);
 }
 
 /// Something on the way has forgotten the connection; the next one works.
@@ -65,9 +67,9 @@
         let accepted = Rc::new(Cell::new(0));
         tokio::task::spawn_local(accept_links(listener, false, Rc::clone(&accepted)));
         let (_keeps_queue_open, queue) = mpsc::channel(1);
-        tokio::task::spawn_local(keep_sending(target, Redial::default(), queue));
+        tokio::task::spawn_local(maintain_link(target, Redial::default(), queue));
         while accepted.get() < 2 {
-            tokio::time::sleep(KEEP_ALIVE / 10).await;
+            tokio::time::sleep(KEEP_ALIVE_INTERVAL / 10).await;
         }
     });
 }
--- a/crates/gateway/src/control/quarantine.rs
+++ b/crates/gateway/src/control/quarantine.rs
@@ -48,32 +48,32 @@
 }
 
 fn list(control: &Control) -> Response<AnswerBody> {
-    let Some(works) = quarantined(control) else {
+    let Some(fingerprints) = quarantined(control) else {
         return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "");
     };
     let mut text = String::new();
-    for work in works {
+    for fingerprint in fingerprints {
         // Writing to a string does not fail.
-        let _ = writeln!(text, "{work:#}");
+        let _ = writeln!(text, "{fingerprint:#}");
     }
     answer::typed(CONTENT_TYPE, text)
 }
 
 async fn release(control: &Control, prefix: &WorkIdPrefix) -> Response<AnswerBody> {
-    let Some(mut works) = quarantined(control) else {
+    let Some(mut fingerprints) = quarantined(control) else {
         return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "");
     };
-    works.retain(|work| prefix.matches(*work));
-    let [work] = works[..] else {
-        let status = if works.is_empty() {
+    fingerprints.retain(|fingerprint| prefix.matches(*fingerprint));
+    let [fingerprint] = fingerprints[..] else {
+        let status = if fingerprints.is_empty() {
             StatusCode::NOT_FOUND
         } else {
             StatusCode::CONFLICT
         };
         return answer::plain(status, "");
     };
-    let reply = api::submit(control, Command::Release { work }).await;
-    tracing::info!(event = "release_asked", %work, outcome = api::reply_name(&reply),
+    let reply = api::submit(control, Command::Release { work: fingerprint }).await;
+    tracing::info!(event = "release_asked", work = %fingerprint, outcome = api::reply_name(&reply),
         "control: an operator releases work");
     api::acknowledge(control, reply)
 }
--- a/crates/gateway/src/control/store.rs
+++ b/crates/gateway/src/control/store.rs
@@ -16,12 +16,12 @@
 use crate::dialect::{OutboundCall, StoreEvents};
 
 /// How long a question may wait for events.
-const WAIT: Duration = Duration::from_millis(700);
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const POLL_WAIT: Duration = Duration::from_millis(700);
+const TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Between two questions, so that events come in batches.
-const PAUSE: Duration = Duration::from_millis(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
 /// Between two looks at which stores there are, and after one that did not answer.
-const IDLE: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Where in a store's events this machine is.
@@ -29,7 +29,7 @@
 struct Position {
     epoch: u64,
     next: u64,
-    listed: Timestamp,
+    listed_at: Timestamp,
 }
 
 /// While this machine leads, keeps one follower for each store that the configuration names.
@@ -42,12 +42,12 @@
             Vec::new()
         };
         followers.retain(|address, follower| {
-            let keep = wanted.contains(address);
-            if !keep {
+            let is_wanted = wanted.contains(address);
+            if !is_wanted {
                 follower.abort();
-                tell(&control, address, StoreNews::Lost);
+                report(&control, address, StoreNews::Lost);
             }
-            keep
+            is_wanted
         });
         for address in wanted {
             followers.entry(address.clone()).or_insert_with(|| {
@@ -55,93 +55,93 @@
                 tokio::task::spawn_local(follower)
             });
         }
-        sleep(IDLE).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
 async fn follow(control: Rc<Control>, address: String) {
     let mut position: Option<Position> = None;
     loop {
-        let followed = match position {
-            Some(position) => go_on(&control, &address, position).await,
-            None => start(&control, &address).await,
+        let new_position = match position {
+            Some(position) => poll(&control, &address, position).await,
+            None => resync(&control, &address).await,
         };
-        if followed.is_none() && position.is_some() {
+        if new_position.is_none() && position.is_some() {
             tracing::info!(event = "store_lost", %address, "control: a store does not answer");
-        } else if followed.is_some() && position.is_none() {
+        } else if new_position.is_some() && position.is_none() {
             tracing::info!(event = "store_found", %address, "control: a store answers");
         }
-        if followed.is_none() {
-            tell(&control, &address, StoreNews::Lost);
-            sleep(IDLE).await;
+        if new_position.is_none() {
+            report(&control, &address, StoreNews::Lost);
+            sleep(CHECK_INTERVAL).await;
         }
-        position = followed;
-        sleep(PAUSE).await;
+        position = new_position;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Events first, then the list: what changes between the two is told again by the next events.
-async fn start(control: &Control, address: &str) -> Option<Position> {
-    let events = ask_events(control, address, 0, Duration::ZERO).await?;
-    let list = ask_list(control, address).await?;
-    tell(control, address, StoreNews::Holds(list));
+async fn resync(control: &Control, address: &str) -> Option<Position> {
+    let events = query_events(control, address, 0, Duration::ZERO).await?;
+    let list = query_list(control, address).await?;
+    report(control, address, StoreNews::Holds(list));
     Some(Position {
         epoch: events.epoch,
         next: events.next,
-        listed: control.clock.now(),
+        listed_at: control.clock.now(),
     })
 }
 
-async fn go_on(control: &Control, address: &str, mut position: Position) -> Option<Position> {
-    let events = ask_events(control, address, position.next, WAIT).await?;
+async fn poll(control: &Control, address: &str, mut position: Position) -> Option<Position> {
+    let events = query_events(control, address, position.next, POLL_WAIT).await?;
     let now = control.clock.now();
-    let outdated = events.lost
+    let needs_resync = events.lost
         || events.epoch != position.epoch
-        || now.since(position.listed) >= LIST_INTERVAL;
-    if outdated {
-        return start(control, address).await;
+        || now.since(position.listed_at) >= LIST_INTERVAL;
+    if needs_resync {
+        return resync(control, address).await;
     }
     position.next = events.next;
-    let (came, went): (Vec<_>, Vec<_>) =
+    let (added_events, removed_events): (Vec<_>, Vec<_>) =
         events.events.into_iter().partition(|event| event.is_added);
-    if !came.is_empty() || !went.is_empty() {
-        tell(
+    if !added_events.is_empty() || !removed_events.is_empty() {
+        report(
             control,
             address,
             StoreNews::Changed {
-                added: came.into_iter().map(|event| event.key).collect(),
-                removed: went.into_iter().map(|event| event.key).collect(),
+                added: added_events.into_iter().map(|event| event.key).collect(),
+                removed: removed_events.into_iter().map(|event| event.key).collect(),
             },
         );
     }
     Some(position)
 }
 
-async fn ask_events(
+async fn query_events(
     control: &Control,
     address: &str,
     since: u64,
     wait: Duration,
 ) -> Option<StoreEvents> {
     let call = control.dialect.store_events_call(since, wait);
-    let body = ask(control, address, call).await?;
+    let body = query(control, address, call).await?;
     control.dialect.store_events(&body).ok()
 }
 
-async fn ask_list(control: &Control, address: &str) -> Option<Vec<StoredKey>> {
+async fn query_list(control: &Control, address: &str) -> Option<Vec<StoredKey>> {
     let call = control.dialect.store_list_call();
-    let body = ask(control, address, call).await?;
+    let body = query(control, address, call).await?;
     control.dialect.store_list(&body).ok()
 }
 
-async fn ask(control: &Control, address: &str, call: OutboundCall) -> Option<bytes::Bytes> {
+async fn query(control: &Control, address: &str, call: OutboundCall) -> Option<bytes::Bytes> {
     let name = InstanceId::new(address);
-    let calling = control.back_ends.call(control, &name, address, call, false);
-    let answer = timeout(PATIENCE, calling).await.ok().flatten()?;
+    let call_future = control.back_ends.call(control, &name, address, call, false);
+    let answer = timeout(TIMEOUT, call_future).await.ok().flatten()?;
     (answer.status == StatusCode::OK).then_some(answer.body)
 }
 
-fn tell(control: &Control, address: &str, news: StoreNews) {
+fn report(control: &Control, address: &str, news: StoreNews) {
     let store = StoreId::at(address);
     control.with_core(|core, now| core.on_store_news(now, store, news));
 }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -20,16 +20,16 @@
 const QUEUED_FRAMES: usize = 256;
 /// The first try to reach a peer, and the pause after it. A peer whose machine has no power is not
 /// heard to refuse, and it may be back at any moment.
-const FIRST_PATIENCE: Duration = Duration::from_millis(120);
-const FIRST_PAUSE: Duration = Duration::from_millis(30);
-const LONGEST_PATIENCE: Duration = Duration::from_millis(500);
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(30);
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Tries of the first kind, before patience and pause grow.
-const QUICK_TRIES: u32 = 12;
+const QUICK_ATTEMPTS: u32 = 12;
 
 /// Frames that wait together are written together up to so many bytes, which spares calls to the kernel; a larger
 /// one is written as it is, for a copy of it would cost as much memory again.
-const MOST_BATCH_BYTES: usize = 16 << 10;
+const MAX_BATCH_BYTES: usize = 16 << 10;
 
 /// How long tries to reach a peer last, and the pauses between them; both grow.
 #[derive(Debug, Default)]
@@ -40,25 +40,29 @@
 
 impl Redial {
     /// Counts what is sent over the link.
-    pub fn counted_by(traffic: Rc<LinkTraffic>) -> Self {
+    pub fn with_traffic(traffic: Rc<LinkTraffic>) -> Self {
         Self { failed: 0, traffic }
     }
 
     /// Dials a peer; starts anew once it was reached.
     pub async fn dial(&mut self, address: SocketAddr) -> io::Result<(Sender, Receiver)> {
-        let stream = sockets::connect(address, self.grown(FIRST_PATIENCE, LONGEST_PATIENCE)).await;
+        let stream = sockets::connect(
+            address,
+            self.increased(FIRST_CONNECT_TIMEOUT, MAX_CONNECT_TIMEOUT),
+        )
+        .await;
         self.failed = if stream.is_ok() { 0 } else { self.failed + 1 };
         Ok(split(stream?, Rc::clone(&self.traffic)))
     }
 
     /// Before the next try.
-    pub fn pause(&self) -> Duration {
-        self.grown(FIRST_PAUSE, LONGEST_PAUSE)
+    pub fn retry_delay(&self) -> Duration {
+        self.increased(FIRST_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 
-    fn grown(&self, first: Duration, longest: Duration) -> Duration {
-        let slower = self.failed.saturating_sub(QUICK_TRIES).min(8);
-        (first * 2_u32.pow(slower)).min(longest)
+    fn increased(&self, first: Duration, max: Duration) -> Duration {
+        let doublings = self.failed.saturating_sub(QUICK_ATTEMPTS).min(8);
+        (first * 2_u32.pow(doublings)).min(max)
     }
 }
 
@@ -96,7 +100,7 @@
 
 impl Sender {
     /// The same link, on which messages are laid out so.
-    pub fn laid_out(self, wire: RouterWire) -> Self {
+    pub fn with_wire(self, wire: RouterWire) -> Self {
         Self { wire, ..self }
     }
 
@@ -129,7 +133,7 @@
 
 /// Receives messages.
 pub(crate) struct Receiver {
-    half: OwnedReadHalf,
+    stream_half: OwnedReadHalf,
     wire: RouterWire,
 }
 
@@ -137,7 +141,7 @@
     /// The first message, by which it is known how those after it are laid out.
     pub async fn receive_first(&mut self) -> Result<(RouterWire, Message), FrameError> {
         let payload = self.receive_payload().await?;
-        let first = RouterWire::of_first(&payload).ok_or_else(no_message)?;
+        let first = RouterWire::of_first(&payload).ok_or_else(unknown_message)?;
         self.wire = first.0;
         Ok(first)
     }
@@ -145,7 +149,7 @@
     /// The first message of a control machine, by which it is known how those after it are laid out.
     pub async fn receive_first_of_control(&mut self) -> Result<(RouterWire, Message), FrameError> {
         let payload = self.receive_payload().await?;
-        let first = RouterWire::of_control(&payload).ok_or_else(no_message)?;
+        let first = RouterWire::of_control(&payload).ok_or_else(unknown_message)?;
         self.wire = first.0;
         Ok(first)
     }
@@ -153,21 +157,21 @@
     /// The next message.
     pub async fn receive(&mut self) -> Result<Message, FrameError> {
         let payload = self.receive_payload().await?;
-        self.wire.decode(&payload).ok_or_else(no_message)
+        self.wire.decode(&payload).ok_or_else(unknown_message)
     }
 
     async fn receive_payload(&mut self) -> Result<Vec<u8>, FrameError> {
         let mut head = [0; FrameHead::BYTES];
-        self.half.read_exact(&mut head).await?;
+        self.stream_half.read_exact(&mut head).await?;
         let head = FrameHead::parse(head)?;
         let mut payload = vec![0; head.payload_bytes()];
-        self.half.read_exact(&mut payload).await?;
+        self.stream_half.read_exact(&mut payload).await?;
         head.check(&payload)?;
         Ok(payload)
     }
 }
 
-fn no_message() -> FrameError {
+fn unknown_message() -> FrameError {
     FrameError::Malformed("no such message".into())
 }
 
@@ -176,7 +180,7 @@
     stream: TcpStream,
     traffic: Rc<LinkTraffic>,
 ) -> io::Result<(Sender, Receiver)> {
-    sockets::watch_peer(&stream)?;
+    sockets::enable_dead_peer_detection(&stream)?;
     Ok(split(stream, traffic))
 }
 
@@ -194,7 +198,13 @@
         traffic,
         wire,
     };
-    (sender, Receiver { half: read, wire })
+    (
+        sender,
+        Receiver {
+            stream_half: read,
+            wire,
+        },
+    )
 }
 
 /// Frames on their way to a peer; those that are left when the link ends count as waiting no longer.
@@ -224,13 +234,15 @@
     }
 }
 
-async fn write_frames(mut half: OwnedWriteHalf, mut queued: QueuedFrames) {
+async fn write_frames(mut stream_half: OwnedWriteHalf, mut queued: QueuedFrames) {
     let mut batch = BytesMut::new();
     while let Some(first) = queued.next().await {
         let mut next = Some(first);
         while let Some(frame) = next {
-            if batch.len() + frame.len() > MOST_BATCH_BYTES {
-                if half.write_all(&batch).await.is_err() || half.write_all(&frame).await.is_err() {
+            if batch.len() + frame.len() > MAX_BATCH_BYTES {
+                if stream_half.write_all(&batch).await.is_err()
+                    || stream_half.write_all(&frame).await.is_err()
+                {
                     return;
                 }
                 batch.clear();
@@ -239,7 +251,7 @@
             }
             next = queued.try_next();
         }
-        if half.write_all(&batch).await.is_err() {
+        if stream_half.write_all(&batch).await.is_err() {
             return;
         }
         // An idle link keeps no memory for what it sent last.
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -13,7 +13,7 @@
 /// Lines at once.
 const BURST_LINES: f64 = 400.0;
 
-struct Allowance {
+struct LineBudget {
     lines: f64,
     updated: Instant,
     suppressed: u64,
@@ -21,11 +21,11 @@
 
 /// Lets so many lines through; what was suppressed is told with the next line.
 #[derive(Clone)]
-struct BoundedStdout(Arc<Mutex<Allowance>>);
+struct BoundedStdout(Arc<Mutex<LineBudget>>);
 
 impl BoundedStdout {
     fn new() -> Self {
-        Self(Arc::new(Mutex::new(Allowance {
+        Self(Arc::new(Mutex::new(LineBudget {
             lines: BURST_LINES,
             updated: Instant::now(),
             suppressed: 0,
@@ -34,22 +34,22 @@
 
     /// How many lines were suppressed before this one; `None` when it is suppressed too.
     fn admit(&self) -> Option<u64> {
-        let mut allowance = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut budget = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        let passed = now.duration_since(allowance.updated).as_secs_f64();
-        allowance.updated = now;
-        allowance.lines = (allowance.lines + passed * LINES_PER_SECOND).min(BURST_LINES);
-        if allowance.lines < 1.0 {
-            allowance.suppressed += 1;
+        let passed = now.duration_since(budget.updated).as_secs_f64();
+        budget.updated = now;
+        budget.lines = (budget.lines + passed * LINES_PER_SECOND).min(BURST_LINES);
+        if budget.lines < 1.0 {
+            budget.suppressed += 1;
             return None;
         }
-        allowance.lines -= 1.0;
-        Some(std::mem::take(&mut allowance.suppressed))
+        budget.lines -= 1.0;
+        Some(std::mem::take(&mut budget.suppressed))
     }
 
-    fn give_back(&self, lines: u64) {
-        let mut allowance = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        allowance.suppressed += lines;
+    fn restore_suppressed(&self, lines: u64) {
+        let mut budget = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        budget.suppressed += lines;
     }
 }
 
@@ -62,11 +62,11 @@
             0 => String::new(),
             count => format!("event=\"lines_suppressed\" count={count}\n"),
         };
-        let mut whole = note.into_bytes();
-        whole.extend_from_slice(line);
+        let mut output = note.into_bytes();
+        output.extend_from_slice(line);
         // The descriptor does not block: a reader that does not keep up loses lines.
-        if nix::unistd::write(io::stdout(), &whole).is_err() {
-            self.give_back(suppressed + 1);
+        if nix::unistd::write(io::stdout(), &output).is_err() {
+            self.restore_suppressed(suppressed + 1);
         }
         Ok(line.len())
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -30,7 +30,7 @@
 }
 
 /// Tenants that have counters of their own; the others share one.
-const MOST_TENANT_LABELS: usize = 64;
+const MAX_TENANT_LABELS: usize = 64;
 /// Stands for all tenants beyond them.
 const OTHER_TENANTS: &str = "other";
 
@@ -189,7 +189,7 @@
 
     pub fn count_limit_units(&self, tenant: &str, outcome: &'static str, units: u32) {
         let mut labelled = self.labelled_tenants.borrow_mut();
-        if labelled.len() < MOST_TENANT_LABELS && !labelled.contains(tenant) {
+        if labelled.len() < MAX_TENANT_LABELS && !labelled.contains(tenant) {
             labelled.insert(tenant.to_owned());
         }
         let is_labelled = labelled.contains(tenant);
--- a/crates/gateway/src/router/attempt.rs
+++ b/crates/gateway/src/router/attempt.rs
@@ -20,19 +20,19 @@
 use crate::upstream::{Connection, NoConnection, SendError};
 
 /// Part of a route's target within which a repeatable request should have its answer's head.
-const SILENCE_FACTOR: f64 = 1.6;
+const HEAD_TIMEOUT_FACTOR: f64 = 1.6;
 /// A free connection may take this long.
-const CONNECTION_PATIENCE: Duration = Duration::from_millis(60);
+const CONNECTION_WAIT: Duration = Duration::from_millis(60);
 
 /// How one attempt ended.
 pub(super) enum Attempt {
     Answered(Box<Answered>),
-    Ended(Ended),
+    Unanswered(Unanswered),
 }
 
 /// An attempt without an answer to pass on.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ended {
+pub(super) struct Unanswered {
     /// What became of it at the back end.
     pub outcome: Outcome,
     /// Whether the request may have run there.
@@ -63,7 +63,7 @@
     router: &Rc<Router>,
     call: &Call,
     choice: &Choice,
-    sent: u32,
+    sent_before: u32,
     continued: Option<&Continuation>,
 ) -> Attempt {
     let open_attempt = OpenAttempt::new(router, call, choice);
@@ -71,7 +71,7 @@
         &choice.instance,
         &choice.address,
         choice.connections,
-        CONNECTION_PATIENCE,
+        CONNECTION_WAIT,
     );
     let mut connection = match connecting.await {
         Ok(connection) => connection,
@@ -80,38 +80,38 @@
                 NoConnection::Unreachable(_) => Outcome::Unreachable,
                 NoConnection::NoneFree => Outcome::NoFreeConnection,
             };
-            return ended(open_attempt, outcome, Execution::NotRun, false);
+            return unanswered(open_attempt, outcome, Execution::NotRun, false);
         }
     };
     if !notices::may_send(router, choice) {
-        connection.give_back(router.clock.now());
-        return ended(open_attempt, Outcome::Withheld, Execution::NotRun, false);
+        connection.release(router.clock.now());
+        return unanswered(open_attempt, Outcome::Withheld, Execution::NotRun, false);
     }
-    let left = call.deadline.since(router.clock.now());
-    let mut request = outbound(router, call, choice, left);
+    let remaining = call.deadline.since(router.clock.now());
+    let mut request = outbound(router, call, choice, remaining);
     if let Some(continued) = continued {
         set_continuation(router, call, choice, continued, request.headers_mut());
     }
-    let patience = head_patience(call, sent, left);
-    let asked = router.clock.now();
-    let response = match timeout(patience, connection.send(request)).await {
+    let time_limit = head_timeout(call, sent_before, remaining);
+    let sent_at = router.clock.now();
+    let response = match timeout(time_limit, connection.send(request)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(error)) => return broken(open_attempt, error),
+        Ok(Err(error)) => return connection_broken(open_attempt, error),
         Err(_) => {
             let outcome = Outcome::TimedOut;
-            return ended(open_attempt, outcome, Execution::MayHaveRun, true);
+            return unanswered(open_attempt, outcome, Execution::MayHaveRun, true);
         }
     };
-    judge(
+    classify_answer(
         router,
         call,
         choice,
         response,
         connection,
         open_attempt,
-        Requested {
-            asked,
-            earlier: sent,
+        AttemptContext {
+            sent_at,
+            earlier_attempts: sent_before,
         },
     )
 }
@@ -136,23 +136,23 @@
     }
 }
 
-fn broken(open_attempt: OpenAttempt, error: SendError) -> Attempt {
+fn connection_broken(open_attempt: OpenAttempt, error: SendError) -> Attempt {
     let execution = match error {
         SendError::NotSent => Execution::NotRun,
         SendError::Broken => Execution::MayHaveRun,
     };
     let sent = error == SendError::Broken;
-    ended(open_attempt, Outcome::Broken, execution, sent)
+    unanswered(open_attempt, Outcome::Broken, execution, sent)
 }
 
-fn ended(
+fn unanswered(
     mut open_attempt: OpenAttempt,
     outcome: Outcome,
     execution: Execution,
     sent: bool,
 ) -> Attempt {
     open_attempt.end(outcome, execution);
-    Attempt::Ended(Ended {
+    Attempt::Unanswered(Unanswered {
         outcome,
         execution,
         sent,
@@ -160,75 +160,92 @@
 }
 
 /// How long to wait for a head: all that is left, unless another back end may be asked.
-fn head_patience(call: &Call, sent: u32, left: Duration) -> Duration {
+fn head_timeout(call: &Call, sent_before: u32, remaining: Duration) -> Duration {
     let route = &call.admission.route;
-    if route.kind != RequestKind::Repeatable || sent + 1 >= route.max_attempts {
-        return left;
+    if route.kind != RequestKind::Repeatable || sent_before + 1 >= route.max_attempts {
+        return remaining;
     }
-    left.min(route.target.mul_f64(SILENCE_FACTOR))
+    remaining.min(route.target.mul_f64(HEAD_TIMEOUT_FACTOR))
 }
 
-fn outbound(router: &Router, call: &Call, choice: &Choice, left: Duration) -> Request<Full<Bytes>> {
+fn outbound(
+    router: &Router,
+    call: &Call,
+    choice: &Choice,
+    remaining: Duration,
+) -> Request<Full<Bytes>> {
     let names = router.dialect.headers();
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.parts.method.clone();
     let target = call.parts.uri.path_and_query().cloned();
     *request.uri_mut() = target.map_or_else(Uri::default, Uri::from);
     *request.headers_mut() = headers::for_back_end(call.parts.headers.clone(), names);
-    headers::set_for_attempt(request.headers_mut(), names, &call.admission, choice, left);
+    headers::set_for_attempt(
+        request.headers_mut(),
+        names,
+        &call.admission,
+        choice,
+        remaining,
+    );
     request
 }
 
 /// What an answer is judged by.
-struct Requested {
+struct AttemptContext {
     /// When the request was sent.
-    asked: Timestamp,
+    sent_at: Timestamp,
     /// Attempts before this one that reached a back end.
-    earlier: u32,
+    earlier_attempts: u32,
 }
 
 /// Decides whether an answer is the request's, and whether it is passed on.
-fn judge(
+fn classify_answer(
     router: &Rc<Router>,
     call: &Call,
     choice: &Choice,
     response: Response<Incoming>,
     connection: Connection,
     mut open_attempt: OpenAttempt,
-    requested: Requested,
+    context: AttemptContext,
 ) -> Attempt {
     open_attempt.answered();
     let names = router.dialect.headers();
     let headers = response.headers();
-    let is_own = header(headers, &names.request_id) == call.id;
-    let asked = if is_own {
-        requested.asked
+    let is_for_this_request = header(headers, &names.request_id) == call.id;
+    let sent_at = if is_for_this_request {
+        context.sent_at
     } else {
         Timestamp::default()
     };
-    notices::take_in(router, choice, &response, asked);
-    if !is_own {
+    notices::process(router, choice, &response, sent_at);
+    if !is_for_this_request {
         // A surplus answer to an earlier request: nobody can say what became of this one.
         let outcome = Outcome::Broken;
-        return ended(open_attempt, outcome, Execution::MayHaveRun, true);
+        return unanswered(open_attempt, outcome, Execution::MayHaveRun, true);
     }
     let not_run = headers.contains_key(&names.not_run)
         || response.status() == StatusCode::MISDIRECTED_REQUEST;
     if not_run {
         let answered_by = header(headers, &names.instance);
-        let other = !answered_by.is_empty() && answered_by != choice.instance.as_str();
+        let is_other_instance = !answered_by.is_empty() && answered_by != choice.instance.as_str();
         let outcome = match response.status() {
-            StatusCode::MISDIRECTED_REQUEST if other => Outcome::Misdirected,
+            StatusCode::MISDIRECTED_REQUEST if is_other_instance => Outcome::Misdirected,
             StatusCode::MISDIRECTED_REQUEST => Outcome::OtherWeights,
             _ => Outcome::Shed,
         };
         drain(router, response, connection);
-        return ended(open_attempt, outcome, Execution::NotRun, true);
+        return unanswered(open_attempt, outcome, Execution::NotRun, true);
     }
     let failed = response.status().is_server_error();
-    if failed && may_try_again(&call.admission, Execution::Ran, requested.earlier + 1) {
+    if failed
+        && may_try_again(
+            &call.admission,
+            Execution::Ran,
+            context.earlier_attempts + 1,
+        )
+    {
         drain(router, response, connection);
-        return ended(open_attempt, Outcome::Failed, Execution::Ran, true);
+        return unanswered(open_attempt, Outcome::Failed, Execution::Ran, true);
     }
     Attempt::Answered(Box::new(Answered {
         response,
@@ -239,13 +256,13 @@
 
 /// Reads a short answer to its end, so that its connection can be kept.
 fn drain(router: &Rc<Router>, response: Response<Incoming>, connection: Connection) {
-    const SHORT: usize = 16 << 10;
-    const PATIENCE: Duration = Duration::from_millis(200);
+    const MAX_BYTES: usize = 16 << 10;
+    const TIMEOUT: Duration = Duration::from_millis(200);
     let clock = router.clock;
     tokio::task::spawn_local(async move {
-        let reading = Limited::new(response.into_body(), SHORT).collect();
-        if matches!(timeout(PATIENCE, reading).await, Ok(Ok(_))) {
-            connection.give_back(clock.now());
+        let reading = Limited::new(response.into_body(), MAX_BYTES).collect();
+        if matches!(timeout(TIMEOUT, reading).await, Ok(Ok(_))) {
+            connection.release(clock.now());
         }
     });
 }
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -21,7 +21,7 @@
 use crate::traffic::LinkTraffic;
 
 /// Between two looks at which control machines there are.
-const FOLLOW_MEMBERS: Duration = Duration::from_millis(250);
+const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Between two looks at what is due on links.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -34,20 +34,20 @@
     view_links: RefCell<ViewLinks>,
     traffic: Rc<LinkTraffic>,
     /// The links that are up.
-    up: RefCell<BTreeMap<Ipv4Addr, Link>>,
+    open_links: RefCell<BTreeMap<Ipv4Addr, Link>>,
     /// The leader, as one of them said last.
     pub leader: Cell<u32>,
     /// What the leader was told last of this router's load.
-    pub loads_told: RefCell<ReportedLoads>,
+    pub reported_loads: RefCell<ReportedLoads>,
     /// When it was last told what all routers put on back ends.
-    pub loads_heard: Cell<Timestamp>,
+    pub loads_received_at: Cell<Timestamp>,
 }
 
 /// A link that is up.
 struct Link {
     sender: Sender,
     /// Notified when it is to end.
-    given_up: Rc<Notify>,
+    close_requested: Rc<Notify>,
 }
 
 impl Links {
@@ -58,24 +58,26 @@
             controls: RefCell::default(),
             tasks: RefCell::default(),
             view_links: RefCell::new(ViewLinks::new(&router.settings.params.zone, seed)),
-            traffic: Rc::new(LinkTraffic::counted_by(router.metrics.link_bytes.clone())),
-            up: RefCell::default(),
+            traffic: Rc::new(LinkTraffic::with_counters(
+                router.metrics.link_bytes.clone(),
+            )),
+            open_links: RefCell::default(),
             leader: Cell::default(),
-            loads_told: RefCell::default(),
-            loads_heard: Cell::default(),
+            reported_loads: RefCell::default(),
+            loads_received_at: Cell::default(),
         }
     }
 
     /// A link has ended, or its control machine is no longer one.
-    fn on_ended(&self, address: Ipv4Addr) {
-        self.up.borrow_mut().remove(&address);
+    fn on_closed(&self, address: Ipv4Addr) {
+        self.open_links.borrow_mut().remove(&address);
         self.view_links.borrow_mut().on_link_ended(address);
     }
 
     /// It is known how messages to a control machine are laid out.
-    fn on_wire(&self, address: Ipv4Addr, wire: RouterWire) {
-        if let Some(link) = self.up.borrow_mut().get_mut(&address) {
-            link.sender = link.sender.clone().laid_out(wire);
+    fn set_wire(&self, address: Ipv4Addr, wire: RouterWire) {
+        if let Some(link) = self.open_links.borrow_mut().get_mut(&address) {
+            link.sender = link.sender.clone().with_wire(wire);
         }
         if wire != RouterWire::Current {
             tracing::info!(event = "control_wire", %address, ?wire,
@@ -85,18 +87,18 @@
 
     /// False when nothing is sent: the link has ended, or its queue is full.
     fn send(&self, to: Ipv4Addr, message: &Message) -> bool {
-        let links = self.up.borrow();
+        let links = self.open_links.borrow();
         links.get(&to).is_some_and(|link| link.sender.send(message))
     }
 }
 
 pub(super) fn start(router: &Rc<Router>) {
     let links = Rc::new(Links::new(router));
-    tokio::task::spawn_local(follow_members(Rc::clone(router), Rc::clone(&links)));
-    tokio::task::spawn_local(poll_regularly(Rc::clone(router), links));
+    tokio::task::spawn_local(maintain_links(Rc::clone(router), Rc::clone(&links)));
+    tokio::task::spawn_local(poll_periodically(Rc::clone(router), links));
 }
 
-async fn poll_regularly(router: Rc<Router>, links: Rc<Links>) {
+async fn poll_periodically(router: Rc<Router>, links: Rc<Links>) {
     loop {
         sleep(POLL_INTERVAL).await;
         poll(&router, &links);
@@ -109,11 +111,11 @@
     let position = router.core.borrow().position();
     let steps = links.view_links.borrow_mut().poll(now, position);
     for step in steps {
-        take_step(router, links, step);
+        execute_step(router, links, step);
     }
 }
 
-fn take_step(router: &Router, links: &Links, step: Step) {
+fn execute_step(router: &Router, links: &Links, step: Step) {
     match step {
         Step::Ping { to, sequence } => {
             links.send(to, &Message::Ping { sequence });
@@ -145,15 +147,15 @@
             }
         }
         Step::GiveUp { to } => {
-            if let Some(link) = links.up.borrow().get(&to) {
-                link.given_up.notify_one();
+            if let Some(link) = links.open_links.borrow().get(&to) {
+                link.close_requested.notify_one();
             }
         }
     }
 }
 
 /// Keeps one link to each control machine that seeds or control machines name.
-async fn follow_members(router: Rc<Router>, links: Rc<Links>) {
+async fn maintain_links(router: Rc<Router>, links: Rc<Links>) {
     loop {
         let mut wanted = (router.settings.seeds)();
         wanted.extend(links.controls.borrow().iter());
@@ -165,64 +167,64 @@
                 let keep = wanted.contains(address);
                 if !keep {
                     task.abort();
-                    links.on_ended(*address);
+                    links.on_closed(*address);
                 }
                 keep
             });
             for address in wanted {
                 tasks.entry(address).or_insert_with(|| {
-                    let link = keep_linked(Rc::clone(&router), Rc::clone(&links), address);
+                    let link = maintain_link(Rc::clone(&router), Rc::clone(&links), address);
                     tokio::task::spawn_local(link)
                 });
             }
         }
-        sleep(FOLLOW_MEMBERS).await;
+        sleep(MEMBERSHIP_INTERVAL).await;
     }
 }
 
-async fn keep_linked(router: Rc<Router>, links: Rc<Links>, address: Ipv4Addr) {
+async fn maintain_link(router: Rc<Router>, links: Rc<Links>, address: Ipv4Addr) {
     let target = SocketAddr::from((address, router.settings.internal_port));
-    let mut redial = Redial::counted_by(Rc::clone(&links.traffic));
+    let mut redial = Redial::with_traffic(Rc::clone(&links.traffic));
     loop {
         if let Ok((sender, receiver)) = redial.dial(target).await {
             tracing::info!(event = "control_linked", %address,
                 "router: linked to a control machine");
-            let reason = converse(&router, &links, address, sender, receiver).await;
-            links.on_ended(address);
+            let reason = run_link(&router, &links, address, sender, receiver).await;
+            links.on_closed(address);
             tracing::info!(event = "control_lost", %address, reason,
                 "router: a control machine is lost");
         }
-        sleep(redial.pause()).await;
+        sleep(redial.retry_delay()).await;
     }
 }
 
 /// Speaks until the link ends; says why it did.
-async fn converse(
+async fn run_link(
     router: &Rc<Router>,
     links: &Rc<Links>,
     address: Ipv4Addr,
     sender: Sender,
     receiver: Receiver,
 ) -> &'static str {
-    let given_up = Rc::new(Notify::new());
+    let close_requested = Rc::new(Notify::new());
     let link = Link {
         sender: sender.clone(),
-        given_up: Rc::clone(&given_up),
+        close_requested: Rc::clone(&close_requested),
     };
     sender.send(&reports::status(router));
-    links.up.borrow_mut().insert(address, link);
+    links.open_links.borrow_mut().insert(address, link);
     links.view_links.borrow_mut().on_linked(address);
     poll(router, links);
     let listening = listen(router, links, address, receiver);
-    let telling = reports::tell_changes(router, &sender);
-    let reporting = reports::report_loads(router, links, &sender, address);
-    let reporting_work = reports::report_work(router, &sender);
+    let sending_status = reports::send_status_changes(router, &sender);
+    let sending_loads = reports::send_load_reports(router, links, &sender, address);
+    let sending_crash_reports = reports::send_crash_reports(router, &sender);
     tokio::select! {
-        () = given_up.notified() => "silent",
+        () = close_requested.notified() => "silent",
         reason = listening => reason,
-        reason = telling => reason,
-        reason = reporting => reason,
-        reason = reporting_work => reason,
+        reason = sending_status => reason,
+        reason = sending_loads => reason,
+        reason = sending_crash_reports => reason,
     }
 }
 
@@ -235,7 +237,7 @@
     let Ok((wire, mut message)) = receiver.receive_first_of_control().await else {
         return "closed";
     };
-    links.on_wire(address, wire);
+    links.set_wire(address, wire);
     loop {
         on_message(router, links, address, wire, message);
         message = match receiver.receive().await {
@@ -273,7 +275,7 @@
                 let mut core = router.core.borrow_mut();
                 core.on_confirmed(asked, revision, routers);
             }
-            wake_waiting(router);
+            wake_waiting_requests(router);
             if !controls.items.is_empty() {
                 let controls = controls.items.into_iter().map(Ipv4Addr::from);
                 *links.controls.borrow_mut() = controls.collect();
@@ -334,11 +336,11 @@
             core.on_account_levels(now, &levels.items);
         }
         Message::LoadsOfAll { whole, loads } => {
-            links.loads_heard.set(router.clock.now());
+            links.loads_received_at.set(router.clock.now());
             let now = router.clock.now();
-            let mut told = links.loads_told.borrow_mut();
+            let mut reported = links.reported_loads.borrow_mut();
             let others = match wire {
-                RouterWire::Current => told.without_own(now, &loads.items),
+                RouterWire::Current => reported.without_own(now, &loads.items),
                 RouterWire::BeforeViews => loads.items,
             };
             let mut core = router.core.borrow_mut();
@@ -351,7 +353,7 @@
 fn on_work_suspicions(router: &Router, address: Ipv4Addr, suspicions: &[WorkSuspicion]) {
     let now = router.clock.now();
     router.core.borrow_mut().on_work_suspicions(now, suspicions);
-    router.work_reported.notify_waiters();
+    router.crash_reports_changed.notify_waiters();
     for WorkSuspicion { work, ends } in suspicions {
         tracing::info!(event = "work_suspected", %work, ends, by = %address,
             "router: a control machine suspects work");
@@ -372,7 +374,7 @@
 }
 
 /// Requests that came before the view was confirmed go on once it is.
-fn wake_waiting(router: &Router) {
+fn wake_waiting_requests(router: &Router) {
     let is_ready = router.core.borrow().is_ready(router.clock.now());
     if is_ready && router.first_view.on_confirmed() {
         router.status_changed.notify_waiters();
@@ -381,7 +383,7 @@
 
 fn apply(router: &Router, links: &Links, from: Ipv4Addr, changes: Changes) {
     let now = router.clock.now();
-    let began = Instant::now();
+    let started = Instant::now();
     let behind = links.view_links.borrow().behind(now).unwrap_or_default();
     let (revision, newest) = (changes.revision, changes.newest);
     let (instances, removed) = (changes.instances.items.len(), changes.removed.items.len());
@@ -401,11 +403,11 @@
                 instances,
                 removed,
                 configuration = core.configuration_version(),
-                took_us = began.elapsed().as_micros() as u64,
+                took_us = started.elapsed().as_micros() as u64,
                 "router: the view changed"
             );
-            wake_waiting(router);
-            router.work_reported.notify_waiters();
+            wake_waiting_requests(router);
+            router.crash_reports_changed.notify_waiters();
             Progress::Made { held }
         }
         Err(error) => {
--- a/crates/gateway/src/router/events.rs
+++ b/crates/gateway/src/router/events.rs
@@ -7,7 +7,7 @@
 const EVENT_END: &[u8] = b"\n\n";
 const ID_FIELD: &[u8] = b"id:";
 /// A single event is not longer; beyond it the stream is passed on as it comes.
-const MOST_PENDING_BYTES: usize = 256 << 10;
+const MAX_PENDING_BYTES: usize = 256 << 10;
 
 /// Events of one answer.
 #[derive(Debug, Default)]
@@ -19,14 +19,14 @@
 
 impl Events {
     /// Takes in bytes and gives out the events that are whole now.
-    pub fn take_in(&mut self, bytes: Bytes) -> Option<Bytes> {
+    pub fn push(&mut self, bytes: Bytes) -> Option<Bytes> {
         let whole = if self.pending.is_empty() && bytes.ends_with(EVENT_END) {
             bytes
         } else {
             self.pending.extend_from_slice(&bytes);
             let end = end_of_last_event(&self.pending);
             let length = match end {
-                None if self.pending.len() > MOST_PENDING_BYTES => self.pending.len(),
+                None if self.pending.len() > MAX_PENDING_BYTES => self.pending.len(),
                 None => return None,
                 Some(end) => end,
             };
@@ -39,13 +39,13 @@
     }
 
     /// What is left when the answer has ended.
-    pub fn take_rest(&mut self) -> Option<Bytes> {
+    pub fn take_remainder(&mut self) -> Option<Bytes> {
         let rest = self.pending.split().freeze();
         (!rest.is_empty()).then_some(rest)
     }
 
     /// Forgets half an event: another back end makes the whole of it.
-    pub fn drop_half(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
--- a/crates/gateway/src/router/events_tests.rs
+++ b/crates/gateway/src/router/events_tests.rs
@@ -6,7 +6,7 @@
 const STREAM: &[u8] = b"id: 1\ndata: a\n\nid: 2\ndata: id: 9\n\nversion:3\nid:3\ndata: c\n\n";
 
 fn passed_on(events: &mut Events, bytes: &[u8]) -> Vec<u8> {
-    let whole = events.take_in(Bytes::copy_from_slice(bytes));
+    let whole = events.push(Bytes::copy_from_slice(bytes));
     whole.map(|whole| whole.to_vec()).unwrap_or_default()
 }
 
@@ -33,20 +33,20 @@
 fn the_rest_of_an_answer_that_ended_is_passed_on() {
     let mut events = Events::default();
     assert_eq!(passed_on(&mut events, b"data: no end"), b"");
-    assert_eq!(events.take_rest().unwrap().as_ref(), b"data: no end");
-    assert_eq!(events.take_rest(), None);
+    assert_eq!(events.take_remainder().unwrap().as_ref(), b"data: no end");
+    assert_eq!(events.take_remainder(), None);
 }
 
 #[test]
 fn an_event_without_end_does_not_fill_the_memory() {
     let mut events = Events::default();
-    let half = vec![b'x'; MOST_PENDING_BYTES];
+    let half = vec![b'x'; MAX_PENDING_BYTES];
     assert_eq!(passed_on(&mut events, &half), b"");
-    assert_eq!(passed_on(&mut events, b"y").len(), MOST_PENDING_BYTES + 1);
+    assert_eq!(passed_on(&mut events, b"y").len(), MAX_PENDING_BYTES + 1);
 }
 
 /// The events from the one after `last` on, as a back end that takes up a stream makes them.
-fn taken_up_after(last: Option<&Bytes>) -> Vec<u8> {
+fn resumed_after(last: Option<&Bytes>) -> Vec<u8> {
     let after: usize = last.map_or(0, |id| String::from_utf8_lossy(id).parse().unwrap());
     let mut rest = STREAM.to_vec();
     for _ in 0..after {
@@ -73,8 +73,8 @@
             left = rest;
         }
         passed.extend(passed_on(&mut events, left));
-        events.drop_half();
-        let rest = taken_up_after(events.last_id());
+        events.discard_partial();
+        let rest = resumed_after(events.last_id());
         passed.extend(passed_on(&mut events, &rest));
         prop_assert_eq!(passed, STREAM);
     }
--- a/crates/gateway/src/router/first_view.rs
+++ b/crates/gateway/src/router/first_view.rs
@@ -16,9 +16,9 @@
 /// from its start: they elect within 0.3 s of the last one's start, and come up within 0.5 s.
 const CONFIRMED_AFTER_START: Timestamp = Timestamp(1_000_000);
 /// No request waits longer.
-const LONGEST_WAIT: Duration = Duration::from_millis(800);
+const MAX_WAIT: Duration = Duration::from_millis(800);
 /// Requests that wait at once; beyond it they are refused.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING_REQUESTS: usize = 256;
 
 /// Whether requests may wait for the first confirmed view, and what wakes them.
 #[derive(Debug, Default)]
@@ -33,9 +33,9 @@
 
 impl FirstView {
     /// How long a request that came at `received` may still wait.
-    pub fn may_wait(&self, now: Timestamp, received: Timestamp) -> Option<Duration> {
-        let until = CONFIRMED_AFTER_START.min(received.plus(LONGEST_WAIT));
-        let has_room = self.waiting.get() < MOST_WAITING;
+    pub fn remaining_wait(&self, now: Timestamp, received: Timestamp) -> Option<Duration> {
+        let until = CONFIRMED_AFTER_START.min(received.plus(MAX_WAIT));
+        let has_room = self.waiting.get() < MAX_WAITING_REQUESTS;
         (now < until && has_room).then(|| until.since(now))
     }
 
--- a/crates/gateway/src/router/first_view_tests.rs
+++ b/crates/gateway/src/router/first_view_tests.rs
@@ -20,16 +20,16 @@
 ) {
     let view = FirstView::default();
     let expected = expected_ms.map(Duration::from_millis);
-    assert_eq!(view.may_wait(now, received), expected);
+    assert_eq!(view.remaining_wait(now, received), expected);
 }
 
 #[test]
 fn requests_that_wait_are_few_and_those_that_leave_make_room() {
     let view = FirstView::default();
-    let mut waiting: Vec<Waiting<'_>> = (0..MOST_WAITING).map(|_| view.waiting()).collect();
-    assert_eq!(view.may_wait(ms(1), ms(1)), None);
+    let mut waiting: Vec<Waiting<'_>> = (0..MAX_WAITING_REQUESTS).map(|_| view.waiting()).collect();
+    assert_eq!(view.remaining_wait(ms(1), ms(1)), None);
     waiting.pop();
-    assert!(view.may_wait(ms(1), ms(1)).is_some());
+    assert!(view.remaining_wait(ms(1), ms(1)).is_some());
 }
 
 #[tokio::test(flavor = "current_thread")]
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -15,7 +15,7 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use super::attempt::{self, Answered, Attempt, Ended};
+use super::attempt::{self, Answered, Attempt, Unanswered};
 use super::headers;
 use super::refusal::{self, Refused};
 use super::relay::{outcome_name, Relay, Relayed};
@@ -26,11 +26,11 @@
 use crate::server::NoAnswer;
 
 /// Attempts that reached no back end do not count as attempts, but there is an end to them.
-const MOST_TRIES: usize = 4;
+const MAX_TRIES: usize = 4;
 /// A longer body of a refused request is not worth taking: a new connection costs its caller less.
-const MOST_UNREAD_BYTES: usize = 64 << 10;
+const MAX_UNREAD_BYTES: usize = 64 << 10;
 /// A caller that has not sent its body by then sends it no more.
-const UNREAD_PATIENCE: Duration = Duration::from_secs(2);
+const UNREAD_BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What is known of a request.
 pub(super) struct Call {
@@ -42,7 +42,7 @@
     pub parts: Parts,
     pub body: Bytes,
     /// Stands for what the request carries; `None` before the key for that is known.
-    pub work: Option<WorkId>,
+    pub fingerprint: Option<WorkId>,
     /// Moments at which back ends had ended under it before this call.
     pub ends_before_call: u32,
 }
@@ -78,7 +78,7 @@
             answer(&router, call, open).await
         }
         Err(refused) => {
-            take_unread(request.into_body());
+            discard_body(request.into_body());
             refusal::refuse(&router, &id, received, refused)
         }
     };
@@ -91,13 +91,13 @@
 
 /// Takes the body of a request that was refused by its head. Its caller may still be sending it; a connection on
 /// which it stays unread is closed, and the caller's next request on it would get no answer.
-fn take_unread(body: Incoming) {
+fn discard_body(body: Incoming) {
     if body.is_end_stream() {
         return;
     }
     tokio::task::spawn_local(async move {
-        let taking = Limited::new(body, MOST_UNREAD_BYTES).collect();
-        let _ = timeout(UNREAD_PATIENCE, taking).await;
+        let taking = Limited::new(body, MAX_UNREAD_BYTES).collect();
+        let _ = timeout(UNREAD_BODY_TIMEOUT, taking).await;
     });
 }
 
@@ -114,12 +114,12 @@
         let Err(Refused::ByView(Refusal::NoConfiguration | Refusal::Unconfirmed)) = admitted else {
             return admitted;
         };
-        let left = router.first_view.may_wait(now, received);
-        let Some(left) = left.filter(|_| router.stopping.get().is_none()) else {
+        let remaining = router.first_view.remaining_wait(now, received);
+        let Some(remaining) = remaining.filter(|_| router.stopping.get().is_none()) else {
             return admitted;
         };
         let _waiting = router.first_view.waiting();
-        let _ = timeout(left, confirmed).await;
+        let _ = timeout(remaining, confirmed).await;
     }
 }
 
@@ -139,7 +139,7 @@
         declared_tokens: router.dialect.declared_tokens(headers),
     };
     let admission = router.core.borrow_mut().admit(now, head)?;
-    if router.stops_before(admission.route.kind) {
+    if router.stops_too_soon_for(admission.route.kind) {
         router.core.borrow_mut().pay_back(now, &admission);
         return Err(Refused::Stopping);
     }
@@ -172,9 +172,9 @@
 ) -> Result<Call, NoAnswer> {
     let names = router.dialect.headers();
     let named = header(request.headers(), &names.deadline_ms).parse().ok();
-    let patience = named.map_or(admission.route.timeout, Duration::from_millis);
-    let held = patience.min(admission.route.timeout);
-    let most = router
+    let requested_limit = named.map_or(admission.route.timeout, Duration::from_millis);
+    let time_limit = requested_limit.min(admission.route.timeout);
+    let max_body_bytes = router
         .core
         .borrow()
         .document()
@@ -183,19 +183,19 @@
     let body = if body.is_end_stream() {
         Bytes::new()
     } else {
-        let reading = Limited::new(body, most).collect();
-        let read = timeout(held, reading).await.map_err(|_| NoAnswer)?;
+        let reading = Limited::new(body, max_body_bytes).collect();
+        let read = timeout(time_limit, reading).await.map_err(|_| NoAnswer)?;
         read.map_err(|_| NoAnswer)?.to_bytes()
     };
-    let work = identify(router, &parts, &admission, &body);
+    let fingerprint = fingerprint_of(router, &parts, &admission, &body);
     let core = router.core.borrow();
-    let ends_before_call = work.map_or(0, |work| core.ends_under(work));
+    let ends_before_call = fingerprint.map_or(0, |fingerprint| core.ends_under(fingerprint));
     Ok(Call {
         id,
-        work,
+        fingerprint,
         ends_before_call,
         received,
-        deadline: received.plus(held),
+        deadline: received.plus(time_limit),
         admission,
         prompt,
         parts,
@@ -203,7 +203,12 @@
     })
 }
 
-fn identify(router: &Router, parts: &Parts, admission: &Admission, body: &Bytes) -> Option<WorkId> {
+fn fingerprint_of(
+    router: &Router,
+    parts: &Parts,
+    admission: &Admission,
+    body: &Bytes,
+) -> Option<WorkId> {
     let target = parts.uri.path_and_query();
     let tenant = admission.tenant.as_ref();
     router.core.borrow().identify(&Work {
@@ -217,8 +222,8 @@
 
 async fn answer(router: &Rc<Router>, call: Call, open: OpenRequest) -> Response<AnswerBody> {
     let mut attempts = Attempts::default();
-    let mut worst = Execution::NotRun;
-    for _ in 0..MOST_TRIES {
+    let mut worst_execution = Execution::NotRun;
+    for _ in 0..MAX_TRIES {
         let now = router.clock.now();
         if call.deadline <= now {
             break;
@@ -232,7 +237,13 @@
         let choice = match chosen {
             Ok(choice) => choice,
             Err(error) => {
-                return refusal::give_up(router, &call, &attempts.tried, worst, Some(error))
+                return refusal::answer_unserved(
+                    router,
+                    &call,
+                    &attempts.tried,
+                    worst_execution,
+                    Some(error),
+                )
             }
         };
         attempts.tried.push(choice.instance.clone());
@@ -241,11 +252,11 @@
                 attempts.sent += 1;
                 return relay(router, call, &choice, *answered, open, attempts);
             }
-            Attempt::Ended(ended) => {
-                log_ended(router, &call, &choice, ended);
-                worst = worst.max(ended.execution);
-                attempts.note(ended);
-                if !may_try_again(&call.admission, worst, attempts.sent) {
+            Attempt::Unanswered(unanswered) => {
+                log_unanswered(router, &call, &choice, unanswered);
+                worst_execution = worst_execution.max(unanswered.execution);
+                attempts.record(unanswered);
+                if !may_try_again(&call.admission, worst_execution, attempts.sent) {
                     break;
                 }
             }
@@ -256,23 +267,28 @@
     let mut core = router.core.borrow_mut();
     let error = core.backoff_of_all(now, &call.admission, prompt);
     drop(core);
-    refusal::give_up(router, &call, &attempts.tried, worst, error)
+    refusal::answer_unserved(router, &call, &attempts.tried, worst_execution, error)
 }
 
 /// One line for each attempt that did not end the request well.
-pub(super) fn log_ended(router: &Router, call: &Call, choice: &Choice, ended: Ended) {
+pub(super) fn log_unanswered(
+    router: &Router,
+    call: &Call,
+    choice: &Choice,
+    unanswered: Unanswered,
+) {
     let elapsed = router.clock.now().since(call.received);
-    tracing::info!(event = "attempt_ended", id = %call.id, work = call.work.map(tracing::field::display),
+    tracing::info!(event = "attempt_ended", id = %call.id, work = call.fingerprint.map(tracing::field::display),
         instance = %choice.instance,
-        outcome = outcome_name(ended.outcome), execution = ended.execution.as_str(),
-        sent = ended.sent, version = choice.expected_version,
+        outcome = outcome_name(unanswered.outcome), execution = unanswered.execution.as_str(),
+        sent = unanswered.sent, version = choice.expected_version,
         elapsed_ms = elapsed.as_millis() as u64, "router: a back end gave no answer to pass on");
 }
 
 /// A request that may have run goes to another back end only when it may run twice.
-pub(super) fn may_try_again(admission: &Admission, worst: Execution, sent: u32) -> bool {
+pub(super) fn may_try_again(admission: &Admission, worst_execution: Execution, sent: u32) -> bool {
     let route = &admission.route;
-    let repeatable = worst == Execution::NotRun || route.kind.may_repeat();
+    let repeatable = worst_execution == Execution::NotRun || route.kind.may_repeat();
     repeatable && sent < route.max_attempts.max(1)
 }
 
@@ -296,7 +312,7 @@
     }
     router.metrics.count_request("answered", elapsed);
     let limit = router.core.borrow().limit_of(&choice.instance);
-    tracing::info!(event = "request", id = %call.id, work = call.work.map(tracing::field::display),
+    tracing::info!(event = "request", id = %call.id, work = call.fingerprint.map(tracing::field::display),
         route = %call.admission.route.name, outcome = "answered", status = response.status().as_u16(),
         priority = call.admission.priority, instance = %choice.instance,
         attempts = attempts.tried.len(), rank = choice.rank, in_flight = choice.in_flight,
@@ -308,10 +324,10 @@
         "router: answered");
     let (mut head, body) = response.into_parts();
     headers::strip_connection_headers(&mut head.headers);
-    let left = call.deadline.since(now);
-    let may_go_on =
+    let remaining = call.deadline.since(now);
+    let may_resume =
         call.admission.route.kind == RequestKind::ResumableStream || choice.copy.is_some();
-    let is_resumable = may_go_on && head.status == StatusCode::OK;
+    let is_resumable = may_resume && head.status == StatusCode::OK;
     let id = call.id.clone();
     let timeliness = Timeliness::new(&call.admission.route, call.received);
     let resumption = is_resumable.then(|| {
@@ -324,7 +340,7 @@
         body,
         connection,
         open_attempt,
-        left,
+        remaining,
         resumption,
         timeliness,
     };
--- a/crates/gateway/src/router/headers.rs
+++ b/crates/gateway/src/router/headers.rs
@@ -13,21 +13,21 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = hyper::header::EXPECT;
-const LEAST_URGENT: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// Removes what concerns one connection only (RFC 9110 §7.6.1).
 pub(super) fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
-    let always = [
+    let hop_by_hop = [
         CONNECTION,
         KEEP_ALIVE,
         PROXY_CONNECTION,
@@ -37,7 +37,7 @@
         UPGRADE,
         EXPECT,
     ];
-    for name in always {
+    for name in hop_by_hop {
         headers.remove(name);
     }
 }
@@ -70,14 +70,14 @@
     names: &HeaderNames,
     admission: &Admission,
     choice: &Choice,
-    left: Duration,
+    remaining: Duration,
 ) {
     let mut set = |name: &HeaderName, value: &str| {
         if let Ok(value) = HeaderValue::from_str(value) {
             headers.insert(name, value);
         }
     };
-    set(&names.deadline_ms, &left.as_millis().to_string());
+    set(&names.deadline_ms, &remaining.as_millis().to_string());
     set(&names.expect_instance, choice.instance.as_str());
     if let Some(tenant) = &admission.tenant {
         set(&names.tenant, tenant.name.as_str());
@@ -87,7 +87,7 @@
     }
     if let Some(salt) = &choice.cache_salt {
         set(&names.cache_salt, salt);
-        let priority = admission.priority.min(LEAST_URGENT).to_string();
+        let priority = admission.priority.min(LOWEST_PRIORITY).to_string();
         set(&names.priority, &priority);
     }
     if let Some(store) = &choice.fetch_from {
--- a/crates/gateway/src/router/mod.rs
+++ b/crates/gateway/src/router/mod.rs
@@ -29,7 +29,7 @@
 use crate::clock::Clock;
 use crate::dialect::Dialect;
 use crate::metrics::Metrics;
-use crate::server::{self, NoAnswer, Places, ServerParams, WhenFull};
+use crate::server::{self, ConnectionSlots, NoAnswer, ServerParams, WhenFull};
 use crate::settings::RouterSettings;
 use crate::signals::{Request as SignalRequest, Signals};
 use crate::sockets;
@@ -39,7 +39,7 @@
 
 pub(crate) use relay::Relay;
 
-use crash_detection::Examinations;
+use crash_detection::PendingProbes;
 use first_view::FirstView;
 
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
@@ -50,10 +50,10 @@
 /// Before the process is killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// Streams may last longer than a stop does; later than this into it none begins.
-const STREAMS_BEGIN_WITHIN: Duration = Duration::from_millis(2_800);
+const LATEST_STREAM_START: Duration = Duration::from_millis(2_800);
 /// Another request that begins later than this before the end would be cut.
-const ANSWER_NEEDS: Duration = Duration::from_millis(1_200);
-const STOP_CHECK: Duration = Duration::from_millis(100);
+const MIN_ANSWER_TIME: Duration = Duration::from_millis(1_200);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What the tasks of a router share.
 pub(crate) struct Router {
@@ -72,11 +72,11 @@
     /// For requests that come before the view is confirmed.
     first_view: FirstView,
     /// Room for connections of callers.
-    caller_places: Places,
+    caller_slots: ConnectionSlots,
     /// Back ends whose connections broke.
-    examinations: Examinations,
+    pending_probes: PendingProbes,
     /// Wakes the links to control machines when there are reports of work.
-    work_reported: Notify,
+    crash_reports_changed: Notify,
     unknown_headers: UnknownHeaders,
 }
 
@@ -102,9 +102,9 @@
         open_requests: Cell::new(0),
         status_changed: Notify::new(),
         first_view: FirstView::default(),
-        caller_places: Places::new(MAX_CONNECTIONS),
-        examinations: Examinations::default(),
-        work_reported: Notify::new(),
+        caller_slots: ConnectionSlots::new(MAX_CONNECTIONS),
+        pending_probes: PendingProbes::default(),
+        crash_reports_changed: Notify::new(),
         unknown_headers: UnknownHeaders::default(),
         settings,
     });
@@ -129,8 +129,8 @@
         when_full: WhenFull::Wait,
     };
     let shared = Rc::clone(router);
-    let places = router.caller_places.clone();
-    let forwarding = server::serve_within(callers, params, places, move |request| {
+    let slots = router.caller_slots.clone();
+    let forwarding = server::serve_with_slots(callers, params, slots, move |request| {
         forward::serve(Rc::clone(&shared), request)
     });
     tokio::task::spawn_local(forwarding);
@@ -160,7 +160,7 @@
 fn readiness(router: &Router) -> Response<AnswerBody> {
     let configured = router.core.borrow().configuration_version() > 0;
     // A router whose room is taken accepts nobody until a connection ends: it must not be called ready.
-    let has_room = !router.caller_places.are_taken();
+    let has_room = !router.caller_slots.all_taken();
     if configured && has_room && router.stopping.get().is_none() {
         answer::plain(StatusCode::OK, "")
     } else {
@@ -180,16 +180,16 @@
 
 impl Router {
     /// True when a request would not end before this process does.
-    fn stops_before(&self, kind: RequestKind) -> bool {
+    fn stops_too_soon_for(&self, kind: RequestKind) -> bool {
         let Some(begun) = self.stopping.get() else {
             return false;
         };
-        let passed = self.clock.now().since(begun);
+        let elapsed = self.clock.now().since(begun);
         if kind.is_stream() {
-            return passed > STREAMS_BEGIN_WITHIN;
+            return elapsed > LATEST_STREAM_START;
         }
-        let last = self.settings.grace.saturating_sub(EXIT_MARGIN);
-        passed + ANSWER_NEEDS > last
+        let stop_limit = self.settings.grace.saturating_sub(EXIT_MARGIN);
+        elapsed + MIN_ANSWER_TIME > stop_limit
     }
 }
 
@@ -204,13 +204,13 @@
         open_requests = router.open_requests.get(),
         "router: stopping"
     );
-    let last = router.settings.grace.saturating_sub(EXIT_MARGIN);
+    let stop_limit = router.settings.grace.saturating_sub(EXIT_MARGIN);
     loop {
-        tokio::time::sleep(STOP_CHECK).await;
-        let passed = router.clock.now().since(begun);
-        let left_alone =
-            passed >= router.settings.directory_max_age && router.open_requests.get() == 0;
-        if passed >= last || left_alone {
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+        let elapsed = router.clock.now().since(begun);
+        let is_drained =
+            elapsed >= router.settings.directory_max_age && router.open_requests.get() == 0;
+        if elapsed >= stop_limit || is_drained {
             break;
         }
     }
--- a/crates/gateway/src/router/notices.rs
+++ b/crates/gateway/src/router/notices.rs
@@ -14,13 +14,13 @@
 use super::forward::header;
 use super::Router;
 
-/// Takes in what the head of an answer says of its back end; the request was sent at `asked`. That it says nothing
+/// Takes in what the head of an answer says of its back end; the request was sent at `sent_at`. That it says nothing
 /// is heeded as well: a limit ends so.
-pub(super) fn take_in(
+pub(super) fn process(
     router: &Rc<Router>,
     choice: &Choice,
     response: &Response<Incoming>,
-    asked: Timestamp,
+    sent_at: Timestamp,
 ) {
     let headers = response.headers();
     let notice = router.dialect.notice(response.status(), headers);
@@ -29,16 +29,16 @@
     let metrics = &router.metrics;
     router
         .unknown_headers
-        .note(is_known_header, metrics, &instance, headers);
+        .record(is_known_header, metrics, &instance, headers);
     let mut core = router.core.borrow_mut();
     if notice == BackEndNotice::default() && core.limit_of(&instance).is_none() {
         return;
     }
     let now = router.clock.now();
-    let change = core.on_notice(now, &instance, notice, asked);
+    let change = core.on_notice(now, &instance, notice, sent_at);
     drop(core);
     if let Some(change) = change.limit {
-        note_limit(router, &instance, change);
+        record_limit_change(router, &instance, change);
     }
     if change.backs_off {
         router.metrics.count_notice("backoff");
@@ -53,7 +53,7 @@
     }
 }
 
-fn note_limit(router: &Router, instance: &InstanceId, change: LimitChange) {
+fn record_limit_change(router: &Router, instance: &InstanceId, change: LimitChange) {
     match change {
         LimitChange::Named(rate) => {
             router.metrics.count_notice("limit");
--- a/crates/gateway/src/router/refusal_tests.rs
+++ b/crates/gateway/src/router/refusal_tests.rs
@@ -38,11 +38,11 @@
     #[case] error: Option<ChoiceError>,
     #[case] is_late: bool,
     #[case] status: u16,
-    #[case] says_when: bool,
+    #[case] has_retry_after: bool,
 ) {
     let given_up = final_answer(worst, error, is_late);
     assert_eq!(given_up.status.as_u16(), status);
-    assert_eq!(given_up.retry_after.is_some(), says_when);
+    assert_eq!(given_up.retry_after.is_some(), has_retry_after);
 }
 
 /// A caller is never asked back before there is room, and callers are spread behind that moment.
@@ -53,10 +53,10 @@
 #[case::very_long(600_000, 1.0, 30_000)]
 fn callers_over_their_limit_return_when_there_is_room(
     #[case] wait_ms: u64,
-    #[case] draw: f64,
+    #[case] sample: f64,
     #[case] after_ms: u64,
 ) {
-    let after = retry_after_limit(Duration::from_millis(wait_ms), draw);
+    let after = retry_after_limit(Duration::from_millis(wait_ms), sample);
     assert_eq!(after, Duration::from_millis(after_ms));
 }
 
--- a/crates/gateway/src/router/relay.rs
+++ b/crates/gateway/src/router/relay.rs
@@ -44,42 +44,46 @@
             execution: Execution::MayHaveRun,
             run: BrokenRun {
                 id: call.id.clone(),
-                work: call.work,
-                begun: router.clock.now(),
+                fingerprint: call.fingerprint,
+                sent_at: router.clock.now(),
             },
         }
     }
 
     /// The answer has begun.
     pub fn answered(&mut self) {
-        self.heard();
-        let took = self.router.clock.now().since(self.run.begun);
-        self.note_answered(Some(took));
+        self.on_bytes_received();
+        let latency = self.router.clock.now().since(self.run.sent_at);
+        self.record_answered(Some(latency));
     }
 
     /// Bytes of the answer have come.
-    fn heard(&self) {
+    fn on_bytes_received(&self) {
         self.choice.heard.set(self.router.clock.now());
     }
 
-    fn note_answered(&mut self, took: Option<Duration>) {
+    fn record_answered(&mut self, latency: Option<Duration>) {
         if !std::mem::replace(&mut self.answered, true) {
             let now = self.router.clock.now();
             let mut core = self.router.core.borrow_mut();
-            core.answered(now, &self.choice, took, self.target);
+            core.answered(now, &self.choice, latency, self.target);
         }
     }
 
     /// The back end outlived the run, so the work does not end whatever runs it.
-    fn note_completed(&self, now: Timestamp) {
-        let Some(work) = self.run.work else {
+    fn record_completed(&self, now: Timestamp) {
+        let Some(fingerprint) = self.run.fingerprint else {
             return;
         };
-        let was_suspected = self.router.core.borrow_mut().on_work_completed(now, work);
+        let was_suspected = self
+            .router
+            .core
+            .borrow_mut()
+            .on_work_completed(now, fingerprint);
         if was_suspected {
-            tracing::info!(event = "work_cleared", id = %self.run.id, %work,
+            tracing::info!(event = "work_cleared", id = %self.run.id, work = %fingerprint,
                 instance = %self.choice.instance, "router: suspected work ran to its end");
-            self.router.work_reported.notify_waiters();
+            self.router.crash_reports_changed.notify_waiters();
         }
     }
 
@@ -92,13 +96,13 @@
 
 impl Drop for OpenAttempt {
     fn drop(&mut self) {
-        self.note_answered(None);
+        self.record_answered(None);
         let now = self.router.clock.now();
         let instance = &self.choice.instance;
         let mut core = self.router.core.borrow_mut();
-        let fell_silent = core.finished(now, instance, self.run.begun, self.outcome);
+        let became_unresponsive = core.finished(now, instance, self.run.sent_at, self.outcome);
         drop(core);
-        if fell_silent {
+        if became_unresponsive {
             tracing::info!(event = "back_end_suspected", %instance, by = "this router",
                 outcome = outcome_name(self.outcome), "router: a back end fell silent");
             self.router.upstreams.close_idle(instance);
@@ -107,11 +111,11 @@
             .metrics
             .count_attempt(outcome_name(self.outcome));
         if matches!(self.outcome, Outcome::Answered | Outcome::Failed) {
-            self.note_completed(now);
+            self.record_completed(now);
         }
         if self.outcome == Outcome::Broken && self.execution != Execution::NotRun {
             let address = &self.choice.address;
-            crash_detection::examine(&self.router, instance, address, self.run.clone());
+            crash_detection::probe(&self.router, instance, address, self.run.clone());
         }
     }
 }
@@ -134,11 +138,11 @@
 }
 
 /// Whether a broken stream is being taken up elsewhere.
-enum TakeUp {
+enum ResumeState {
     /// It is not broken, or it has been taken up.
-    NotUnderWay,
+    NotResuming,
     /// A back end is sought.
-    UnderWay,
+    Resuming,
     /// No back end goes on with it.
     Failed,
 }
@@ -165,7 +169,7 @@
     pub connection: Connection,
     pub open_attempt: OpenAttempt,
     /// Time until the request's deadline.
-    pub left: Duration,
+    pub remaining: Duration,
     pub resumption: Option<Resumption>,
     pub timeliness: Timeliness,
 }
@@ -177,7 +181,7 @@
             body: relayed.body,
             connection: Some(relayed.connection),
             open_attempt: relayed.open_attempt,
-            deadline: Box::pin(tokio::time::sleep(relayed.left)),
+            deadline: Box::pin(tokio::time::sleep(relayed.remaining)),
             resumption: relayed.resumption,
             timeliness: relayed.timeliness,
             _open: open,
@@ -206,24 +210,24 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         loop {
-            match self.poll_taken_up(context) {
-                TakeUp::NotUnderWay => {}
-                TakeUp::UnderWay => return self.poll_deadline(context),
-                TakeUp::Failed => {
+            match self.poll_resumed(context) {
+                ResumeState::NotResuming => {}
+                ResumeState::Resuming => return self.poll_deadline(context),
+                ResumeState::Failed => {
                     let error = io::Error::from(io::ErrorKind::ConnectionReset);
                     return Poll::Ready(Some(Err(self.cut(Outcome::Broken, "broken", error))));
                 }
             }
             match Pin::new(&mut self.body).poll_frame(context) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.open_attempt.heard();
+                    self.open_attempt.on_bytes_received();
                     self.timeliness.on_piece(self.now());
                     if let Some(frame) = self.whole_events(frame) {
                         return Poll::Ready(Some(Ok(frame)));
                     }
                 }
                 Poll::Ready(Some(Err(error))) => {
-                    if !self.take_up(&error) {
+                    if !self.begin_resuming(&error) {
                         let error = io::Error::other(error);
                         let error = self.cut(Outcome::Broken, "broken", error);
                         return Poll::Ready(Some(Err(error)));
@@ -232,7 +236,7 @@
                 Poll::Ready(None) => {
                     self.finish();
                     let rest = self.resumption.as_mut();
-                    let rest = rest.and_then(|resumption| resumption.events.take_rest());
+                    let rest = rest.and_then(|resumption| resumption.events.take_remainder());
                     return Poll::Ready(rest.map(|rest| Ok(Frame::data(rest))));
                 }
                 Poll::Pending => return self.poll_deadline(context),
@@ -263,18 +267,18 @@
             Ok(data) => data,
             Err(trailers) => return Some(trailers),
         };
-        resumption.events.take_in(data).map(Frame::data)
+        resumption.events.push(data).map(Frame::data)
     }
 
     /// Begins to have a broken stream taken up elsewhere; false when that may not be.
-    fn take_up(&mut self, error: &hyper::Error) -> bool {
+    fn begin_resuming(&mut self, error: &hyper::Error) -> bool {
         let Some(resumption) = &mut self.resumption else {
             return false;
         };
         if !resumption.begin() {
             return false;
         }
-        tracing::info!(event = "answer_broken", id = %self.id, work = self.shown_work(),
+        tracing::info!(event = "answer_broken", id = %self.id, work = self.displayed_fingerprint(),
             instance = %self.open_attempt.choice.instance, %error, "router: a back end broke off");
         self.open_attempt.end(Outcome::Broken, Execution::Ran);
         self.connection = None;
@@ -282,20 +286,20 @@
     }
 
     /// Goes on with the body of the back end that takes the stream up.
-    fn poll_taken_up(&mut self, context: &mut Context<'_>) -> TakeUp {
+    fn poll_resumed(&mut self, context: &mut Context<'_>) -> ResumeState {
         let polled = self
             .resumption
             .as_mut()
-            .and_then(|resumption| resumption.poll_taken_up(context));
+            .and_then(|resumption| resumption.poll_resumed(context));
         match polled {
-            None => TakeUp::NotUnderWay,
-            Some(Poll::Pending) => TakeUp::UnderWay,
-            Some(Poll::Ready(None)) => TakeUp::Failed,
+            None => ResumeState::NotResuming,
+            Some(Poll::Pending) => ResumeState::Resuming,
+            Some(Poll::Ready(None)) => ResumeState::Failed,
             Some(Poll::Ready(Some(answered))) => {
                 self.body = answered.response.into_body();
                 self.connection = Some(answered.connection);
                 self.open_attempt = answered.open_attempt;
-                TakeUp::NotUnderWay
+                ResumeState::NotResuming
             }
         }
     }
@@ -303,12 +307,15 @@
     fn finish(&mut self) {
         if let Some(connection) = self.connection.take() {
             self.open_attempt.end(Outcome::Answered, Execution::Ran);
-            connection.give_back(self.now());
+            connection.release(self.now());
         }
     }
 
-    fn shown_work(&self) -> Option<DisplayValue<WorkId>> {
-        self.open_attempt.run.work.map(tracing::field::display)
+    fn displayed_fingerprint(&self) -> Option<DisplayValue<WorkId>> {
+        self.open_attempt
+            .run
+            .fingerprint
+            .map(tracing::field::display)
     }
 
     fn now(&self) -> Timestamp {
@@ -316,22 +323,22 @@
     }
 
     /// One line for an answer that missed a target, so that its cause can be sought.
-    fn note_lateness(&self) {
+    fn log_lateness(&self) {
         let Some(lateness) = self.timeliness.lateness() else {
             return;
         };
         let reason = lateness.as_str();
         self.open_attempt.router.metrics.count_late(reason);
-        let to_first = self.timeliness.to_first();
+        let time_to_first = self.timeliness.time_to_first();
         tracing::info!(event = "answer_late", id = %self.id, reason,
             instance = %self.open_attempt.choice.instance,
-            first_piece_ms = to_first.map(|time| time.as_millis() as u64),
-            longest_pause_ms = self.timeliness.longest_pause().as_millis() as u64,
+            first_piece_ms = time_to_first.map(|time| time.as_millis() as u64),
+            longest_pause_ms = self.timeliness.longest_gap().as_millis() as u64,
             "router: an answer was late");
     }
 
     fn cut(&mut self, outcome: Outcome, reason: &'static str, error: io::Error) -> io::Error {
-        tracing::info!(event = "answer_cut", id = %self.id, work = self.shown_work(),
+        tracing::info!(event = "answer_cut", id = %self.id, work = self.displayed_fingerprint(),
             instance = %self.open_attempt.choice.instance,
             reason, %error, "router: an answer was cut");
         self.open_attempt.end(outcome, Execution::Ran);
@@ -342,7 +349,7 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.note_lateness();
+        self.log_lateness();
         if self.connection.is_some() {
             tracing::info!(event = "caller_left", id = %self.id, instance = %self.open_attempt.choice.instance,
                 "router: the caller left");
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -16,9 +16,9 @@
 /// Between two reports to the leader of this router's load.
 const LOADS_INTERVAL: Duration = Duration::from_millis(80);
 /// Load that does not change is reported again after this long.
-const LOADS_CONFIRM: Duration = Duration::from_millis(300);
+const LOADS_REFRESH_INTERVAL: Duration = Duration::from_millis(300);
 /// What the leader told of other routers' load counts for so long.
-const LOADS_COUNT_FOR: Duration = Duration::from_millis(1_000);
+const OTHERS_LOADS_TTL: Duration = Duration::from_millis(1_000);
 
 pub(super) fn status(router: &Router) -> Message {
     Message::Router(RouterStatus {
@@ -29,7 +29,7 @@
     })
 }
 
-pub(super) async fn tell_changes(router: &Rc<Router>, sender: &Sender) -> &'static str {
+pub(super) async fn send_status_changes(router: &Rc<Router>, sender: &Sender) -> &'static str {
     loop {
         router.status_changed.notified().await;
         if !sender.send(&status(router)) {
@@ -40,18 +40,18 @@
 
 /// Tells the leader what this router puts on back ends, when that has changed or is to be
 /// confirmed; the leader tells the others.
-pub(super) async fn report_loads(
+pub(super) async fn send_load_reports(
     router: &Rc<Router>,
     links: &Rc<Links>,
     sender: &Sender,
     address: Ipv4Addr,
 ) -> &'static str {
-    let mut told_at = router.clock.now();
+    let mut sent_at = router.clock.now();
     loop {
         sleep(LOADS_INTERVAL).await;
         let now = router.clock.now();
-        if now.since(links.loads_heard.get()) > LOADS_COUNT_FOR {
-            links.loads_heard.set(now);
+        if now.since(links.loads_received_at.get()) > OTHERS_LOADS_TTL {
+            links.loads_received_at.set(now);
             router.core.borrow_mut().set_others_loads(true, &[]);
         }
         if links.leader.get() != u32::from(address) {
@@ -74,12 +74,12 @@
             return "closed";
         }
         let loads = router.core.borrow().own_loads();
-        let unconfirmed = now.since(told_at) >= LOADS_CONFIRM && !loads.is_empty();
-        if loads == links.loads_told.borrow().last() && !unconfirmed {
+        let unconfirmed = now.since(sent_at) >= LOADS_REFRESH_INTERVAL && !loads.is_empty();
+        if loads == links.reported_loads.borrow().last() && !unconfirmed {
             continue;
         }
-        links.loads_told.borrow_mut().note(now, loads.clone());
-        told_at = now;
+        links.reported_loads.borrow_mut().note(now, loads.clone());
+        sent_at = now;
         if !sender.send(&Message::Loads(List::new(loads))) {
             return "closed";
         }
@@ -88,7 +88,7 @@
 
 /// Tells a control machine, also one that links later, what this router saw of work that back ends ended
 /// under. All of them are told: any may be the one that the next router hears.
-pub(super) async fn report_work(router: &Rc<Router>, sender: &Sender) -> &'static str {
+pub(super) async fn send_crash_reports(router: &Rc<Router>, sender: &Sender) -> &'static str {
     let mut cursor = 0;
     loop {
         let now = router.clock.now();
@@ -96,6 +96,6 @@
         if !reports.is_empty() && !sender.send(&Message::WorkReports(List::new(reports))) {
             return "closed";
         }
-        router.work_reported.notified().await;
+        router.crash_reports_changed.notified().await;
     }
 }
--- a/crates/gateway/src/router/resume.rs
+++ b/crates/gateway/src/router/resume.rs
@@ -20,13 +20,13 @@
 use drumshore_gateway_core::{Choice, EarlierAttempts, InstanceId, Outcome, RunCopy};
 use hyper::StatusCode;
 
-use super::attempt::{self, Answered, Attempt, Continuation, Ended};
+use super::attempt::{self, Answered, Attempt, Continuation, Unanswered};
 use super::events::Events;
-use super::forward::{log_ended, may_try_again, Call};
+use super::forward::{log_unanswered, may_try_again, Call};
 use super::Router;
 
 /// Attempts that reached no back end do not count as attempts, but there is an end to them.
-const MOST_TRIES: usize = 3;
+const MAX_TRIES: usize = 3;
 
 /// Attempts of one request so far.
 #[derive(Clone, Debug, Default)]
@@ -44,33 +44,33 @@
         EarlierAttempts {
             tried: &self.tried,
             arrived: self.sent,
-            work: call.work,
+            work: call.fingerprint,
             ends_before_call: call.ends_before_call,
             broken: self.broken,
         }
     }
 
     /// An attempt gave no answer to pass on.
-    pub fn note(&mut self, ended: Ended) {
-        self.sent += u32::from(ended.sent);
-        let may_have_run = ended.execution != Execution::NotRun;
-        self.broken += u32::from(may_have_run && ended.outcome == Outcome::Broken);
+    pub fn record(&mut self, unanswered: Unanswered) {
+        self.sent += u32::from(unanswered.sent);
+        let may_have_run = unanswered.execution != Execution::NotRun;
+        self.broken += u32::from(may_have_run && unanswered.outcome == Outcome::Broken);
     }
 }
 
 /// A stream that goes on at another back end.
-pub(super) struct TakenUp {
+pub(super) struct ResumedStream {
     pub answered: Answered,
     attempts: Attempts,
 }
 
-impl TakenUp {
+impl ResumedStream {
     fn new(answered: Answered, attempts: Attempts) -> Self {
         Self { answered, attempts }
     }
 }
 
-type TakingUp = Pin<Box<dyn Future<Output = Option<TakenUp>>>>;
+type ResumeFuture = Pin<Box<dyn Future<Output = Option<ResumedStream>>>>;
 
 /// What it takes to go on with a stream elsewhere.
 pub(super) struct Resumption {
@@ -80,7 +80,7 @@
     /// Where the run was copied to, until that was used.
     copy: Option<RunCopy>,
     pub events: Events,
-    taking_up: Option<TakingUp>,
+    resuming: Option<ResumeFuture>,
 }
 
 impl Resumption {
@@ -96,13 +96,13 @@
             attempts,
             copy,
             events: Events::default(),
-            taking_up: None,
+            resuming: None,
         }
     }
 
     /// Begins to look for another back end; false when the stream ends here.
     pub fn begin(&mut self) -> bool {
-        self.events.drop_half();
+        self.events.discard_partial();
         self.attempts.broken += 1;
         let attempts = self.attempts.clone();
         let is_late = self.router.clock.now() >= self.call.deadline;
@@ -112,9 +112,9 @@
         let after = self.events.last_id().cloned();
         let (router, call) = (Rc::clone(&self.router), Rc::clone(&self.call));
         if may_try_again(&self.call.admission, Execution::Ran, attempts.sent) {
-            self.taking_up = Some(Box::pin(take_up(router, call, attempts, after)));
+            self.resuming = Some(Box::pin(resume(router, call, attempts, after)));
         } else if let Some(copy) = self.copy.take() {
-            self.taking_up = Some(Box::pin(take_up_copy(router, call, attempts, after, copy)));
+            self.resuming = Some(Box::pin(resume_copy(router, call, attempts, after, copy)));
         } else {
             return false;
         }
@@ -122,31 +122,31 @@
     }
 
     /// The back end that goes on; `None` inside when there is none.
-    pub fn poll_taken_up(&mut self, context: &mut Context<'_>) -> Option<Poll<Option<Answered>>> {
-        let taking_up = self.taking_up.as_mut()?;
-        let Poll::Ready(taken_up) = taking_up.as_mut().poll(context) else {
+    pub fn poll_resumed(&mut self, context: &mut Context<'_>) -> Option<Poll<Option<Answered>>> {
+        let resuming = self.resuming.as_mut()?;
+        let Poll::Ready(resumed) = resuming.as_mut().poll(context) else {
             return Some(Poll::Pending);
         };
-        self.taking_up = None;
-        let answered = taken_up.map(|taken_up| {
-            self.attempts = taken_up.attempts;
-            taken_up.answered
+        self.resuming = None;
+        let answered = resumed.map(|resumed| {
+            self.attempts = resumed.attempts;
+            resumed.answered
         });
         Some(Poll::Ready(answered))
     }
 }
 
-async fn take_up(
+async fn resume(
     router: Rc<Router>,
     call: Rc<Call>,
     mut attempts: Attempts,
     after: Option<Bytes>,
-) -> Option<TakenUp> {
+) -> Option<ResumedStream> {
     let continued = Continuation {
         after,
         has_copy: false,
     };
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_TRIES {
         let now = router.clock.now();
         let prompt = call.prompt.as_ref();
         let earlier = attempts.earlier(&call);
@@ -157,14 +157,16 @@
         let choice = match chosen {
             Ok(choice) => choice,
             Err(error) => {
-                log_not_taken_up(&call, &attempts, &error.to_string());
+                log_not_resumed(&call, &attempts, &error.to_string());
                 return None;
             }
         };
-        match go_on_at(&router, &call, &mut attempts, &choice, &continued).await {
-            GoneOn::Yes(answered) => return Some(TakenUp::new(*answered, attempts)),
-            GoneOn::FinalAnswer => return None,
-            GoneOn::No => {}
+        match resume_at(&router, &call, &mut attempts, &choice, &continued).await {
+            ResumeAttempt::Resumed(answered) => {
+                return Some(ResumedStream::new(*answered, attempts))
+            }
+            ResumeAttempt::ErrorAnswer => return None,
+            ResumeAttempt::Unresumed => {}
         }
         if call.deadline <= router.clock.now()
             || !may_try_again(&call.admission, Execution::Ran, attempts.sent)
@@ -176,13 +178,13 @@
 }
 
 /// Goes on with a run at the back end that has a copy of it.
-async fn take_up_copy(
+async fn resume_copy(
     router: Rc<Router>,
     call: Rc<Call>,
     mut attempts: Attempts,
     after: Option<Bytes>,
     copy: RunCopy,
-) -> Option<TakenUp> {
+) -> Option<ResumedStream> {
     let continued = Continuation {
         after,
         has_copy: true,
@@ -198,34 +200,34 @@
     let choice = match chosen {
         Ok(choice) => choice,
         Err(error) => {
-            log_not_taken_up(&call, &attempts, &error.to_string());
+            log_not_resumed(&call, &attempts, &error.to_string());
             return None;
         }
     };
-    match go_on_at(&router, &call, &mut attempts, &choice, &continued).await {
-        GoneOn::Yes(answered) => Some(TakenUp::new(*answered, attempts)),
-        GoneOn::FinalAnswer | GoneOn::No => {
-            log_not_taken_up(&call, &attempts, "the copy did not go on");
+    match resume_at(&router, &call, &mut attempts, &choice, &continued).await {
+        ResumeAttempt::Resumed(answered) => Some(ResumedStream::new(*answered, attempts)),
+        ResumeAttempt::ErrorAnswer | ResumeAttempt::Unresumed => {
+            log_not_resumed(&call, &attempts, "the copy did not go on");
             None
         }
     }
 }
 
 /// What came of asking one back end to go on.
-enum GoneOn {
-    Yes(Box<Answered>),
+enum ResumeAttempt {
+    Resumed(Box<Answered>),
     /// It answered with a failure.
-    FinalAnswer,
-    No,
+    ErrorAnswer,
+    Unresumed,
 }
 
-async fn go_on_at(
+async fn resume_at(
     router: &Rc<Router>,
     call: &Call,
     attempts: &mut Attempts,
     choice: &Choice,
     continued: &Continuation,
-) -> GoneOn {
+) -> ResumeAttempt {
     let from = attempts.tried.last().cloned();
     attempts.tried.push(choice.instance.clone());
     match attempt::make(router, call, choice, attempts.sent, Some(continued)).await {
@@ -236,18 +238,18 @@
                 version = choice.expected_version, copied = continued.has_copy,
                 after = continued.after.as_ref().map(|id| String::from_utf8_lossy(id).into_owned()),
                 "router: another back end goes on");
-            GoneOn::Yes(answered)
+            ResumeAttempt::Resumed(answered)
         }
-        Attempt::Answered(_) => GoneOn::FinalAnswer,
-        Attempt::Ended(ended) => {
-            log_ended(router, call, choice, ended);
-            attempts.note(ended);
-            GoneOn::No
+        Attempt::Answered(_) => ResumeAttempt::ErrorAnswer,
+        Attempt::Unanswered(unanswered) => {
+            log_unanswered(router, call, choice, unanswered);
+            attempts.record(unanswered);
+            ResumeAttempt::Unresumed
         }
     }
 }
 
-fn log_not_taken_up(call: &Call, attempts: &Attempts, reason: &str) {
+fn log_not_resumed(call: &Call, attempts: &Attempts, reason: &str) {
     tracing::info!(event = "not_taken_up", id = %call.id, attempts = attempts.tried.len(), reason,
         "router: no back end goes on");
 }
--- a/crates/gateway/src/router/timeliness.rs
+++ b/crates/gateway/src/router/timeliness.rs
@@ -10,29 +10,29 @@
 pub(super) struct Timeliness {
     target: Duration,
     /// Streams only.
-    pause_target: Option<Duration>,
+    gap_target: Option<Duration>,
     received: Timestamp,
     /// When the first piece came, and the latest.
     first: Option<Timestamp>,
     latest: Timestamp,
-    longest_pause: Duration,
+    longest_gap: Duration,
 }
 
 /// Why an answer was late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lateness {
     /// The first piece came after the target.
-    First,
+    FirstPiece,
     /// A later piece did not come in time.
-    Pause,
+    Gap,
 }
 
 impl Lateness {
     /// For logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::First => "late_first_piece",
-            Self::Pause => "long_pause",
+            Self::FirstPiece => "late_first_piece",
+            Self::Gap => "long_pause",
         }
     }
 }
@@ -42,40 +42,40 @@
     pub fn new(route: &Route, received: Timestamp) -> Self {
         Self {
             target: route.target,
-            pause_target: route.gap_target.filter(|_| route.kind.is_stream()),
+            gap_target: route.gap_target.filter(|_| route.kind.is_stream()),
             received,
             first: None,
             latest: received,
-            longest_pause: Duration::ZERO,
+            longest_gap: Duration::ZERO,
         }
     }
 
     /// A piece of the answer has come.
     pub fn on_piece(&mut self, now: Timestamp) {
         if self.first.is_some() {
-            self.longest_pause = self.longest_pause.max(now.since(self.latest));
+            self.longest_gap = self.longest_gap.max(now.since(self.latest));
         }
         self.first.get_or_insert(now);
         self.latest = now;
     }
 
     /// The time to the first piece; `None` before it.
-    pub fn to_first(self) -> Option<Duration> {
+    pub fn time_to_first(self) -> Option<Duration> {
         self.first.map(|first| first.since(self.received))
     }
 
     /// The longest time between two pieces.
-    pub fn longest_pause(self) -> Duration {
-        self.longest_pause
+    pub fn longest_gap(self) -> Duration {
+        self.longest_gap
     }
 
     /// The first target that was missed, as far as the answer has come.
     pub fn lateness(self) -> Option<Lateness> {
-        if self.to_first()? > self.target {
-            return Some(Lateness::First);
+        if self.time_to_first()? > self.target {
+            return Some(Lateness::FirstPiece);
         }
-        let is_paused = self.longest_pause > self.pause_target?;
-        is_paused.then_some(Lateness::Pause)
+        let exceeds_gap = self.longest_gap > self.gap_target?;
+        exceeds_gap.then_some(Lateness::Gap)
     }
 }
 
--- a/crates/gateway/src/router/timeliness_tests.rs
+++ b/crates/gateway/src/router/timeliness_tests.rs
@@ -27,9 +27,9 @@
 
 #[rstest]
 #[case::in_time(RequestKind::Stream, &[1_800, 2_400, 3_000], None)]
-#[case::late_first(RequestKind::Stream, &[1_801, 1_900], Some(Lateness::First))]
-#[case::paused(RequestKind::Stream, &[1_100, 1_200, 1_801], Some(Lateness::Pause))]
-#[case::late_and_paused(RequestKind::ResumableStream, &[1_900, 2_900], Some(Lateness::First))]
+#[case::late_first(RequestKind::Stream, &[1_801, 1_900], Some(Lateness::FirstPiece))]
+#[case::paused(RequestKind::Stream, &[1_100, 1_200, 1_801], Some(Lateness::Gap))]
+#[case::late_and_paused(RequestKind::ResumableStream, &[1_900, 2_900], Some(Lateness::FirstPiece))]
 #[case::no_stream(RequestKind::Repeatable, &[1_100, 2_900], None)]
 #[case::nothing_came(RequestKind::Stream, &[], None)]
 fn the_first_missed_target_is_told(
@@ -47,11 +47,11 @@
 #[test]
 fn pauses_are_between_pieces_only() {
     let mut timeliness = Timeliness::new(&route(RequestKind::Stream), ms(RECEIVED));
-    assert_eq!(timeliness.to_first(), None);
+    assert_eq!(timeliness.time_to_first(), None);
     timeliness.on_piece(ms(1_700));
-    assert_eq!(timeliness.to_first(), Some(Duration::from_millis(700)));
-    assert_eq!(timeliness.longest_pause(), Duration::ZERO);
+    assert_eq!(timeliness.time_to_first(), Some(Duration::from_millis(700)));
+    assert_eq!(timeliness.longest_gap(), Duration::ZERO);
     timeliness.on_piece(ms(1_750));
     timeliness.on_piece(ms(1_760));
-    assert_eq!(timeliness.longest_pause(), Duration::from_millis(50));
+    assert_eq!(timeliness.longest_gap(), Duration::from_millis(50));
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -17,7 +17,7 @@
 use crate::answer::AnswerBody;
 
 /// After an error of the listener, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const BUFFER_BYTES: usize = 64 << 10;
 
 /// Bounds of a server's connections.
@@ -52,9 +52,9 @@
 
 /// Room for a server's connections.
 #[derive(Clone, Debug)]
-pub(crate) struct Places(Arc<Semaphore>);
+pub(crate) struct ConnectionSlots(Arc<Semaphore>);
 
-impl Places {
+impl ConnectionSlots {
     /// Room for so many connections.
     pub fn new(max_connections: usize) -> Self {
         Self(Arc::new(Semaphore::new(max_connections)))
@@ -62,7 +62,7 @@
 
     /// True while a further connection would wait for another one to end, but for the one that the
     /// server is about to accept.
-    pub fn are_taken(&self) -> bool {
+    pub fn all_taken(&self) -> bool {
         self.0.available_permits() == 0
     }
 }
@@ -73,34 +73,34 @@
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Result<Response<AnswerBody>, NoAnswer>> + 'static,
 {
-    let places = Places::new(params.max_connections);
-    serve_within(listener, params, places, handler).await;
+    let slots = ConnectionSlots::new(params.max_connections);
+    serve_with_slots(listener, params, slots, handler).await;
 }
 
 /// The same for connections that share room.
-pub(crate) async fn serve_within<H, F>(
+pub(crate) async fn serve_with_slots<H, F>(
     listener: TcpListener,
     params: ServerParams,
-    places: Places,
+    slots: ConnectionSlots,
     handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Result<Response<AnswerBody>, NoAnswer>> + 'static,
 {
     let handler = Rc::new(handler);
-    let places = places.0;
+    let slots = slots.0;
     loop {
-        let place = match params.when_full {
+        let slot = match params.when_full {
             WhenFull::Close => None,
-            WhenFull::Wait => match Arc::clone(&places).acquire_owned().await {
-                Ok(place) => Some(place),
+            WhenFull::Wait => match Arc::clone(&slots).acquire_owned().await {
+                Ok(slot) => Some(slot),
                 Err(_) => return,
             },
         };
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let place = place.or_else(|| Arc::clone(&places).try_acquire_owned().ok());
-                let Some(place) = place else {
+                let slot = slot.or_else(|| Arc::clone(&slots).try_acquire_owned().ok());
+                let Some(slot) = slot else {
                     tracing::info!(event = "connection_refused", %peer,
                         open = params.max_connections, "server: too many connections");
                     continue;
@@ -108,13 +108,13 @@
                 let handler = Rc::clone(&handler);
                 tokio::task::spawn_local(async move {
                     serve_connection(stream, Peer(peer.ip()), params, handler).await;
-                    drop(place);
+                    drop(slot);
                 });
             }
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error,
                     "server: a connection was not accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/gateway/src/server_tests.rs
+++ b/crates/gateway/src/server_tests.rs
@@ -11,7 +11,7 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
-async fn server_with_one_place(when_full: WhenFull) -> SocketAddr {
+async fn server_with_one_slot(when_full: WhenFull) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let params = ServerParams {
@@ -49,7 +49,7 @@
 #[test]
 fn a_full_server_of_processes_closes_further_connections() {
     run(async {
-        let address = server_with_one_place(WhenFull::Close).await;
+        let address = server_with_one_slot(WhenFull::Close).await;
         let mut first = connect(address).await;
         assert!(ask(&mut first).await > 0);
         let mut second = connect(address).await;
@@ -69,22 +69,22 @@
             max_connections: 2,
             when_full: WhenFull::Wait,
         };
-        let places = Places::new(params.max_connections);
-        let answering = serve_within(
+        let slots = ConnectionSlots::new(params.max_connections);
+        let answering = serve_with_slots(
             listener,
             params,
-            places.clone(),
+            slots.clone(),
             |_: Request<Incoming>| async { Ok(answer::plain(StatusCode::OK, "")) },
         );
         tokio::task::spawn_local(answering);
-        assert!(!places.are_taken());
+        assert!(!slots.all_taken());
         let mut first = connect(address).await;
         assert!(ask(&mut first).await > 0);
         let mut second = connect(address).await;
         assert!(ask(&mut second).await > 0);
-        assert!(places.are_taken());
+        assert!(slots.all_taken());
         drop((first, second));
-        while places.are_taken() {
+        while slots.all_taken() {
             tokio::task::yield_now().await;
         }
     });
@@ -93,7 +93,7 @@
 #[test]
 fn a_full_server_of_callers_lets_further_connections_wait() {
     run(async {
-        let address = server_with_one_place(WhenFull::Wait).await;
+        let address = server_with_one_slot(WhenFull::Wait).await;
         let mut first = connect(address).await;
         assert!(ask(&mut first).await > 0);
         let mut second = connect(address).await;
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -11,29 +11,29 @@
 use crate::DaemonError;
 
 /// Data that a peer does not acknowledge for so long ends the connection.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(2_000);
-const PROBE_AFTER: Duration = Duration::from_secs(2);
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
+const KEEP_ALIVE_DELAY: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const BACKLOG: i32 = 512;
 
-/// Opens a connection within `patience`.
-pub(crate) async fn connect(address: SocketAddr, patience: Duration) -> io::Result<TcpStream> {
+/// Opens a connection within `time_limit`.
+pub(crate) async fn connect(address: SocketAddr, time_limit: Duration) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect(address);
-    let stream = timeout(patience, connecting)
+    let stream = timeout(time_limit, connecting)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch_peer(&stream)?;
+    enable_dead_peer_detection(&stream)?;
     Ok(stream)
 }
 
 /// Makes a connection end when its peer has gone without a word.
-pub(crate) fn watch_peer(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn enable_dead_peer_detection(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_INTERVAL);
+        .with_time(KEEP_ALIVE_DELAY)
+        .with_interval(KEEP_ALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive)
 }
 
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -29,7 +29,7 @@
 
 impl LinkTraffic {
     /// Counts into the process's metrics as well.
-    pub fn counted_by(counters: Counters) -> Self {
+    pub fn with_counters(counters: Counters) -> Self {
         Self {
             counters,
             ..Self::default()
--- a/crates/gateway/src/unknown_headers.rs
+++ b/crates/gateway/src/unknown_headers.rs
@@ -14,7 +14,7 @@
 use crate::metrics::Metrics;
 
 /// Names that are told apart; further ones are counted as one. Whoever makes an answer chooses its headers.
-const MOST_NAMES: usize = 32;
+const MAX_NAMES: usize = 32;
 /// Stands for all names beyond them.
 const OTHER_NAMES: &str = "other";
 
@@ -24,7 +24,7 @@
 
 impl UnknownHeaders {
     /// Looks through the head of an answer of a back end; `is_known_header` is what [`Dialect::is_known_header`](crate::Dialect::knows_of) says.
-    pub fn note(
+    pub fn record(
         &self,
         is_known_header: impl Fn(&HeaderName) -> bool,
         metrics: &Metrics,
@@ -43,7 +43,7 @@
         if seen.contains(name) {
             return name.as_str();
         }
-        if seen.len() >= MOST_NAMES {
+        if seen.len() >= MAX_NAMES {
             return OTHER_NAMES;
         }
         seen.insert(name.clone());
--- a/crates/gateway/src/unknown_headers_tests.rs
+++ b/crates/gateway/src/unknown_headers_tests.rs
@@ -10,13 +10,13 @@
 fn names_beyond_a_number_are_counted_as_one() {
     let unknown = UnknownHeaders::default();
     let back_end = InstanceId::new("i-1");
-    for number in 0..MOST_NAMES {
+    for number in 0..MAX_NAMES {
         let name = name(number);
         assert_eq!(unknown.label(&name, &back_end), name.as_str());
     }
-    assert_eq!(unknown.label(&name(MOST_NAMES), &back_end), OTHER_NAMES);
+    assert_eq!(unknown.label(&name(MAX_NAMES), &back_end), OTHER_NAMES);
     assert_eq!(unknown.label(&name(0), &back_end), "new-word-0");
-    assert_eq!(unknown.0.borrow().len(), MOST_NAMES);
+    assert_eq!(unknown.0.borrow().len(), MAX_NAMES);
 }
 
 #[test]
@@ -29,7 +29,7 @@
     let headers: HeaderMap = headers.into_iter().collect();
     let metrics = Metrics::new();
     let back_end = InstanceId::new("i-1");
-    unknown.note(|header| *header == name(1), &metrics, &back_end, &headers);
+    unknown.record(|header| *header == name(1), &metrics, &back_end, &headers);
     assert!(!unknown.0.borrow().contains(&name(1)));
     assert!(unknown.0.borrow().contains(&name(2)));
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -22,13 +22,13 @@
 use crate::clock::Clock;
 use crate::sockets;
 
-const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// A connection whose peer does not say how long it may rest is closed after this long.
-const DEFAULT_REST: Duration = Duration::from_secs(10);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Safety before the time that the peer says.
-const REST_MARGIN: Duration = Duration::from_millis(600);
+const IDLE_MARGIN: Duration = Duration::from_millis(600);
 /// Idle connections kept to one back end.
-const MOST_IDLE: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 const BUFFER_BYTES: usize = 32 << 10;
 
 /// Why there is no connection. Nothing was sent.
@@ -72,7 +72,7 @@
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     pool: Rc<Pool>,
-    rest: Duration,
+    idle_timeout: Duration,
 }
 
 impl Drop for Connection {
@@ -94,15 +94,15 @@
             Some(_) => SendError::NotSent,
             None => SendError::Broken,
         })?;
-        self.rest = keep_alive(&response).unwrap_or(DEFAULT_REST);
+        self.idle_timeout = keep_alive(&response).unwrap_or(DEFAULT_IDLE_TIMEOUT);
         Ok(response)
     }
 
     /// Keeps the connection for another request, once its answer was read whole.
-    pub fn give_back(self, now: Timestamp) {
+    pub fn release(self, now: Timestamp) {
         let pool = Rc::clone(&self.pool);
-        if !self.sender.is_closed() && pool.idle.borrow().len() < MOST_IDLE {
-            let expires = now.plus(self.rest.saturating_sub(REST_MARGIN));
+        if !self.sender.is_closed() && pool.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
+            let expires = now.plus(self.idle_timeout.saturating_sub(IDLE_MARGIN));
             pool.idle.borrow_mut().push(Idle {
                 connection: self,
                 expires,
@@ -126,14 +126,14 @@
         }
     }
 
-    /// A connection that is ready for a request, of at most `most`; waits for one to be freed
-    /// for `patience`.
+    /// A connection that is ready for a request, of at most `max_connections`; waits for one to be freed
+    /// for `time_limit`.
     pub async fn connect(
         &self,
         instance: &InstanceId,
         address: &str,
-        most: usize,
-        patience: Duration,
+        max_connections: usize,
+        time_limit: Duration,
     ) -> Result<Connection, NoConnection> {
         let pool = self.pool(instance);
         let waiting = async {
@@ -141,13 +141,13 @@
                 if let Some(connection) = self.take_idle(&pool) {
                     return Ok(connection);
                 }
-                if pool.open.get() < most {
+                if pool.open.get() < max_connections {
                     return open(address, &pool).await;
                 }
                 pool.freed.notified().await;
             }
         };
-        let waited = timeout(patience + CONNECT_PATIENCE, waiting).await;
+        let waited = timeout(time_limit + CONNECT_TIMEOUT, waiting).await;
         waited.unwrap_or(Err(NoConnection::NoneFree))
     }
 
@@ -203,8 +203,8 @@
     let address: SocketAddr = address
         .parse()
         .map_err(|_| io::Error::from(io::ErrorKind::InvalidInput))?;
-    let place = Place::take(pool);
-    let stream = sockets::connect(address, CONNECT_PATIENCE).await?;
+    let slot = OpeningSlot::take(pool);
+    let stream = sockets::connect(address, CONNECT_TIMEOUT).await?;
     let handshake = http1::Builder::new()
         .max_buf_size(BUFFER_BYTES)
         .handshake(TokioIo::new(stream));
@@ -215,26 +215,26 @@
     Ok(Connection {
         sender,
         task: task.abort_handle(),
-        pool: place.keep(),
-        rest: DEFAULT_REST,
+        pool: slot.into_pool(),
+        idle_timeout: DEFAULT_IDLE_TIMEOUT,
     })
 }
 
 /// Counts a connection while it is being opened.
-struct Place(Option<Rc<Pool>>);
+struct OpeningSlot(Option<Rc<Pool>>);
 
-impl Place {
+impl OpeningSlot {
     fn take(pool: &Rc<Pool>) -> Self {
         pool.open.set(pool.open.get() + 1);
         Self(Some(Rc::clone(pool)))
     }
 
-    fn keep(mut self) -> Rc<Pool> {
+    fn into_pool(mut self) -> Rc<Pool> {
         self.0.take().expect("a place is kept once")
     }
 }
 
-impl Drop for Place {
+impl Drop for OpeningSlot {
     fn drop(&mut self) {
         if let Some(pool) = self.0.take() {
             pool.open.set(pool.open.get().saturating_sub(1));
