--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own, and the body type of all answers.
+//! Builds the gateway's own answers and defines the body type of all answers.
 
 use std::io;
 use std::pin::Pin;
@@ -13,7 +13,7 @@
 
 use crate::router::Relay;
 
-/// A body: bytes of our own, or what a back end sends.
+/// The body of an answer: the gateway's own bytes, or a back end's body that is being forwarded.
 pub(crate) enum AnswerBody {
     Own(Full<Bytes>),
     Relayed(Box<Relay>),
@@ -50,14 +50,14 @@
     }
 }
 
-/// An answer without a type.
+/// An answer without a content type.
 pub(crate) fn plain(status: StatusCode, body: impl Into<Bytes>) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::Own(Full::new(body.into())));
     *response.status_mut() = status;
     response
 }
 
-/// An answer with a body of the given type.
+/// A successful answer with a body of the given content type.
 pub(crate) fn typed(content_type: &'static str, body: impl Into<Bytes>) -> Response<AnswerBody> {
     let mut response = plain(StatusCode::OK, body);
     let value = HeaderValue::from_static(content_type);
@@ -65,7 +65,7 @@
     response
 }
 
-/// A refusal with the time after which to try again.
+/// A refusal with the time after which to retry.
 pub(crate) fn refused(status: StatusCode, after: Duration) -> Response<AnswerBody> {
     let mut response = plain(status, Bytes::new());
     let seconds = format!("{:.3}", after.as_secs_f64());
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -5,13 +5,13 @@
 use drumshore_core::Timestamp;
 use nix::time::{clock_gettime, ClockId};
 
-/// Time since the process started, also time for which its machine was suspended. Does not follow the time
-/// of day, which may jump.
+/// Measures the time since the process started, including time for which its machine was suspended. Independent of the
+/// time of day, which may jump.
 ///
-/// Leases between leaders, the age of the view, revoked keys, limits and deadlines all count on it. The steady
-/// clock stands still while a machine is suspended: after waking, a leader that others had replaced would
-/// take its lease for fresh, and a router its view. Timers of the event loop go by the steady clock, so
-/// they only fire later; whatever they lead to is judged by this one.
+/// Leader leases, the age of the view, the revocation of keys, limits and deadlines are all measured by it. The
+/// monotonic clock stops while a machine is suspended: after resuming, a leader that had been replaced would consider
+/// its lease valid, and a router its view current. Timers of the event loop use the monotonic clock, so after a
+/// suspension they only fire late; decisions taken when they fire use this clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Duration,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Never zero, which stands for "never".
+    /// The current time; never zero, which means "never".
     pub fn now(&self) -> Timestamp {
         let passed = (self.read)().saturating_sub(self.start);
         Timestamp(passed.as_micros() as u64 + 1)
@@ -39,7 +39,7 @@
 
 fn time_since_boot() -> Duration {
     let time =
-        clock_gettime(ClockId::CLOCK_BOOTTIME).expect("each Linux since 2.6.39 has this clock");
+        clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has CLOCK_BOOTTIME since 2.6.39");
     Duration::from(time)
 }
 
--- a/crates/gateway/src/clock_tests.rs
+++ b/crates/gateway/src/clock_tests.rs
@@ -1,4 +1,4 @@
-//! The clock across a suspension.
+//! Tests that the clock counts the time for which the machine is suspended.
 
 use std::cell::Cell;
 use std::time::Instant;
@@ -12,7 +12,7 @@
     static SINCE_BOOT: Cell<Duration> = const { Cell::new(Duration::from_secs(1_000)) };
 }
 
-/// As the system's clock is read, with time that the test lets pass.
+/// Replaces reading the system's clock; time passes only by [`suspend`].
 fn simulated() -> Duration {
     SINCE_BOOT.get()
 }
@@ -22,17 +22,17 @@
 }
 
 #[test]
-fn the_clock_counts_from_its_start_and_never_stands_at_zero() {
+fn the_clock_counts_from_its_start_and_is_never_zero() {
     let clock = Clock::start_with(simulated);
     assert_eq!(clock.now(), Timestamp(1));
     suspend(Duration::from_millis(3));
     assert_eq!(clock.now(), Timestamp(3_001));
 }
 
-/// The system's clock is the one that counts suspension: it is ahead of the steady one by all of it, and
-/// both go on alike while nothing is suspended.
+/// The clock that is read includes suspension: it is never behind the monotonic clock, and advances like it while the
+/// machine is not suspended.
 #[test]
-fn the_system_is_asked_for_the_time_since_boot() {
+fn the_time_since_boot_is_read_from_the_system() {
     let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).unwrap();
     assert!(time_since_boot() >= Duration::from(steady));
     let begun = Instant::now();
@@ -43,10 +43,10 @@
     assert!(begun.elapsed() >= Duration::from_micros(1_999));
 }
 
-/// A router whose machine was suspended for longer than its view may be relied on judges no request by
-/// it, though not a moment of the steady clock has passed.
+/// Guards against a router that trusts an outdated view after a suspension, because the monotonic clock has not
+/// advanced.
 #[test]
-fn a_view_is_outdated_after_a_suspension() {
+fn a_view_is_unconfirmed_after_a_suspension() {
     const LEASE: Duration = Duration::from_secs(4);
     let clock = Clock::start_with(simulated);
     let mut router = RouterCore::new(
@@ -71,12 +71,12 @@
         .apply(clock.now(), changes, |_| Ok(document))
         .unwrap();
     router.on_confirmed(clock.now(), 1, 1);
-    let judge = |router: &mut RouterCore| {
+    let refusal = |router: &mut RouterCore| {
         router
             .admit(clock.now(), RequestHead::default())
             .unwrap_err()
     };
-    assert_eq!(judge(&mut router), Refusal::NoRoute);
+    assert_eq!(refusal(&mut router), Refusal::NoRoute);
     suspend(LEASE);
-    assert_eq!(judge(&mut router), Refusal::Unconfirmed);
+    assert_eq!(refusal(&mut router), Refusal::Unconfirmed);
 }
--- a/crates/gateway/src/router/attempt.rs
+++ b/crates/gateway/src/router/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a request answered by a back end.
+//! One attempt to get a request answered by a back end.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,9 +19,10 @@
 use super::Router;
 use crate::upstream::{Connection, NoConnection, SendError};
 
-/// Part of a route's target within which a repeatable request should have its answer's head.
+/// The head of the answer to a repeatable request should arrive within the route's target times this factor; then
+/// another back end is tried.
 const HEAD_TIMEOUT_FACTOR: f64 = 1.6;
-/// A free connection may take this long.
+/// How long to wait for a free connection.
 const CONNECTION_WAIT: Duration = Duration::from_millis(60);
 
 /// How one attempt ended.
@@ -30,35 +31,35 @@
     Unanswered(Unanswered),
 }
 
-/// An attempt without an answer to pass on.
+/// An attempt without an answer to forward.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Unanswered {
-    /// What became of it at the back end.
+    /// Why there is no answer.
     pub outcome: Outcome,
-    /// Whether the request may have run there.
+    /// Whether the back end may have run the request.
     pub execution: Execution,
-    /// Whether it arrived there.
+    /// Whether the request reached the back end.
     pub sent: bool,
 }
 
-/// An answer that is to be passed on.
+/// An answer to forward to the caller.
 pub(super) struct Answered {
     pub response: Response<Incoming>,
     pub connection: Connection,
     pub open_attempt: OpenAttempt,
 }
 
-/// A stream that an attempt goes on with.
+/// The position of a stream that an attempt resumes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Continuation {
-    /// The last event that the caller has; `None` when it has none.
+    /// The identifier of the last event that the caller received; `None` before the first.
     pub after: Option<Bytes>,
-    /// The back end has a copy of the run; else it reads the prompt again.
+    /// Whether the back end has a copy of the run; without one it processes the prompt again.
     pub has_copy: bool,
 }
 
-/// Sends the request to the back end that was chosen and judges what comes.
-/// `continued` is for a stream that is taken up.
+/// Sends the request to the chosen back end and classifies the answer. `sent_before` counts the earlier attempts that
+/// reached a back end; `continued` is set when the attempt resumes a stream.
 pub(super) async fn make(
     router: &Rc<Router>,
     call: &Call,
@@ -159,7 +160,7 @@
     })
 }
 
-/// How long to wait for a head: all that is left, unless another back end may be asked.
+/// How long to wait for the head of the answer: until the deadline, unless another back end may be tried.
 fn head_timeout(call: &Call, sent_before: u32, remaining: Duration) -> Duration {
     let route = &call.admission.route;
     if route.kind != RequestKind::Repeatable || sent_before + 1 >= route.max_attempts {
@@ -190,7 +191,7 @@
     request
 }
 
-/// What an answer is judged by.
+/// What an answer is classified by, besides the request and the choice.
 struct AttemptContext {
     /// When the request was sent.
     sent_at: Timestamp,
@@ -198,7 +199,7 @@
     earlier_attempts: u32,
 }
 
-/// Decides whether an answer is the request's, and whether it is passed on.
+/// Decides whether an answer belongs to the request, and whether it is forwarded to the caller.
 fn classify_answer(
     router: &Rc<Router>,
     call: &Call,
@@ -219,7 +220,7 @@
     };
     notices::process(router, choice, &response, sent_at);
     if !is_for_this_request {
-        // A surplus answer to an earlier request: nobody can say what became of this one.
+        // A surplus answer to an earlier request on the connection: whether this request ran is unknown.
         let outcome = Outcome::Broken;
         return unanswered(open_attempt, outcome, Execution::MayHaveRun, true);
     }
@@ -254,7 +255,7 @@
     }))
 }
 
-/// Reads a short answer to its end, so that its connection can be kept.
+/// Reads a short answer to its end, so that its connection can be reused.
 fn drain(router: &Rc<Router>, response: Response<Incoming>, connection: Connection) {
     const MAX_BYTES: usize = 16 << 10;
     const TIMEOUT: Duration = Duration::from_millis(200);
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -1,4 +1,4 @@
-//! Links to control machines: what changed, and how surely it is current.
+//! Links to control machines: keep the view of the replicated state up to date and confirmed as current.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,33 +20,34 @@
 use crate::link::{Receiver, Redial, Sender};
 use crate::traffic::LinkTraffic;
 
-/// Between two looks at which control machines there are.
+/// Interval between checks of which control machines exist.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Between two looks at what is due on links.
+/// Interval between checks of which messages are due on the links.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the links of a router share.
+/// State that the links of a router share.
 pub(super) struct Links {
-    /// All control machines, as one of them said last.
+    /// All control machines, as last reported by one of them.
     controls: RefCell<Vec<Ipv4Addr>>,
+    /// The task that maintains the link to each control machine.
     pub tasks: RefCell<BTreeMap<Ipv4Addr, JoinHandle<()>>>,
     view_links: RefCell<ViewLinks>,
     traffic: Rc<LinkTraffic>,
-    /// The links that are up.
+    /// The links that are connected.
     open_links: RefCell<BTreeMap<Ipv4Addr, Link>>,
-    /// The leader, as one of them said last.
+    /// The address of the leader, as last reported by a control machine; 0 when none is known.
     pub leader: Cell<u32>,
-    /// What the leader was told last of this router's load.
+    /// The recent reports of this router's load to the leader.
     pub reported_loads: RefCell<ReportedLoads>,
-    /// When it was last told what all routers put on back ends.
+    /// When this router last received the loads of all routers.
     pub loads_received_at: Cell<Timestamp>,
 }
 
-/// A link that is up.
+/// A connected link.
 struct Link {
     sender: Sender,
-    /// Notified when it is to end.
+    /// Notified to close the link.
     close_requested: Rc<Notify>,
 }
 
@@ -68,24 +69,24 @@
         }
     }
 
-    /// A link has ended, or its control machine is no longer one.
+    /// Handles the end of a link, or the removal of its control machine from the members.
     fn on_closed(&self, address: Ipv4Addr) {
         self.open_links.borrow_mut().remove(&address);
         self.view_links.borrow_mut().on_link_ended(address);
     }
 
-    /// It is known how messages to a control machine are laid out.
+    /// Sets the layout of messages to a control machine, which its first message shows.
     fn set_wire(&self, address: Ipv4Addr, wire: RouterWire) {
         if let Some(link) = self.open_links.borrow_mut().get_mut(&address) {
             link.sender = link.sender.clone().with_wire(wire);
         }
         if wire != RouterWire::Current {
             tracing::info!(event = "control_wire", %address, ?wire,
-                "router: a control machine speaks as an earlier build");
+                "router: a control machine of an earlier build uses an older message layout");
         }
     }
 
-    /// False when nothing is sent: the link has ended, or its queue is full.
+    /// Queues a message; false when the link has ended or its queue is full.
     fn send(&self, to: Ipv4Addr, message: &Message) -> bool {
         let links = self.open_links.borrow();
         links.get(&to).is_some_and(|link| link.sender.send(message))
@@ -105,7 +106,7 @@
     }
 }
 
-/// Does all that is due on links.
+/// Executes all steps that are due on the links.
 fn poll(router: &Router, links: &Links) {
     let now = router.clock.now();
     let position = router.core.borrow().position();
@@ -124,7 +125,7 @@
             if links.send(to, &Message::Follow(following)) {
                 links.view_links.borrow_mut().on_told(to, following);
                 tracing::info!(event = "control_followed", address = %to, ?following,
-                    "router: changes come from other control machines than before");
+                    "router: told a control machine which updates to send");
             }
         }
         Step::Fetch {
@@ -143,7 +144,7 @@
                     .on_asked(router.clock.now(), to);
                 router.metrics.count_fetch("asked");
                 tracing::info!(event = "changes_asked", address = %to, held = position.held, is_followed,
-                    "router: asked for changes");
+                    "router: requested changes from a control machine");
             }
         }
         Step::GiveUp { to } => {
@@ -154,7 +155,7 @@
     }
 }
 
-/// Keeps one link to each control machine that seeds or control machines name.
+/// Keeps one link to each control machine that the seeds or another control machine list.
 async fn maintain_links(router: Rc<Router>, links: Rc<Links>) {
     loop {
         let mut wanted = (router.settings.seeds)();
@@ -188,17 +189,17 @@
     loop {
         if let Ok((sender, receiver)) = redial.dial(target).await {
             tracing::info!(event = "control_linked", %address,
-                "router: linked to a control machine");
+                "router: connected to a control machine");
             let reason = run_link(&router, &links, address, sender, receiver).await;
             links.on_closed(address);
             tracing::info!(event = "control_lost", %address, reason,
-                "router: a control machine is lost");
+                "router: lost the connection to a control machine");
         }
         sleep(redial.retry_delay()).await;
     }
 }
 
-/// Speaks until the link ends; says why it did.
+/// Exchanges messages until the link ends; returns the reason.
 async fn run_link(
     router: &Rc<Router>,
     links: &Rc<Links>,
@@ -304,7 +305,7 @@
             let silent = router.core.borrow_mut().on_suspects(now, &keys.items);
             for instance in silent {
                 tracing::info!(event = "back_end_suspected", %instance, by = "another router",
-                        "router: a back end fell silent");
+                        "router: another router reported an unresponsive back end");
                 router.upstreams.close_idle(&instance);
             }
         }
@@ -314,7 +315,7 @@
             tracing::info!(
                 event = "back_ends_refusing",
                 count = keys.items.len(),
-                "router: back ends turn other routers' requests away"
+                "router: back ends are declining other routers' requests"
             );
         }
         Message::WorkSuspicions(suspicions) => {
@@ -324,7 +325,7 @@
             let now = router.clock.now();
             router.core.borrow_mut().on_trial_permitted(now, work);
             tracing::info!(event = "work_trial", %work, by = %address,
-                    "router: one run of quarantined work is permitted");
+                    "router: permitted a trial run of a quarantined request fingerprint");
         }
         Message::Holders(entries) => {
             let now = router.clock.now();
@@ -356,24 +357,24 @@
     router.crash_reports_changed.notify_waiters();
     for WorkSuspicion { work, ends } in suspicions {
         tracing::info!(event = "work_suspected", %work, ends, by = %address,
-            "router: a control machine suspects work");
+            "router: a control machine reported a suspected request fingerprint");
     }
 }
 
-/// A control machine spoke of its revision.
+/// Handles the revision that a control machine reported.
 fn on_revision(router: &Router, links: &Links, from: Ipv4Addr, revision: u64) {
     let now = router.clock.now();
     let held = router.core.borrow().revision();
     let mut view = links.view_links.borrow_mut();
     if view.on_revision(now, from, revision, held) {
         tracing::info!(event = "view_behind", address = %from, held, announced = revision,
-            "router: a newer revision is known");
+            "router: a control machine reported a newer revision than the view has");
     }
     drop(view);
     poll(router, links);
 }
 
-/// Requests that came before the view was confirmed go on once it is.
+/// Wakes the requests that wait for the first confirmed view, once it is confirmed.
 fn wake_waiting_requests(router: &Router) {
     let is_ready = router.core.borrow().is_ready(router.clock.now());
     if is_ready && router.first_view.on_confirmed() {
@@ -404,7 +405,7 @@
                 removed,
                 configuration = core.configuration_version(),
                 took_us = started.elapsed().as_micros() as u64,
-                "router: the view changed"
+                "router: applied changes to the view"
             );
             wake_waiting_requests(router);
             router.crash_reports_changed.notify_waiters();
@@ -413,7 +414,7 @@
         Err(error) => {
             router.metrics.count_fetch("refused");
             tracing::info!(event = "view_refused", %from, revision, %error,
-                "router: changes do not fit the view");
+                "router: changes from a control machine could not be applied to the view");
             Progress::None { held }
         }
     };
--- a/crates/gateway/src/router/crash_detection.rs
+++ b/crates/gateway/src/router/crash_detection.rs
@@ -1,9 +1,8 @@
-//! Why connections to a back end broke: whether the back end ended, or only a connection did.
+//! Determines why connections to a back end broke: because the back end crashed, or for another reason.
 //!
-//! A request may end each back end that runs it. All that run beside it are broken off at the same
-//! moment, so what broke says nothing by itself: a reset connection, a load of weights that cuts
-//! streams and a lost link look the same to the request. A process that has ended is told by its
-//! address, which refuses the next connection.
+//! A request may crash each back end that runs it. The crash breaks off all requests that run beside it as well, and
+//! to a request a reset connection, a load of weights that cuts streams and a lost network link look the same. So the
+//! router opens a new connection to the back end's address: it is refused when the process has crashed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,31 +17,31 @@
 use super::Router;
 use crate::sockets;
 
-/// A machine that is there answers or refuses a connection within its network's round trip; 2.8 ms
-/// between the users' zones. One that says nothing for so long is cut off or without power.
+/// A reachable machine accepts or refuses a connection within a network round trip, 2.8 ms between the users' zones. One
+/// that does not respond within this time is isolated or has no power.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A request that a back end had, and may have run, when its connection broke.
+/// A request that a back end may have been running when its connection broke.
 #[derive(Clone, Debug)]
 pub(super) struct BrokenRun {
     /// The request's identifier.
     pub id: String,
-    /// What it carries; `None` before the key that identifies work is known.
+    /// The request's fingerprint; `None` before the key for fingerprints is known.
     pub fingerprint: Option<WorkId>,
     /// When it was sent.
     pub sent_at: Timestamp,
 }
 
-/// What a back end's address tells after connections to it broke.
+/// The result of probing a back end's address after connections to it broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Finding {
-    /// It refuses connections: the process has ended.
+    /// It refuses connections and had not announced a stop: the process has crashed.
     Crashed,
-    /// It was leaving, and has ended as announced.
+    /// It refuses connections, and was no longer serving before: the process has stopped as announced.
     StoppedAsAnnounced,
-    /// It takes connections: the process goes on.
+    /// It accepts connections: the process is running.
     Alive,
-    /// Nothing came back.
+    /// The connection attempt timed out or failed without being refused.
     Unresponsive,
 }
 
@@ -57,12 +56,12 @@
     }
 }
 
-/// Broken runs whose back end is being looked at.
+/// Broken runs by back end, while the back end is being probed.
 #[derive(Default)]
 pub(super) struct PendingProbes(RefCell<HashMap<InstanceId, Vec<BrokenRun>>>);
 
 impl PendingProbes {
-    /// True when nobody looks at the back end yet.
+    /// Adds a broken run; true when no probe of its back end is in progress yet.
     fn add(&self, instance: &InstanceId, run: BrokenRun) -> bool {
         let mut open = self.0.borrow_mut();
         let runs = open.entry(instance.clone()).or_default();
@@ -75,7 +74,7 @@
     }
 }
 
-/// Finds out why a run broke. One connection is tried for all that broke at a back end together.
+/// Finds out why a run broke. Runs that break at a back end while it is being probed share that probe.
 pub(super) fn probe(router: &Rc<Router>, instance: &InstanceId, address: &str, run: BrokenRun) {
     if router.pending_probes.add(instance, run) {
         let (router, instance) = (Rc::clone(router), instance.clone());
@@ -88,7 +87,7 @@
 }
 
 async fn probe_address(router: &Router, instance: &InstanceId, address: &str) -> Finding {
-    // Asked before the connection: control machines forget a back end soon after it has ended.
+    // Read before connecting: control machines remove a back end from the state soon after its process has ended.
     let is_serving = router
         .core
         .borrow()
@@ -109,17 +108,18 @@
     let found = finding.as_str();
     router.metrics.count_back_end_broken(found);
     tracing::info!(event = "back_end_examined", %instance, finding = found, runs = runs.len(),
-        "router: why connections to a back end broke");
+        "router: probed a back end whose connections broke");
     for run in &runs {
         tracing::info!(event = "run_broken", id = %run.id, work = run.fingerprint.map(tracing::field::display),
-            %instance, finding = found, "router: a run broke with its back end");
+            %instance, finding = found, "router: the connection to a back end broke during a request");
     }
     if finding == Finding::Crashed {
         report_crash(router, instance, &runs);
     }
 }
 
-/// All control machines hear of it, for the next router that gets the same work knows nothing of this one.
+/// Records a crash and reports it to all control machines: the next router that receives a request with the same
+/// fingerprint may be another one.
 fn report_crash(router: &Router, instance: &InstanceId, runs: &[BrokenRun]) {
     let with_fingerprint = |run: &BrokenRun| {
         run.fingerprint
@@ -130,7 +130,7 @@
     let mut core = router.core.borrow_mut();
     for (fingerprint, ends) in core.on_back_end_ended(now, instance, &fingerprints) {
         tracing::info!(event = "work_suspected", work = %fingerprint, ends, %instance, by = "this router",
-            "router: a back end ended under work");
+            "router: a back end crashed while serving requests with this fingerprint");
     }
     drop(core);
     router.upstreams.close_idle(instance);
--- a/crates/gateway/src/router/events.rs
+++ b/crates/gateway/src/router/events.rs
@@ -1,24 +1,25 @@
-//! Server-sent events on their way to a caller, as far as a stream that may be taken up elsewhere
-//! has to understand them: only whole events are passed on, and the last identifier is kept.
+//! Splits a stream into server-sent events, as far as resuming it at another back end requires: only whole events are
+//! forwarded, and the identifier of the last one is kept.
 
 use bytes::{Bytes, BytesMut};
 
 /// Ends an event (WHATWG HTML §9.2.6, with the line ends that back ends use).
 const EVENT_END: &[u8] = b"\n\n";
 const ID_FIELD: &[u8] = b"id:";
-/// A single event is not longer; beyond it the stream is passed on as it comes.
+/// Limit of the memory for an incomplete event. Back ends send no longer events; beyond it bytes are forwarded as they
+/// arrive.
 const MAX_PENDING_BYTES: usize = 256 << 10;
 
-/// Events of one answer.
+/// The events of one answer.
 #[derive(Debug, Default)]
 pub(super) struct Events {
-    /// The start of an event whose end has not come.
+    /// The beginning of an event whose end has not arrived.
     pending: BytesMut,
     last_id: Option<Bytes>,
 }
 
 impl Events {
-    /// Takes in bytes and gives out the events that are whole now.
+    /// Adds bytes and returns the events that are complete now.
     pub fn push(&mut self, bytes: Bytes) -> Option<Bytes> {
         let whole = if self.pending.is_empty() && bytes.ends_with(EVENT_END) {
             bytes
@@ -38,18 +39,18 @@
         Some(whole)
     }
 
-    /// What is left when the answer has ended.
+    /// The incomplete event that remains when the answer has ended.
     pub fn take_remainder(&mut self) -> Option<Bytes> {
         let rest = self.pending.split().freeze();
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// Forgets half an event: another back end makes the whole of it.
+    /// Discards an incomplete event: the back end that resumes the stream sends it whole.
     pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
-    /// The identifier of the last event that was given out.
+    /// The identifier of the last event that was returned.
     pub fn last_id(&self) -> Option<&Bytes> {
         self.last_id.as_ref()
     }
--- a/crates/gateway/src/router/first_view.rs
+++ b/crates/gateway/src/router/first_view.rs
@@ -1,9 +1,8 @@
-//! Requests that come before this process has a confirmed view of the replicated state.
+//! Requests that arrive before this process has a confirmed view of the replicated state.
 //!
-//! A process that has just started is confirmed within a moment, as a rule, and a request that
-//! waits for that is served sooner than one whose caller is sent away. When the moment has passed
-//! the request is refused at once. A process that was confirmed before and no longer is does not
-//! make callers wait: nobody can say for how long.
+//! A process that has just started usually gets a confirmed view shortly after. A request that waits for it is served
+//! sooner than one that is refused and sent again. After the start period requests are refused at once. So are those
+//! that arrive when the view is no longer confirmed: how long that lasts is unknown.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,15 +11,15 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// A process that starts together with its control machines has a confirmed view by then, counted
-/// from its start: they elect within 0.3 s of the last one's start, and come up within 0.5 s.
+/// Time since the start of the process by which the view is confirmed, also when the control machines start at the same
+/// time: they start within 0.5 s and elect a leader within 0.3 s after the last one has started.
 const CONFIRMED_AFTER_START: Timestamp = Timestamp(1_000_000);
-/// No request waits longer.
+/// Longest wait of a request.
 const MAX_WAIT: Duration = Duration::from_millis(800);
-/// Requests that wait at once; beyond it they are refused.
+/// Requests that may wait at the same time; further ones are refused.
 const MAX_WAITING_REQUESTS: usize = 256;
 
-/// Whether requests may wait for the first confirmed view, and what wakes them.
+/// Lets requests wait for the first confirmed view, and wakes them.
 #[derive(Debug, Default)]
 pub(super) struct FirstView {
     confirmed: Notify,
@@ -28,18 +27,18 @@
     waiting: Cell<usize>,
 }
 
-/// A request that waits; it counts until it is dropped, also when its caller leaves.
+/// Counts a waiting request until it is dropped, also when its caller disconnects.
 pub(super) struct Waiting<'a>(&'a Cell<usize>);
 
 impl FirstView {
-    /// How long a request that came at `received` may still wait.
+    /// How long a request that arrived at `received` may still wait; `None` when it must be refused.
     pub fn remaining_wait(&self, now: Timestamp, received: Timestamp) -> Option<Duration> {
         let until = CONFIRMED_AFTER_START.min(received.plus(MAX_WAIT));
         let has_room = self.waiting.get() < MAX_WAITING_REQUESTS;
         (now < until && has_room).then(|| until.since(now))
     }
 
-    /// Completes when the view is confirmed after this call.
+    /// Completes when the view is confirmed. A confirmation counts from this call on, before the first poll too.
     pub fn confirmed(&self) -> Notified<'_> {
         self.confirmed.notified()
     }
@@ -50,13 +49,13 @@
         Waiting(&self.waiting)
     }
 
-    /// The view is confirmed: all that wait go on. True the first time.
+    /// Wakes all waiting requests; true the first time.
     pub fn on_confirmed(&self) -> bool {
         self.confirmed.notify_waiters();
         !self.was_confirmed.replace(true)
     }
 
-    /// True once the view was confirmed.
+    /// True when the view has been confirmed at least once.
     pub fn was_confirmed(&self) -> bool {
         self.was_confirmed.get()
     }
--- a/crates/gateway/src/router/first_view_tests.rs
+++ b/crates/gateway/src/router/first_view_tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the wait for the first confirmed view: it is bounded in time and in the number of requests.
+
 use rstest::rstest;
 
 use super::*;
@@ -10,10 +12,10 @@
 #[case::just_started(ms(100), ms(100), Some(800))]
 #[case::has_waited(ms(600), ms(100), Some(300))]
 #[case::waited_long_enough(ms(900), ms(100), None)]
-#[case::the_start_is_nearly_over(ms(950), ms(950), Some(50))]
+#[case::start_period_nearly_over(ms(950), ms(950), Some(50))]
 #[case::started_long_ago(ms(1_000), ms(1_000), None)]
-#[case::confirmed_once_and_no_longer(ms(60_000), ms(60_000), None)]
-fn requests_wait_only_in_the_first_moment(
+#[case::no_longer_confirmed(ms(60_000), ms(60_000), None)]
+fn requests_wait_only_in_the_start_period(
     #[case] now: Timestamp,
     #[case] received: Timestamp,
     #[case] expected_ms: Option<u64>,
@@ -24,7 +26,7 @@
 }
 
 #[test]
-fn requests_that_wait_are_few_and_those_that_leave_make_room() {
+fn waiting_requests_are_bounded_and_a_disconnect_frees_a_slot() {
     let view = FirstView::default();
     let mut waiting: Vec<Waiting<'_>> = (0..MAX_WAITING_REQUESTS).map(|_| view.waiting()).collect();
     assert_eq!(view.remaining_wait(ms(1), ms(1)), None);
@@ -33,7 +35,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn all_that_wait_are_woken() {
+async fn a_confirmation_wakes_all_waiting_requests() {
     let view = FirstView::default();
     let (first, second) = (view.confirmed(), view.confirmed());
     view.on_confirmed();
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -1,4 +1,4 @@
-//! One request: from its head to an answer, over one back end or several.
+//! Handles one request: admits it, reads its body and tries back ends until one answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,14 +25,14 @@
 use crate::answer::AnswerBody;
 use crate::server::NoAnswer;
 
-/// Attempts that reached no back end do not count as attempts, but there is an end to them.
+/// Limit of all attempts, including those that reached no back end and so do not count towards the route's limit.
 const MAX_TRIES: usize = 4;
-/// A longer body of a refused request is not worth taking: a new connection costs its caller less.
+/// Limit of the body that is read from a refused request. For a longer one, a new connection costs the caller less.
 const MAX_UNREAD_BYTES: usize = 64 << 10;
-/// A caller that has not sent its body by then sends it no more.
+/// How long to wait for the body of a refused request.
 const UNREAD_BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What is known of a request.
+/// An admitted request whose body has been read.
 pub(super) struct Call {
     pub id: String,
     pub received: Timestamp,
@@ -41,9 +41,9 @@
     pub prompt: Option<Prompt>,
     pub parts: Parts,
     pub body: Bytes,
-    /// Stands for what the request carries; `None` before the key for that is known.
+    /// The request's fingerprint; `None` before the key for fingerprints is known.
     pub fingerprint: Option<WorkId>,
-    /// Moments at which back ends had ended under it before this call.
+    /// Times before this call at which back ends crashed while serving a request with this fingerprint.
     pub ends_before_call: u32,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Serves one request of a caller.
+/// Serves one request of a caller. While the process is stopping, the answer closes its connection.
 pub(super) async fn serve(
     router: Rc<Router>,
     request: Request<Incoming>,
@@ -89,8 +89,8 @@
     Ok(response)
 }
 
-/// Takes the body of a request that was refused by its head. Its caller may still be sending it; a connection on
-/// which it stays unread is closed, and the caller's next request on it would get no answer.
+/// Reads and discards the body of a request that was refused by its head. The caller may still be sending it; a
+/// connection with an unread body is closed, and the caller's next request on it would get no answer.
 fn discard_body(body: Incoming) {
     if body.is_end_stream() {
         return;
@@ -101,7 +101,7 @@
     });
 }
 
-/// Admits a request once the view is confirmed, if that may be waited for.
+/// Admits a request; waits for the first confirmed view where that is allowed.
 async fn admit_when_confirmed(
     router: &Router,
     request: &Request<Incoming>,
@@ -151,7 +151,7 @@
     Ok((admission, prompt))
 }
 
-/// The host without its port.
+/// The lowercase name of the host that the request is for, without the port.
 fn host_of<B>(request: &Request<B>) -> String {
     let named = request.headers().get(HOST);
     let host = named
@@ -220,6 +220,7 @@
     })
 }
 
+/// Tries back ends until one answers, the attempts are used up or the deadline has passed.
 async fn answer(router: &Rc<Router>, call: Call, open: OpenRequest) -> Response<AnswerBody> {
     let mut attempts = Attempts::default();
     let mut worst_execution = Execution::NotRun;
@@ -270,7 +271,7 @@
     refusal::answer_unserved(router, &call, &attempts.tried, worst_execution, error)
 }
 
-/// One line for each attempt that did not end the request well.
+/// Logs an attempt without an answer to forward.
 pub(super) fn log_unanswered(
     router: &Router,
     call: &Call,
@@ -282,10 +283,10 @@
         instance = %choice.instance,
         outcome = outcome_name(unanswered.outcome), execution = unanswered.execution.as_str(),
         sent = unanswered.sent, version = choice.expected_version,
-        elapsed_ms = elapsed.as_millis() as u64, "router: a back end gave no answer to pass on");
+        elapsed_ms = elapsed.as_millis() as u64, "router: an attempt at a back end ended without an answer to forward");
 }
 
-/// A request that may have run goes to another back end only when it may run twice.
+/// Whether another back end may be tried. A request that may have run is sent again only if it may run twice.
 pub(super) fn may_try_again(admission: &Admission, worst_execution: Execution, sent: u32) -> bool {
     let route = &admission.route;
     let repeatable = worst_execution == Execution::NotRun || route.kind.may_repeat();
@@ -321,7 +322,7 @@
         held_here = choice.believed.here, held_at_source = choice.believed.at_source,
         belief_age_ms = choice.believed.age_ms, copied_to = choice.copy.as_ref().map(|copy| copy.instance.as_str()), stores = choice.save_to.is_some(),
         elapsed_ms = elapsed.as_millis() as u64, revision = router.core.borrow().revision(),
-        "router: answered");
+        "router: a back end answered; forwarding the answer to the caller");
     let (mut head, body) = response.into_parts();
     headers::strip_connection_headers(&mut head.headers);
     let remaining = call.deadline.since(now);
@@ -331,7 +332,7 @@
     let id = call.id.clone();
     let timeliness = Timeliness::new(&call.admission.route, call.received);
     let resumption = is_resumable.then(|| {
-        // Another back end may make some of it: its length is not the first one's to say.
+        // Another back end may produce the rest of the stream, so the length that the first one declares may not hold.
         head.headers.remove(CONTENT_LENGTH);
         Resumption::new(router, Rc::new(call), attempts, choice.copy.clone())
     });
--- a/crates/gateway/src/router/headers.rs
+++ b/crates/gateway/src/router/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers travel on, and which the gateway sets.
+//! Selects the headers that are forwarded and sets the gateway's own.
 
 use std::time::Duration;
 
@@ -13,9 +13,10 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = hyper::header::EXPECT;
+/// The largest number that back ends accept as a priority; 0 is most urgent.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// Removes what concerns one connection only (RFC 9110 §7.6.1).
+/// Removes the headers that apply to a single connection (RFC 9110 §7.6.1).
 pub(super) fn strip_connection_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -42,7 +43,8 @@
     }
 }
 
-/// The caller's headers as a back end gets them, but for what depends on the attempt.
+/// The caller's headers as sent to a back end, without those that depend on the attempt. Drops headers that only the
+/// gateway may set.
 pub(super) fn for_back_end(mut headers: HeaderMap, names: &HeaderNames) -> HeaderMap {
     strip_connection_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
@@ -64,7 +66,7 @@
     headers
 }
 
-/// Sets what depends on the choice and on the time that is left.
+/// Sets the headers that depend on the chosen back end and on the remaining time.
 pub(super) fn set_for_attempt(
     headers: &mut HeaderMap,
     names: &HeaderNames,
--- a/crates/gateway/src/router/mod.rs
+++ b/crates/gateway/src/router/mod.rs
@@ -1,4 +1,5 @@
-//! The router daemon: callers on one side, back ends on the other, control machines beside it.
+//! The router daemon: forwards callers' requests to back ends and keeps its view of the replicated state current over
+//! links to control machines.
 
 mod attempt;
 mod control_links;
@@ -42,20 +43,24 @@
 use crash_detection::PendingProbes;
 use first_view::FirstView;
 
+/// Interval at which idle connections to back ends are closed and the gauge of the view's age is set.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
-/// A connection may rest this long; longer than any configuration lets callers rest.
+/// How long a connection may be idle. Longer than any configuration lets callers keep an idle connection, so that
+/// callers close first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(16);
+/// Connections of callers.
 const MAX_CONNECTIONS: usize = 1_500;
+/// Connections to each of the readiness and metrics listeners.
 const MAX_PLATFORM_CONNECTIONS: usize = 32;
-/// Before the process is killed.
+/// The process exits this long before the end of the grace period, when it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
-/// Streams may last longer than a stop does; later than this into it none begins.
+/// Streams may outlast the grace period; none is started later than this after the stop signal.
 const LATEST_STREAM_START: Duration = Duration::from_millis(2_800);
-/// Another request that begins later than this before the end would be cut.
+/// A request other than a stream needs this long before the process exits; a later one would be cut off.
 const MIN_ANSWER_TIME: Duration = Duration::from_millis(1_200);
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the tasks of a router share.
+/// State that the tasks of a router share.
 pub(crate) struct Router {
     core: RefCell<RouterCore>,
     dialect: Rc<dyn Dialect>,
@@ -63,24 +68,24 @@
     clock: Clock,
     settings: RouterSettings,
     metrics: Rc<Metrics>,
-    /// When this process began to stop.
+    /// When this process received the stop signal.
     stopping: Cell<Option<Timestamp>>,
-    /// Requests between their head and the end of their answer.
+    /// Requests whose head was received and whose answer has not ended.
     open_requests: Cell<usize>,
-    /// Wakes the links to control machines when the router's own status changed.
+    /// Notifies the links to control machines that the router's own status changed.
     status_changed: Notify,
-    /// For requests that come before the view is confirmed.
+    /// Lets requests wait that arrive before the view is confirmed for the first time.
     first_view: FirstView,
-    /// Room for connections of callers.
+    /// Slots for callers' connections.
     caller_slots: ConnectionSlots,
-    /// Back ends whose connections broke.
+    /// Back ends that are probed because connections to them broke.
     pending_probes: PendingProbes,
-    /// Wakes the links to control machines when there are reports of work.
+    /// Notifies the links to control machines that there are new reports of crashes.
     crash_reports_changed: Notify,
     unknown_headers: UnknownHeaders,
 }
 
-/// Runs a router until it is told to stop.
+/// Runs a router until the process receives a stop signal.
 pub fn run(settings: RouterSettings, dialect: Rc<dyn Dialect>) -> Result<(), DaemonError> {
     run_on_event_loop(run_on_loop(settings, dialect))
 }
@@ -112,10 +117,10 @@
     control_links::start(&router);
     tokio::task::spawn_local(prune(Rc::clone(&router)));
     tracing::info!(event = "started", role = "router", node = %router.settings.node,
-        listen = %router.settings.listen, "router: started");
+        listen = %router.settings.listen, "router: accepting requests");
     while signals.next().await == SignalRequest::Reload {
         tracing::info!(event = "reloaded", seeds = ?(router.settings.seeds)(),
-            "router: settings read again");
+            "router: received a reload signal; seeds read again");
     }
     stop(&router).await;
     Ok(())
@@ -159,7 +164,7 @@
 
 fn readiness(router: &Router) -> Response<AnswerBody> {
     let configured = router.core.borrow().configuration_version() > 0;
-    // A router whose room is taken accepts nobody until a connection ends: it must not be called ready.
+    // A router without free connection slots accepts no caller until a connection ends, so it is not ready.
     let has_room = !router.caller_slots.all_taken();
     if configured && has_room && router.stopping.get().is_none() {
         answer::plain(StatusCode::OK, "")
@@ -179,7 +184,7 @@
 }
 
 impl Router {
-    /// True when a request would not end before this process does.
+    /// True when the process is stopping and would probably exit before such a request is answered.
     fn stops_too_soon_for(&self, kind: RequestKind) -> bool {
         let Some(begun) = self.stopping.get() else {
             return false;
@@ -193,8 +198,9 @@
     }
 }
 
-/// Callers learn from the directory and from each answer to go elsewhere; the process ends when
-/// they have had the time to, and no request is open.
+/// Stops the router. The directory no longer lists it, and each answer closes its connection, so that callers move to
+/// other routers. The process ends once cached directory answers have expired and no request is open, at the latest
+/// when the grace period is nearly over.
 async fn stop(router: &Rc<Router>) {
     let begun = router.clock.now();
     router.stopping.set(Some(begun));
@@ -202,7 +208,7 @@
     tracing::info!(
         event = "stopping",
         open_requests = router.open_requests.get(),
-        "router: stopping"
+        "router: received a stop signal; draining open requests"
     );
     let stop_limit = router.settings.grace.saturating_sub(EXIT_MARGIN);
     loop {
@@ -217,6 +223,6 @@
     tracing::info!(
         event = "stopped",
         open_requests = router.open_requests.get(),
-        "router: stopped"
+        "router: stopped serving"
     );
 }
--- a/crates/gateway/src/router/notices.rs
+++ b/crates/gateway/src/router/notices.rs
@@ -1,7 +1,8 @@
-//! What back ends say of themselves in the heads of their answers, as the router daemon hears it.
+//! Processes the notices of back ends: the status headers in their answers.
 //!
-//! All answers to requests pass here, whatever they are to: a first choice, a retry, a resumption, a copy of a run.
-//! What was said counts for all that this router sends from then on, and for requests that wait for a connection.
+//! Every answer to a request is processed here, whether the attempt was a first choice, a retry or the resumption of a
+//! stream, with or without a copy of its run. A notice applies to everything that this router sends afterwards,
+//! including requests that are waiting for a connection.
 
 use std::rc::Rc;
 
@@ -14,8 +15,8 @@
 use super::forward::header;
 use super::Router;
 
-/// Takes in what the head of an answer says of its back end; the request was sent at `sent_at`. That it says nothing
-/// is heeded as well: a limit ends so.
+/// Processes the notice in the head of an answer to a request that was sent at `sent_at`. An answer without a notice
+/// matters too: it ends a limit that the back end set earlier.
 pub(super) fn process(
     router: &Rc<Router>,
     choice: &Choice,
@@ -44,11 +45,11 @@
         router.metrics.count_notice("backoff");
         let retry_after = notice.retry_after.unwrap_or_default();
         tracing::info!(event = "back_end_backoff", %instance,
-            retry_after_ms = retry_after.as_millis() as u64, "router: a back end asks for no requests");
+            retry_after_ms = retry_after.as_millis() as u64, "router: a back end requested a backoff; sending it no requests until it is over");
     }
     if change.leaves {
         router.metrics.count_notice("leaving");
-        tracing::info!(event = "back_end_leaving", %instance, "router: a back end says that it leaves");
+        tracing::info!(event = "back_end_leaving", %instance, "router: a back end announced that it is leaving");
         router.upstreams.close_idle(&instance);
     }
 }
@@ -58,16 +59,16 @@
         LimitChange::Named(rate) => {
             router.metrics.count_notice("limit");
             tracing::info!(event = "back_end_limit", %instance, requests_per_second = %rate,
-                "router: a back end limits what it takes from all routers");
+                "router: a back end set a limit on the rate of requests from all routers");
         }
         LimitChange::Ended => {
             router.metrics.count_notice("limit_ended");
-            tracing::info!(event = "back_end_limit_ended", %instance, "router: a back end names no limit any more");
+            tracing::info!(event = "back_end_limit_ended", %instance, "router: a back end lifted its limit on the rate of requests");
         }
     }
 }
 
-/// Another incarnation may listen at the address, and says so.
+/// The instance that answered, which may be a newer incarnation at the same address.
 fn answered_by(router: &Router, choice: &Choice, response: &Response<Incoming>) -> InstanceId {
     let names = router.dialect.headers();
     let named = header(response.headers(), &names.instance);
@@ -78,8 +79,8 @@
     }
 }
 
-/// Whether a request that has its connection may be sent. A wait for one may last longer than the half second
-/// that requests may be under way after a back end asked for none.
+/// Whether a request may still be sent now that it has a connection. After a back end has asked for no requests, only
+/// requests sent up to half a second earlier may still reach it, and the wait for a connection may take longer.
 pub(super) fn may_send(router: &Router, choice: &Choice) -> bool {
     let now = router.clock.now();
     let core = router.core.borrow();
--- a/crates/gateway/src/router/refusal.rs
+++ b/crates/gateway/src/router/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the router's own: what it refuses to look into, and what it gives up.
+//! The router's own answers: to requests that are not admitted, and to those that no back end answered.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 use super::Router;
 use crate::answer::{self, AnswerBody};
 
-/// A caller that was refused because of a passing state comes back after this long.
+/// When to retry after a temporary condition, such as a back end that declined the request.
 const RETRY_SOON: Duration = Duration::from_millis(60);
-/// Control machines that start together have a leader after about this long.
+/// Control machines that start together have elected a leader after about this long.
 const ELECTION_AFTER_START: Duration = Duration::from_millis(1_100);
-/// Another router serves it at once.
+/// When to retry at another router, which serves the request at once.
 const RETRY_AT_ANOTHER_ROUTER: Duration = Duration::from_millis(5);
-/// A caller comes back later when no back end is there at all.
+/// When to retry if no back end is available at all.
 const RETRY_WITHOUT_BACK_ENDS: Duration = Duration::from_millis(400);
 
-/// Callers of a tenant that has used up its limit are spread over so long a time, beyond that in
-/// which their requests would have room one after the other.
+/// Retries of a tenant that has used up its limit are spread over this time, plus the time until the limit allows the
+/// request.
 const SPREAD_OVER_LIMIT: Duration = Duration::from_millis(200);
-/// No caller is sent away for longer.
+/// The longest time after which a caller is asked to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// How a request is answered when no back end does.
+/// An answer that the router makes itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct OwnAnswer {
     status: StatusCode,
@@ -34,12 +34,12 @@
     reason: &'static str,
 }
 
-/// Why a request is not looked into.
+/// Why a request is not admitted.
 #[derive(Clone, Debug)]
 pub(super) enum Refused {
-    /// The router's view says so.
+    /// The view of the replicated state does not allow it.
     ByView(Refusal),
-    /// This process ends too soon.
+    /// This process is stopping and would exit before the request is answered.
     Stopping,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The answer to a request that no back end answered.
+/// Answers and logs a request that no back end answered. One that did not run is not charged to its tenant.
 pub(super) fn answer_unserved(
     router: &Router,
     call: &Call,
@@ -69,11 +69,11 @@
         instance = tried.last().map(InstanceId::as_str), attempts = tried.len(),
         execution = worst_execution.as_str(), choice = error.map(tracing::field::display),
         elapsed_ms = elapsed.as_millis() as u64, revision = router.core.borrow().revision(),
-            "router: given up");
+            "router: no back end answered a request");
     respond(own_answer)
 }
 
-/// 503 promises that the request has not run; 502 and 504 promise nothing.
+/// 503 guarantees that the request has not run; 502 and 504 guarantee nothing.
 fn final_answer(
     worst_execution: Execution,
     error: Option<ChoiceError>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The answer to a request that is not looked into.
+/// Answers and logs a request that is not admitted.
 pub(super) fn refuse(
     router: &Router,
     id: &str,
@@ -137,7 +137,7 @@
     let core = router.core.borrow();
     tracing::info!(event = "request", %id, outcome = reason, status = status.as_u16(),
         revision = core.revision(), configuration = core.configuration_version(),
-        view_age_ms = core.view_age(now).map(|age| age.as_millis() as u64), "router: refused");
+        view_age_ms = core.view_age(now).map(|age| age.as_millis() as u64), "router: refused to admit a request");
     respond(OwnAnswer {
         status,
         retry_after,
@@ -145,8 +145,8 @@
     })
 }
 
-/// When control machines have started together with this router they elect a leader first, and
-/// a caller that comes back before that comes in vain.
+/// When to retry while the view is not confirmed. Control machines that started together with this router first elect
+/// a leader, and a retry before that would fail.
 fn retry_after_unconfirmed(router: &Router) -> Duration {
     let running = Duration::from_micros(router.clock.now().0);
     ELECTION_AFTER_START
@@ -154,21 +154,22 @@
         .max(RETRY_WITHOUT_BACK_ENDS)
 }
 
-/// Until the tenant's account has room for the request, and up to twice as long: callers that were
-/// refused at the same moment should not return at the same moment. `sample` is a part of one.
+/// When to retry after exceeding a limit: once the tenant's account has room for the request, plus a random delay of
+/// up to that time and [`SPREAD_OVER_LIMIT`]. Callers refused at the same moment should not return at the same
+/// moment. `sample` is a random number from 0 to 1.
 fn retry_after_limit(wait: Duration, sample: f64) -> Duration {
     let wait = wait.min(MAX_RETRY_AFTER);
     let spread = (wait + SPREAD_OVER_LIMIT).mul_f64(sample);
     (wait + spread).min(MAX_RETRY_AFTER)
 }
 
-/// What the refusal of a request that is over its tenant's limit was decided by.
+/// Logs the values by which a request was refused as over its tenant's limit.
 fn record_over_limit(router: &Router, id: &str, over: &OverLimit) {
     let metrics = &router.metrics;
     metrics.count_limit_units(over.tenant.as_str(), "refused", over.cost);
     tracing::info!(event = "over_limit", %id, tenant = %over.tenant, cost = over.cost, level = over.level as i64,
         wait_ms = over.wait.as_millis() as u64, age_ms = over.age.map(|age| age.as_millis() as u64),
-        by_own_part = over.by_own_part, "router: over the tenant's limit");
+        by_own_part = over.by_own_part, "router: refused a request that exceeds its tenant's limit");
 }
 
 fn respond(own_answer: OwnAnswer) -> Response<AnswerBody> {
--- a/crates/gateway/src/router/refusal_tests.rs
+++ b/crates/gateway/src/router/refusal_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the answers to requests that no back end answered.
+//! Tests of the router's own answers to requests that no back end answered.
 
 use rstest::rstest;
 
@@ -15,8 +15,8 @@
     refused_percent: 30,
 }));
 
-/// Only a request that has surely not run is answered with 503, and every such answer says when
-/// to try again; time that has run out changes nothing about that.
+/// Only a request that certainly has not run is answered with 503, and every such answer says when to retry, also when
+/// the deadline has passed.
 #[rstest]
 #[case::no_back_end_ready(Execution::NotRun, NONE_READY, false, 503, true)]
 #[case::no_back_end_ready_and_late(Execution::NotRun, NONE_READY, true, 503, true)]
@@ -29,11 +29,11 @@
 #[case::connection_broke_and_none_left(Execution::MayHaveRun, NONE_LEFT, false, 502, false)]
 #[case::connection_broke_and_no_retry_left(Execution::MayHaveRun, NO_BUDGET, false, 502, false)]
 #[case::connection_broke_and_none_ready(Execution::MayHaveRun, NONE_READY, false, 502, false)]
-#[case::silent_until_late(Execution::MayHaveRun, None, true, 504, false)]
+#[case::unresponsive_until_late(Execution::MayHaveRun, None, true, 504, false)]
 #[case::failed_everywhere(Execution::Ran, NONE_LEFT, false, 502, false)]
 #[case::failed_and_none_ready(Execution::Ran, NONE_READY, false, 502, false)]
 #[case::failed_until_late(Execution::Ran, NO_BUDGET, true, 504, false)]
-fn each_end_of_the_last_attempt_has_its_answer(
+fn only_a_request_that_has_not_run_is_answered_with_503(
     #[case] worst: Execution,
     #[case] error: Option<ChoiceError>,
     #[case] is_late: bool,
@@ -45,13 +45,13 @@
     assert_eq!(given_up.retry_after.is_some(), has_retry_after);
 }
 
-/// A caller is never asked back before there is room, and callers are spread behind that moment.
+/// No caller is asked to retry before the limit allows its request, and retries are spread after that moment.
 #[rstest]
 #[case::soonest(100, 0.0, 100)]
 #[case::latest(100, 1.0, 400)]
 #[case::without_debt(0, 0.5, 100)]
 #[case::very_long(600_000, 1.0, 30_000)]
-fn callers_over_their_limit_return_when_there_is_room(
+fn callers_over_their_limit_retry_when_it_allows_the_request(
     #[case] wait_ms: u64,
     #[case] sample: f64,
     #[case] after_ms: u64,
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn a_caller_of_a_pool_that_is_overloaded_is_told_when_there_is_room() {
+fn an_overloaded_pool_sets_the_time_of_the_retry() {
     let given_up = final_answer(Execution::NotRun, OVERLOADED, false);
-    let told = (given_up.reason, given_up.retry_after);
-    assert_eq!(told, ("overloaded", Some(Duration::from_millis(1_300))));
+    let answer = (given_up.reason, given_up.retry_after);
+    assert_eq!(answer, ("overloaded", Some(Duration::from_millis(1_300))));
 }
--- a/crates/gateway/src/router/relay.rs
+++ b/crates/gateway/src/router/relay.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way from a back end to a caller.
+//! Forwards the body of an answer from a back end to the caller.
 
 use std::future::Future;
 use std::io;
@@ -21,7 +21,8 @@
 use super::Router;
 use crate::upstream::Connection;
 
-/// One attempt that is under way at a back end. However it ends, the router's count is put right.
+/// An attempt in progress at a back end. When dropped, it reports how the attempt ended, so that the number of requests
+/// in flight stays correct on every path.
 pub(crate) struct OpenAttempt {
     router: Rc<Router>,
     choice: Choice,
@@ -29,7 +30,7 @@
     answered: bool,
     outcome: Outcome,
     execution: Execution,
-    /// What was sent.
+    /// The request as sent.
     run: BrokenRun,
 }
 
@@ -50,14 +51,14 @@
         }
     }
 
-    /// The answer has begun.
+    /// Records that the head of the answer has arrived.
     pub fn answered(&mut self) {
         self.on_bytes_received();
         let latency = self.router.clock.now().since(self.run.sent_at);
         self.record_answered(Some(latency));
     }
 
-    /// Bytes of the answer have come.
+    /// Records that bytes of the answer have arrived.
     fn on_bytes_received(&self) {
         self.choice.heard.set(self.router.clock.now());
     }
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The back end outlived the run, so the work does not end whatever runs it.
+    /// Records that the back end did not crash during the run, which clears the request's fingerprint of suspicion.
     fn record_completed(&self, now: Timestamp) {
         let Some(fingerprint) = self.run.fingerprint else {
             return;
@@ -82,12 +83,12 @@
             .on_work_completed(now, fingerprint);
         if was_suspected {
             tracing::info!(event = "work_cleared", id = %self.run.id, work = %fingerprint,
-                instance = %self.choice.instance, "router: suspected work ran to its end");
+                instance = %self.choice.instance, "router: a request with a suspected fingerprint ran to completion");
             self.router.crash_reports_changed.notify_waiters();
         }
     }
 
-    /// Says how it ended; it ends when dropped.
+    /// Sets how the attempt ended, which is reported when it is dropped.
     pub fn end(&mut self, outcome: Outcome, execution: Execution) {
         self.outcome = outcome;
         self.execution = execution;
@@ -104,7 +105,7 @@
         drop(core);
         if became_unresponsive {
             tracing::info!(event = "back_end_suspected", %instance, by = "this router",
-                outcome = outcome_name(self.outcome), "router: a back end fell silent");
+                outcome = outcome_name(self.outcome), "router: suspecting a back end that became unresponsive");
             self.router.upstreams.close_idle(instance);
         }
         self.router
@@ -120,7 +121,7 @@
     }
 }
 
-/// How an attempt ended, for logs and metrics.
+/// The name of an outcome in logs and metrics.
 pub(super) fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Answered => "answered",
@@ -137,31 +138,31 @@
     }
 }
 
-/// Whether a broken stream is being taken up elsewhere.
+/// Whether a broken stream is being resumed at another back end.
 enum ResumeState {
-    /// It is not broken, or it has been taken up.
+    /// It is not broken, or has been resumed.
     NotResuming,
-    /// A back end is sought.
+    /// Attempts at other back ends are in progress.
     Resuming,
-    /// No back end goes on with it.
+    /// No back end resumes it.
     Failed,
 }
 
-/// Passes a body on as it comes. Dropping it closes the connection to the back end, which ends
-/// its work; an error cuts the caller's connection, so that a part never looks whole.
+/// Forwards a body as it arrives. Dropping it before the end closes the connection to the back end, which cancels the
+/// run; an error closes the caller's connection, so that a truncated answer never looks complete.
 pub(crate) struct Relay {
     id: String,
     body: Incoming,
     connection: Option<Connection>,
     open_attempt: OpenAttempt,
     deadline: Pin<Box<Sleep>>,
-    /// For a stream that another back end may take up.
+    /// Set for a stream that another back end may resume.
     resumption: Option<Resumption>,
     timeliness: Timeliness,
     _open: OpenRequest,
 }
 
-/// An answer whose body is to be passed on.
+/// An answer whose body is to be forwarded.
 pub(super) struct Relayed {
     /// The request's identifier.
     pub id: String,
@@ -193,8 +194,8 @@
     }
 
     pub fn is_end_stream(&self) -> bool {
-        // The body of a stream that may be taken up is over only when polling says so: half an
-        // event may be left of it.
+        // A stream that may be resumed ends only when polling returns the end: an incomplete event may still be
+        // pending.
         self.resumption.is_none() && self.body.is_end_stream()
     }
 
@@ -255,7 +256,7 @@
         Poll::Ready(Some(Err(self.cut(Outcome::TimedOut, "timed_out", error))))
     }
 
-    /// What of a frame can be passed on; nothing while no event has ended.
+    /// The part of a frame that can be forwarded; `None` while the current event is incomplete.
     fn whole_events(&mut self, frame: Frame<Bytes>) -> Option<Frame<Bytes>> {
         if self.body.is_end_stream() {
             self.finish();
@@ -270,7 +271,7 @@
         resumption.events.push(data).map(Frame::data)
     }
 
-    /// Begins to have a broken stream taken up elsewhere; false when that may not be.
+    /// Starts to resume a broken stream at another back end; false when it must not be resumed.
     fn begin_resuming(&mut self, error: &hyper::Error) -> bool {
         let Some(resumption) = &mut self.resumption else {
             return false;
@@ -279,13 +280,13 @@
             return false;
         }
         tracing::info!(event = "answer_broken", id = %self.id, work = self.displayed_fingerprint(),
-            instance = %self.open_attempt.choice.instance, %error, "router: a back end broke off");
+            instance = %self.open_attempt.choice.instance, %error, "router: a back end broke off a stream; resuming it at another one");
         self.open_attempt.end(Outcome::Broken, Execution::Ran);
         self.connection = None;
         true
     }
 
-    /// Goes on with the body of the back end that takes the stream up.
+    /// Continues with the body from the back end that resumes the stream.
     fn poll_resumed(&mut self, context: &mut Context<'_>) -> ResumeState {
         let polled = self
             .resumption
@@ -322,7 +323,7 @@
         self.open_attempt.router.clock.now()
     }
 
-    /// One line for an answer that missed a target, so that its cause can be sought.
+    /// Logs an answer that missed a target, so that the cause can be investigated.
     fn log_lateness(&self) {
         let Some(lateness) = self.timeliness.lateness() else {
             return;
@@ -334,13 +335,13 @@
             instance = %self.open_attempt.choice.instance,
             first_piece_ms = time_to_first.map(|time| time.as_millis() as u64),
             longest_pause_ms = self.timeliness.longest_gap().as_millis() as u64,
-            "router: an answer was late");
+            "router: an answer missed its latency target");
     }
 
     fn cut(&mut self, outcome: Outcome, reason: &'static str, error: io::Error) -> io::Error {
         tracing::info!(event = "answer_cut", id = %self.id, work = self.displayed_fingerprint(),
             instance = %self.open_attempt.choice.instance,
-            reason, %error, "router: an answer was cut");
+            reason, %error, "router: closed the caller's connection before the end of an answer");
         self.open_attempt.end(outcome, Execution::Ran);
         self.connection = None;
         error
@@ -352,7 +353,7 @@
         self.log_lateness();
         if self.connection.is_some() {
             tracing::info!(event = "caller_left", id = %self.id, instance = %self.open_attempt.choice.instance,
-                "router: the caller left");
+                "router: the caller disconnected before the end of an answer");
         }
     }
 }
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -1,5 +1,5 @@
-//! What a router tells control machines on its links, without being asked: who it is, what it puts on back ends and
-//! what it saw of them. Each task ends with the reason why its link is of no more use.
+//! Reports that a router sends to control machines unasked: its status, the load it puts on back ends, and what it
+//! observed of them. Each task runs until its link fails and returns the reason.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -13,13 +13,14 @@
 use super::Router;
 use crate::link::Sender;
 
-/// Between two reports to the leader of this router's load.
+/// Interval between reports of this router's load to the leader.
 const LOADS_INTERVAL: Duration = Duration::from_millis(80);
-/// Load that does not change is reported again after this long.
+/// Unchanged load is reported again after this long.
 const LOADS_REFRESH_INTERVAL: Duration = Duration::from_millis(300);
-/// What the leader told of other routers' load counts for so long.
+/// How long the last report of other routers' loads by the leader is valid.
 const OTHERS_LOADS_TTL: Duration = Duration::from_millis(1_000);
 
+/// This router's status as sent to control machines.
 pub(super) fn status(router: &Router) -> Message {
     Message::Router(RouterStatus {
         address: Text::new(router.settings.listen.to_string()),
@@ -29,6 +30,7 @@
     })
 }
 
+/// Sends the status each time it changes.
 pub(super) async fn send_status_changes(router: &Rc<Router>, sender: &Sender) -> &'static str {
     loop {
         router.status_changed.notified().await;
@@ -38,8 +40,8 @@
     }
 }
 
-/// Tells the leader what this router puts on back ends, when that has changed or is to be
-/// confirmed; the leader tells the others.
+/// Sends this router's load on back ends to the leader when it has changed or is due to be repeated, along with what
+/// else it observed; the leader forwards it to the other routers.
 pub(super) async fn send_load_reports(
     router: &Rc<Router>,
     links: &Rc<Links>,
@@ -86,8 +88,8 @@
     }
 }
 
-/// Tells a control machine, also one that links later, what this router saw of work that back ends ended
-/// under. All of them are told: any may be the one that the next router hears.
+/// Sends reports of crashes, by request fingerprint, to a control machine, also to one that connects later. All control
+/// machines receive them: another router may be connected to any of them only.
 pub(super) async fn send_crash_reports(router: &Rc<Router>, sender: &Sender) -> &'static str {
     let mut cursor = 0;
     loop {
--- a/crates/gateway/src/router/resume.rs
+++ b/crates/gateway/src/router/resume.rs
@@ -1,14 +1,13 @@
-//! Streams that another back end may take up, inside one answer to the caller.
+//! Resumes a broken stream at another back end, within the same answer to the caller.
 //!
-//! When the connection to a back end breaks off, the stream goes on at another one behind the last
-//! event that was passed on whole. Head and seal stay those of the first back end. Each take-up is
-//! an attempt of the request: the route's attempts and the retry budget bound it. The broken
-//! connection is closed before, which ends the earlier run; a stream that is merely silent is never
-//! taken up, for its run may go on.
+//! When the connection to a back end breaks, another back end continues the stream after the last event that was
+//! forwarded whole. The head and the response seal remain those of the first back end. Each resumption is an attempt of
+//! the request, bounded by the route's attempts and the retry budget. The broken connection is closed first, which
+//! cancels the earlier run. A stream that has only stalled is never resumed, because its run may continue.
 //!
-//! A stream whose route may not be resumed goes on only where its run was copied to: that is the
-//! same run, so nothing runs twice, and the route's attempts do not count. A back end that has no
-//! copy says so, and the stream is cut.
+//! A stream whose route does not allow it is resumed only where its run was copied to. That continues the same run, so
+//! nothing runs twice and the route's attempts do not count. A back end without the copy reports that, and the answer
+//! is cut off.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -25,17 +24,18 @@
 use super::forward::{log_unanswered, may_try_again, Call};
 use super::Router;
 
-/// Attempts that reached no back end do not count as attempts, but there is an end to them.
+/// Limit of all attempts of one resumption, including those that reached no back end and so do not count towards the
+/// route's limit.
 const MAX_TRIES: usize = 3;
 
-/// Attempts of one request so far.
+/// The attempts of one request so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Attempts {
     /// Back ends that were chosen.
     pub tried: Vec<InstanceId>,
-    /// Attempts that reached one.
+    /// Attempts that reached a back end.
     pub sent: u32,
-    /// Attempts that broke when they may have run.
+    /// Attempts whose connection broke when the request may have been running.
     pub broken: u32,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// An attempt gave no answer to pass on.
+    /// Adds an attempt without an answer to forward.
     pub fn record(&mut self, unanswered: Unanswered) {
         self.sent += u32::from(unanswered.sent);
         let may_have_run = unanswered.execution != Execution::NotRun;
@@ -58,7 +58,7 @@
     }
 }
 
-/// A stream that goes on at another back end.
+/// The answer of the back end that resumes a stream, and the attempts up to it.
 pub(super) struct ResumedStream {
     pub answered: Answered,
     attempts: Attempts,
@@ -72,12 +72,12 @@
 
 type ResumeFuture = Pin<Box<dyn Future<Output = Option<ResumedStream>>>>;
 
-/// What it takes to go on with a stream elsewhere.
+/// The state needed to resume a stream at another back end.
 pub(super) struct Resumption {
     router: Rc<Router>,
     call: Rc<Call>,
     attempts: Attempts,
-    /// Where the run was copied to, until that was used.
+    /// Where the run was copied to, until the copy is used.
     copy: Option<RunCopy>,
     pub events: Events,
     resuming: Option<ResumeFuture>,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Begins to look for another back end; false when the stream ends here.
+    /// Starts to resume at another back end; false when the stream must not be resumed.
     pub fn begin(&mut self) -> bool {
         self.events.discard_partial();
         self.attempts.broken += 1;
@@ -121,7 +121,8 @@
         true
     }
 
-    /// The back end that goes on; `None` inside when there is none.
+    /// Polls for the answer of the back end that resumes the stream; a ready `None` when no back end does. Returns `None`
+    /// when no resumption is in progress.
     pub fn poll_resumed(&mut self, context: &mut Context<'_>) -> Option<Poll<Option<Answered>>> {
         let resuming = self.resuming.as_mut()?;
         let Poll::Ready(resumed) = resuming.as_mut().poll(context) else {
@@ -136,6 +137,7 @@
     }
 }
 
+/// Resumes a stream by a new run at any suitable back end.
 async fn resume(
     router: Rc<Router>,
     call: Rc<Call>,
@@ -177,7 +179,7 @@
     None
 }
 
-/// Goes on with a run at the back end that has a copy of it.
+/// Resumes a stream at the back end that has a copy of its run.
 async fn resume_copy(
     router: Rc<Router>,
     call: Rc<Call>,
@@ -213,10 +215,10 @@
     }
 }
 
-/// What came of asking one back end to go on.
+/// The result of trying to resume at one back end.
 enum ResumeAttempt {
     Resumed(Box<Answered>),
-    /// It answered with a failure.
+    /// It answered with an error status, which ends the resumption.
     ErrorAnswer,
     Unresumed,
 }
@@ -237,7 +239,7 @@
                 from = from.as_ref().map(InstanceId::as_str), instance = %choice.instance,
                 version = choice.expected_version, copied = continued.has_copy,
                 after = continued.after.as_ref().map(|id| String::from_utf8_lossy(id).into_owned()),
-                "router: another back end goes on");
+                "router: another back end resumed a stream");
             ResumeAttempt::Resumed(answered)
         }
         Attempt::Answered(_) => ResumeAttempt::ErrorAnswer,
@@ -251,5 +253,5 @@
 
 fn log_not_resumed(call: &Call, attempts: &Attempts, reason: &str) {
     tracing::info!(event = "not_taken_up", id = %call.id, attempts = attempts.tried.len(), reason,
-        "router: no back end goes on");
+        "router: no back end resumed a stream");
 }
--- a/crates/gateway/src/router/timeliness.rs
+++ b/crates/gateway/src/router/timeliness.rs
@@ -1,19 +1,20 @@
-//! Whether an answer kept its targets: the time to its first piece, and the pauses after that.
+//! Measures an answer against its targets: the time to its first piece, and the gaps between later pieces.
 
 use std::time::Duration;
 
 use drumshore_core::Timestamp;
 use drumshore_gateway_core::Route;
 
-/// When the pieces of one answer came.
+/// The times at which the pieces of one answer arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Timeliness {
     target: Duration,
-    /// Streams only.
+    /// The longest gap allowed between two pieces; streams only.
     gap_target: Option<Duration>,
     received: Timestamp,
-    /// When the first piece came, and the latest.
+    /// When the first piece arrived.
     first: Option<Timestamp>,
+    /// When the last piece arrived; before the first one, when the request was received.
     latest: Timestamp,
     longest_gap: Duration,
 }
@@ -21,14 +22,14 @@
 /// Why an answer was late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Lateness {
-    /// The first piece came after the target.
+    /// The first piece arrived after the target.
     FirstPiece,
-    /// A later piece did not come in time.
+    /// The gap before a later piece exceeded its target.
     Gap,
 }
 
 impl Lateness {
-    /// For logs and metrics.
+    /// The name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::FirstPiece => "late_first_piece",
@@ -38,7 +39,7 @@
 }
 
 impl Timeliness {
-    /// An answer to a request of a route, whose head was received at this time.
+    /// For an answer to a request of `route` whose head was received at `received`.
     pub fn new(route: &Route, received: Timestamp) -> Self {
         Self {
             target: route.target,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// A piece of the answer has come.
+    /// Records that a piece of the answer has arrived.
     pub fn on_piece(&mut self, now: Timestamp) {
         if self.first.is_some() {
             self.longest_gap = self.longest_gap.max(now.since(self.latest));
@@ -59,17 +60,17 @@
         self.latest = now;
     }
 
-    /// The time to the first piece; `None` before it.
+    /// Time from the request's head to the first piece of the answer; `None` before that piece.
     pub fn time_to_first(self) -> Option<Duration> {
         self.first.map(|first| first.since(self.received))
     }
 
-    /// The longest time between two pieces.
+    /// The longest gap between two pieces so far.
     pub fn longest_gap(self) -> Duration {
         self.longest_gap
     }
 
-    /// The first target that was missed, as far as the answer has come.
+    /// The first target that was missed so far.
     pub fn lateness(self) -> Option<Lateness> {
         if self.time_to_first()? > self.target {
             return Some(Lateness::FirstPiece);
--- a/crates/gateway/src/router/timeliness_tests.rs
+++ b/crates/gateway/src/router/timeliness_tests.rs
@@ -1,3 +1,5 @@
+//! Tests of which missed target of an answer is reported.
+
 use rstest::rstest;
 
 use super::*;
@@ -28,11 +30,11 @@
 #[rstest]
 #[case::in_time(RequestKind::Stream, &[1_800, 2_400, 3_000], None)]
 #[case::late_first(RequestKind::Stream, &[1_801, 1_900], Some(Lateness::FirstPiece))]
-#[case::paused(RequestKind::Stream, &[1_100, 1_200, 1_801], Some(Lateness::Gap))]
-#[case::late_and_paused(RequestKind::ResumableStream, &[1_900, 2_900], Some(Lateness::FirstPiece))]
+#[case::long_gap(RequestKind::Stream, &[1_100, 1_200, 1_801], Some(Lateness::Gap))]
+#[case::late_and_long_gap(RequestKind::ResumableStream, &[1_900, 2_900], Some(Lateness::FirstPiece))]
 #[case::no_stream(RequestKind::Repeatable, &[1_100, 2_900], None)]
-#[case::nothing_came(RequestKind::Stream, &[], None)]
-fn the_first_missed_target_is_told(
+#[case::no_pieces(RequestKind::Stream, &[], None)]
+fn the_first_missed_target_is_reported(
     #[case] kind: RequestKind,
     #[case] pieces: &[u64],
     #[case] expected: Option<Lateness>,
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn pauses_are_between_pieces_only() {
+fn the_wait_for_the_first_piece_is_not_a_gap() {
     let mut timeliness = Timeliness::new(&route(RequestKind::Stream), ms(RECEIVED));
     assert_eq!(timeliness.time_to_first(), None);
     timeliness.on_piece(ms(1_700));
