--- a/crates/gateway/src/clock_tests.rs
+++ b/crates/gateway/src/clock_tests.rs
@@ -33,8 +33,8 @@
 /// machine is not suspended.
 #[test]
 fn the_time_since_boot_is_read_from_the_system() {
-    let steady = clock_gettime(ClockId::CLOCK_MONOTONIC).unwrap();
-    assert!(time_since_boot() >= Duration::from(steady));
+    let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC).unwrap();
+    assert!(time_since_boot() >= Duration::from(monotonic));
     let begun = Instant::now();
     let clock = Clock::start();
     while clock.now() < Timestamp(2_000) {
--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -1,4 +1,4 @@
-//! What operators, back ends and callers ask of a control machine.
+//! The HTTP interface of a control machine for operators, back ends and callers.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::rc::Rc;
@@ -15,9 +15,10 @@
 use crate::dialect::ControlCall;
 use crate::server::{NoAnswer, Peer};
 
+/// Limit of the body of a call.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Serves one call.
+/// Serves one call; `NoAnswer` when its body is too long or cannot be read.
 pub(super) async fn serve(
     control: Rc<Control>,
     request: Request<Incoming>,
@@ -47,7 +48,7 @@
             };
             let reply = submit(&control, command).await;
             tracing::info!(event = "deregister", %instance, outcome = reply_name(&reply),
-                "control: a back end says that it has gone");
+                "control: a back end deregistered itself");
             acknowledge(&control, reply)
         }
         ControlCall::Directory { zone } => directory(&control, &zone, caller),
@@ -55,6 +56,7 @@
     Ok(response)
 }
 
+/// Submits a command to the replicated log and waits for the reply.
 pub(super) async fn submit(control: &Control, command: Command) -> Reply {
     control
         .ask(|core, now, ticket| core.submit(now, ticket, command))
@@ -79,7 +81,7 @@
         version,
         routes,
         outcome = reply_name(&reply),
-        "control: a configuration was sent"
+        "control: an operator sent a configuration"
     );
     acknowledge(control, reply)
 }
@@ -90,7 +92,7 @@
     tracing::info!(
         event = "configuration_read",
         outcome = reply_name(&reply),
-        "control: a configuration was read"
+        "control: an operator read the configuration"
     );
     match reply {
         Reply::Configuration(Some(body)) => answer::typed(control.dialect.content_type(), body),
@@ -109,7 +111,7 @@
     };
     let reply = submit(control, command).await;
     tracing::info!(event = "weights_named", %model, version, outcome = reply_name(&reply),
-        "control: weights were named");
+        "control: an operator set the version of a model's weights");
     acknowledge(control, reply)
 }
 
@@ -129,6 +131,7 @@
     answer::typed(control.dialect.content_type(), body)
 }
 
+/// The answer to a call that was accepted, or that could not be committed.
 pub(super) fn acknowledge(control: &Control, reply: Reply) -> Response<AnswerBody> {
     match reply {
         Reply::Accepted => {
@@ -147,11 +150,12 @@
     tracing::info!(
         event = "invalid_call",
         reason,
-        "control: a call cannot be understood"
+        "control: rejected an invalid call"
     );
     answer::plain(StatusCode::BAD_REQUEST, reason.to_owned())
 }
 
+/// The name of a reply in log lines.
 pub(super) fn reply_name(reply: &Reply) -> &'static str {
     match reply {
         Reply::Accepted => "accepted",
--- a/crates/gateway/src/control/applied.rs
+++ b/crates/gateway/src/control/applied.rs
@@ -1,8 +1,8 @@
-//! Lines for what the log changed.
+//! Log lines for commands that were applied from the replicated log.
 
 use drumshore_gateway_core::Command;
 
-/// One line for each change of what this machine believes.
+/// Logs a command that this machine applied to its state.
 pub(super) fn log(position: u64, command: &Command) {
     match command {
         Command::Configure { version, .. } => {
@@ -10,7 +10,7 @@
                 event = "configuration_applied",
                 position,
                 version,
-                "control: a configuration is in force"
+                "control: a new configuration is in force"
             );
         }
         Command::Register {
@@ -37,7 +37,7 @@
                 event = "instance_draining",
                 position,
                 instance = instance.as_str(),
-                "control: a back end leaves"
+                "control: a back end started draining"
             );
         }
         Command::Deregister { instance } => {
@@ -45,7 +45,7 @@
                 event = "instance_removed",
                 position,
                 instance = instance.as_str(),
-                "control: a back end has gone"
+                "control: a back end was removed"
             );
         }
         Command::Expire { instance } => {
@@ -53,7 +53,7 @@
                 event = "instance_silent",
                 position,
                 instance = instance.as_str(),
-                "control: a back end is silent"
+                "control: a back end became unresponsive"
             );
         }
         Command::NameWeights { model, version } => {
@@ -62,14 +62,14 @@
                 position,
                 model = model.as_str(),
                 version,
-                "control: new weights are named"
+                "control: a model has a new version of its weights"
             );
         }
         Command::SetWorkKey { .. } => {
             tracing::info!(
                 event = "work_key_set",
                 position,
-                "control: the key that identifies work is in force"
+                "control: the key for request fingerprints is in force"
             );
         }
         Command::Quarantine { work } => {
@@ -77,7 +77,7 @@
                 event = "work_quarantined",
                 position,
                 work = format_args!("{work:#}"),
-                "control: work is quarantined"
+                "control: a request fingerprint was quarantined"
             );
         }
         Command::Release { work } => {
@@ -85,7 +85,7 @@
                 event = "work_released",
                 position,
                 work = format_args!("{work:#}"),
-                "control: work may be tried again"
+                "control: a request fingerprint was released from quarantine"
             );
         }
         Command::Load {
@@ -102,7 +102,7 @@
                 model,
                 version,
                 ?phase,
-                "control: a load of weights moved on"
+                "control: a load of weights entered another phase"
             );
         }
     }
--- a/crates/gateway/src/control/back_ends.rs
+++ b/crates/gateway/src/control/back_ends.rs
@@ -1,4 +1,4 @@
-//! Calls from a control machine to back ends: orders and questions.
+//! Calls from a control machine to back ends: orders, and queries of their state.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,19 +18,22 @@
 use crate::unknown_headers::UnknownHeaders;
 use crate::upstream::Upstreams;
 
-/// A back end that takes an order says so at once.
+/// Timeout of a call. A back end acknowledges an order at once, before it carries it out.
 const TIMEOUT: Duration = Duration::from_millis(400);
+/// Connections to one back end.
 const CONNECTIONS: usize = 2;
 const MAX_ANSWER_BYTES: usize = 1 << 20;
-/// Between two questions to a back end that limits what it takes. One that loads weights is asked several times a
-/// second otherwise, which is more than some take of all callers. A load is noticed so much later.
+/// Interval between queries to a back end that limits its rate of requests. Without a limit, a back end that loads
+/// weights is queried several times a second, which exceeds what some accept from all callers together. The end of a
+/// load is detected later by up to this interval.
 const QUERY_INTERVAL_UNDER_LIMIT: Duration = Duration::from_secs(2);
 
-/// Connections to back ends, and until when some of them want no calls of this machine.
+/// Connections to back ends, and the back ends that must not be called for a while.
 pub(super) struct BackEnds {
     upstreams: Upstreams,
+    /// The end of the backoff that a back end requested.
     backoff_until: RefCell<HashMap<InstanceId, Timestamp>>,
-    /// Of those that limit what they take: until when they are asked nothing.
+    /// The time of the next allowed query, for back ends that limit their rate of requests.
     no_query_until: RefCell<HashMap<InstanceId, Timestamp>>,
     unknown_headers: UnknownHeaders,
 }
@@ -38,7 +41,7 @@
 pub(super) struct CallAnswer {
     pub status: StatusCode,
     pub body: Bytes,
-    /// What the back end takes from all callers.
+    /// The rate of requests that the back end accepts from all callers together, if it is limited.
     pub limit: Option<RequestRate>,
 }
 
@@ -52,8 +55,8 @@
         }
     }
 
-    /// Calls a back end, or a store, which expects no instance. One that asked this machine for no calls gets none:
-    /// as if it had not answered.
+    /// Calls a back end, or a store; `expect` adds the expected instance, which stores do not use. `None` when there is no
+    /// answer, or when the back end has requested a backoff, in which case nothing is sent.
     pub async fn call(
         &self,
         control: &Control,
@@ -92,7 +95,7 @@
         })
     }
 
-    /// False while a back end that limits what it takes was asked a moment ago.
+    /// False for a back end that limits its rate of requests and was queried less than the interval ago.
     fn may_query(&self, now: Timestamp, instance: &InstanceId) -> bool {
         let until = self.no_query_until.borrow().get(instance).copied();
         until.is_none_or(|until| until <= now)
@@ -106,7 +109,7 @@
         no_query_until.insert(instance.clone(), until);
         control.metrics.count_notice("limit");
         tracing::info!(event = "back_end_limit", %instance, requests_per_second = %limit,
-            "control: a back end limits what it takes from all callers");
+            "control: a back end set a limit on the rate of requests from all callers");
     }
 
     fn backs_off(&self, now: Timestamp, instance: &InstanceId) -> bool {
@@ -121,7 +124,7 @@
         backoff_until.insert(instance.clone(), now.plus(retry_after));
         control.metrics.count_notice("backoff");
         tracing::info!(event = "back_end_backoff", %instance,
-            retry_after_ms = retry_after.as_millis() as u64, "control: a back end asks for no calls");
+            retry_after_ms = retry_after.as_millis() as u64, "control: a back end requested a backoff; making no calls to it until it is over");
     }
 }
 
@@ -148,7 +151,7 @@
     Some(request)
 }
 
-/// Gives an order; its outcome goes back to the core.
+/// Sends an order to a back end and reports the outcome to the core.
 pub(super) fn send_order(control: &Rc<Control>, order: Order) {
     let control = Rc::clone(control);
     tokio::task::spawn_local(async move {
@@ -162,7 +165,7 @@
         tracing::info!(event = "order", instance = %order.instance, model = %order.model,
             version = order.version, fencing_token = order.fencing_token,
             expected_orders = order.expected_orders, outcome = ?outcome,
-            "control: an order was given");
+            "control: sent an order to a back end");
         control.metrics.count_decision("order");
         control.with_core(|core, now| {
             core.on_order_outcome(now, &order.instance, order.id, outcome);
@@ -181,7 +184,7 @@
     }
 }
 
-/// Asks a back end what it holds; the answer goes back to the core.
+/// Queries a back end for its state and passes the report to the core; `None` when there is no valid report.
 pub(super) fn query_report(control: &Rc<Control>, instance: InstanceId, address: String) {
     let control = Rc::clone(control);
     tokio::task::spawn_local(async move {
--- a/crates/gateway/src/control/configuration.rs
+++ b/crates/gateway/src/control/configuration.rs
@@ -1,8 +1,8 @@
-//! What a control machine itself needs of the configuration, so that it is read once a version.
+//! The parts of the configuration that a control machine itself needs, parsed once per version.
 
 use super::Control;
 
-/// Stores, and the limits of tenants, which go to the core.
+/// The store addresses of the configuration in force. The limits of tenants are passed to the core.
 #[derive(Debug, Default)]
 pub(super) struct CachedConfiguration {
     version: u64,
@@ -10,7 +10,7 @@
 }
 
 impl Control {
-    /// Reads the configuration that is applied, if it is another one than before.
+    /// Parses the configuration in force, if its version has changed.
     pub(super) fn refresh_configuration(&self) {
         let mut core = self.core.borrow_mut();
         let Some(core) = core.as_mut() else {
@@ -26,9 +26,9 @@
         let document = match self.dialect.document(body) {
             Ok(document) => document,
             Err(error) => {
-                // It was checked before it was accepted: only other code can have accepted it.
+                // Configurations are validated before they are accepted, so another build must have accepted this one.
                 tracing::error!(event = "configuration_unreadable", version, %error,
-                    "control: the configuration in force cannot be read");
+                    "control: this build cannot parse the configuration in force");
                 return;
             }
         };
@@ -41,7 +41,7 @@
         core.set_limits(self.clock.now(), &limits);
     }
 
-    /// The stores that the configuration names.
+    /// The addresses of the stores that the configuration lists.
     pub(super) fn store_addresses(&self) -> Vec<String> {
         self.configuration.borrow().store_addresses.clone()
     }
--- a/crates/gateway/src/control/connections.rs
+++ b/crates/gateway/src/control/connections.rs
@@ -1,30 +1,29 @@
-//! How many connections a control machine keeps open.
+//! Limits of the connections that a control machine keeps open.
 //!
-//! Back ends keep a connection for their heartbeats. With a fixed bound of 1,000, three thousand
-//! back ends before five machines filled the busiest ones; what came then, an operator's call or
-//! another heartbeat, waited in the listener's queue until its caller gave up.
+//! Each back end keeps a connection open for its heartbeats. With a fixed limit of 1,000, 3,000 back ends of five control
+//! machines use up the connections of the busiest ones. Further calls of operators and heartbeats then wait in the
+//! listener's backlog until their callers time out.
 
-/// Of the descriptors that the machine allows, those for files, for links to other processes and for
-/// calls to back ends. A link for each of 360 routers, as many calls, and the 200 that the users'
-/// platform sets aside.
+/// File descriptors reserved for files, for links to other processes and for calls to back ends: a link for each of 360
+/// routers, as many calls, and the 200 that the users' platform sets aside.
 const RESERVED_DESCRIPTORS: usize = 920;
-/// Part of the others for back ends and operators; the rest is for callers of the directory, who
-/// come and go.
+/// Share of the other descriptors that is for back ends and operators. The rest is for callers of the directory, whose
+/// connections are short.
 const CONTROL_SHARE: f64 = 0.75;
-/// Connections of each kind on a machine with few descriptors.
+/// Minimum of connections of each kind, for machines with few descriptors.
 const MIN_CONNECTIONS: usize = 256;
 
-/// Connections at once.
+/// Connections that may be open at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionLimits {
-    /// For back ends and operators.
+    /// Connections of back ends and operators.
     pub control: usize,
-    /// For callers of the directory.
+    /// Connections of callers of the directory.
     pub directory: usize,
 }
 
 impl ConnectionLimits {
-    /// For a process that may have so many descriptors open.
+    /// The limits for a process that may open `max_descriptors` file descriptors.
     pub fn new(max_descriptors: usize) -> Self {
         let free = max_descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let control = (free as f64 * CONTROL_SHARE) as usize;
--- a/crates/gateway/src/control/connections_tests.rs
+++ b/crates/gateway/src/control/connections_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the bounds on connections.
+//! Tests of the limits of connections.
 
 use rstest::rstest;
 
@@ -7,8 +7,8 @@
 #[rstest]
 #[case::the_users_machines(4_096, 2_382, 794)]
 #[case::the_usual_limit(1_024, 256, 256)]
-#[case::hardly_any(64, 256, 256)]
-fn connections_follow_the_descriptors(
+#[case::very_low_limit(64, 256, 256)]
+fn connection_limits_depend_on_the_descriptors(
     #[case] descriptors: usize,
     #[case] control: usize,
     #[case] directory: usize,
--- a/crates/gateway/src/control/folder.rs
+++ b/crates/gateway/src/control/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: which replica it belongs to, and the state in it.
+//! The data folder: stores the identifier of the replica that it belongs to, and the replica's state.
 
 use drumshore_consensus::{
     Directory, FileDirectory, Membership, ReplicaError, ReplicaId, WalError,
@@ -8,10 +8,10 @@
 use super::{Control, Core};
 use crate::settings::ControlSettings;
 
-/// Holds the replica's number, 8 bytes, little-endian.
+/// Stores the replica's identifier: 8 bytes, little-endian.
 const REPLICA_FILE: &str = "replica";
 
-/// Opens the folder, making it when it is empty.
+/// Opens the replica in the data folder; initializes an empty folder.
 pub(super) fn open(settings: &ControlSettings) -> Result<Core, ReplicaError> {
     let mut directory = FileDirectory::open(&settings.data_dir).map_err(WalError::Io)?;
     let seeds = (settings.seeds)();
@@ -33,7 +33,8 @@
     )
 }
 
-/// A number is drawn once for each disk; one that was lost takes its number with it.
+/// The replica's identifier, generated once per disk. The identifier of a lost disk is not used again, except that a
+/// founding member of the cluster derives its identifier from its address.
 fn replica_of(
     directory: &mut FileDirectory,
     settings: &ControlSettings,
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control daemon: a replica of the state, its links, and its HTTP interface.
+//! The control daemon: a replica of the state, its links to other processes, and its HTTP interface.
 
 mod api;
 mod applied;
@@ -46,18 +46,19 @@
 use connections::ConnectionLimits;
 use peers::Peers;
 
+/// How long a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 const MAX_METRICS_CONNECTIONS: usize = 32;
-/// Between two tries to open a folder whose disk failed.
+/// Delay before each attempt to open the data folder again after its disk failed.
 const REOPEN_DELAY: Duration = Duration::from_millis(500);
-/// Between handing leadership over and the end of the process.
+/// Time between the start of the leadership transfer and the end of the process.
 const LEADERSHIP_TRANSFER: Duration = Duration::from_millis(400);
 
 type Core = ControlCore<FileDirectory>;
 
-/// What the tasks of a control machine share.
+/// State that the tasks of a control machine share.
 pub(crate) struct Control {
-    /// `None` while the disk fails.
+    /// The replica; `None` while its disk fails.
     core: RefCell<Option<Core>>,
     dialect: Rc<dyn Dialect>,
     settings: ControlSettings,
@@ -66,15 +67,19 @@
     traffic: Rc<LinkTraffic>,
     peers: Peers,
     back_ends: BackEnds,
+    /// The links to connected routers.
     routers: RefCell<HashMap<ConnectionId, Sender>>,
+    /// Calls that wait for a reply of the core.
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<Reply>>>,
     next_ticket: Cell<u64>,
+    /// Notified when the core has something to store or send.
     flush: Notify,
+    /// The role that was logged last.
     role: Cell<Option<Role>>,
     configuration: RefCell<CachedConfiguration>,
 }
 
-/// Runs a control machine until it is told to stop.
+/// Runs a control machine until the process receives a stop signal.
 pub fn run(settings: ControlSettings, dialect: Rc<dyn Dialect>) -> Result<(), DaemonError> {
     run_on_event_loop(run_on_loop(settings, dialect))
 }
@@ -119,15 +124,21 @@
     tokio::task::spawn_local(store::follow_all(Rc::clone(&control)));
     tracing::info!(event = "started", role = "control", node = %control.settings.node,
         listen = %control.settings.listen, bootstrap = control.settings.bootstrap,
-        "control: started");
+        "control: accepting calls");
     while signals.next().await == SignalRequest::Reload {
-        tracing::info!(event = "reloaded", "control: settings read again");
+        tracing::info!(
+            event = "reloaded",
+            "control: received a reload signal; seeds read again"
+        );
         control.reload_seeds();
     }
-    tracing::info!(event = "stopping", "control: stopping");
+    tracing::info!(
+        event = "stopping",
+        "control: received a stop signal; transferring leadership"
+    );
     control.with_core(|core, _| core.step_down());
     tokio::time::sleep(LEADERSHIP_TRANSFER).await;
-    tracing::info!(event = "stopped", "control: stopped");
+    tracing::info!(event = "stopped", "control: stopped serving");
     Ok(())
 }
 
@@ -169,7 +180,7 @@
     Ok(())
 }
 
-/// What people on call ask of a control machine: its quarantine, or else its figures.
+/// Serves operators at the metrics address: calls about the quarantine, and metrics for any other request.
 async fn serve_operators(
     control: &Rc<Control>,
     request: &Request<Incoming>,
@@ -202,8 +213,8 @@
 }
 
 impl Control {
-    /// Lets the core take something in; what follows is sent when the loop gets to it, so that
-    /// all that gathers until then shares one sync of the disk. `None` while the disk fails.
+    /// Runs an operation on the core and schedules a flush of its effects. All operations until the event loop runs the
+    /// flush share one sync of the disk. `None` while the disk fails.
     fn with_core<R>(&self, operation: impl FnOnce(&mut Core, Timestamp) -> R) -> Option<R> {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
@@ -212,7 +223,7 @@
         Some(result)
     }
 
-    /// Asks the core something and waits for its reply.
+    /// Submits a request to the core and waits for its reply; `Unavailable` while the disk fails.
     async fn ask(&self, question: impl FnOnce(&mut Core, Timestamp, Ticket)) -> Reply {
         let ticket = Ticket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
@@ -264,14 +275,14 @@
                     event = "work_suspected",
                     work = format_args!("{work:#}"),
                     ends,
-                    "control: another back end ended under work"
+                    "control: another back end crashed while serving requests with this fingerprint"
                 );
             }
             Effect::NewsRefused => {
                 self.metrics.count_decision("news_refused");
                 tracing::warn!(
                     event = "news_refused",
-                    "control: another machine sent what is not passed on to routers"
+                    "control: refused a message from another control machine that must not be forwarded to routers"
                 );
             }
             Effect::Order(order) => back_ends::send_order(self, order),
@@ -279,7 +290,7 @@
         }
     }
 
-    /// Sends a message to those of the routers whose messages are laid out so.
+    /// Sends a message to those of the given routers that use this layout.
     fn send_to_all(&self, connections: &[ConnectionId], message: &Message, wire: RouterWire) {
         let routers = self.routers.borrow();
         let senders = connections.iter().filter_map(|link| routers.get(link));
@@ -295,9 +306,9 @@
         }
     }
 
-    /// Nothing may be promised any more until the folder was read again.
+    /// Drops the replica: it must confirm nothing until the data folder has been read again. Pending calls fail.
     fn on_disk_failure(&self, error: &ReplicaError) {
-        tracing::error!(event = "disk_lost", %error, "control: the disk fails");
+        tracing::error!(event = "disk_lost", %error, "control: the disk failed; the replica stops until the data folder can be read again");
         *self.core.borrow_mut() = None;
         self.waiting.borrow_mut().clear();
     }
@@ -306,7 +317,10 @@
         tokio::time::sleep(REOPEN_DELAY).await;
         match folder::open(&self.settings) {
             Ok(core) => {
-                tracing::info!(event = "disk_regained", "control: the disk works again");
+                tracing::info!(
+                    event = "disk_regained",
+                    "control: the disk works again; the replica was opened"
+                );
                 *self.core.borrow_mut() = Some(core);
                 *self.configuration.borrow_mut() = CachedConfiguration::default();
             }
@@ -332,7 +346,7 @@
         if self.role.replace(role) != role {
             tracing::info!(event = "role_changed", role = ?core.role(), term = core.term(),
                 revision = core.state().revision(), members = core.controls().len(),
-                "control: the role changed");
+                "control: the replica's role changed");
         }
     }
 
--- a/crates/gateway/src/control/peers.rs
+++ b/crates/gateway/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Links between control machines, and from routers.
+//! Links to other control machines, and links accepted from them and from routers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -15,18 +15,19 @@
 use crate::link::{self, Receiver, Redial, Sender};
 use crate::traffic::LinkTraffic;
 
-/// Messages that wait for a link to come up; beyond it they are lost, as on a network.
+/// Messages queued while a link connects; further ones are dropped, as a network may do.
 const QUEUED_MESSAGES: usize = 128;
+/// Delay after an error of the listener.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Between two questions on a link whether it still carries bytes. A link may go silent for good while new
-/// ones work, and something on the way may acknowledge what it drops, so that the kernel sees nothing.
+/// Interval of keep-alive messages on a link. A link may stop carrying data for good while new ones work, and a device
+/// on the path may acknowledge data that it drops, so that the kernel does not detect the failure.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// A link on which nothing came back for so long is dialled anew: three questions.
+/// A link is reconnected when nothing was received on it for this long, in which three keep-alive messages were sent.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_200);
-/// An accepted link on which nothing came for so long is closed: its peer has dialled anew.
+/// An accepted link is closed when nothing was received on it for this long: its peer has reconnected by then.
 const ACCEPTED_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Outgoing links to other control machines, dialled on first use and again when they break.
+/// Outgoing links to other control machines, connected on first use and again when they break.
 pub(super) struct Peers {
     port: u16,
     traffic: Rc<LinkTraffic>,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Sends a message, or loses it.
+    /// Queues a message for a control machine; drops it when the queue is full.
     pub fn send(&self, address: Ipv4Addr, message: &Message) {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(address).or_insert_with(|| {
@@ -56,28 +57,29 @@
     }
 }
 
+/// Keeps a link connected and sends what is queued, until the queue is closed.
 async fn maintain_link(target: SocketAddr, mut redial: Redial, mut queue: mpsc::Receiver<Message>) {
     let mut loss_logged = false;
     loop {
         let Ok((sender, receiver)) = redial.dial(target).await else {
             if !std::mem::replace(&mut loss_logged, true) {
                 tracing::info!(event = "peer_lost", peer = %target,
-                    "control: a control machine is lost");
+                    "control: cannot connect to another control machine");
             }
             tokio::time::sleep(redial.retry_delay()).await;
-            // What has waited is outdated; the log sends it again.
+            // Queued messages are outdated by now; the replicated log sends their content again.
             while queue.try_recv().is_ok() {}
             continue;
         };
         tracing::info!(event = "peer_linked", peer = %target,
-            "control: linked to a control machine");
+            "control: connected to another control machine");
         let reason = match run_link(&sender, receiver, &mut queue).await {
             LinkEnd::Unneeded => return,
             LinkEnd::Closed => "closed",
             LinkEnd::Unresponsive => "silent",
         };
         tracing::info!(event = "peer_lost", peer = %target, reason,
-            "control: a control machine is lost");
+            "control: lost the connection to another control machine");
         loss_logged = true;
         tokio::time::sleep(redial.retry_delay()).await;
     }
@@ -86,15 +88,15 @@
 /// Why a link to another control machine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkEnd {
-    /// It was closed.
+    /// The connection was closed.
     Closed,
-    /// Nothing came back.
+    /// Nothing was received for [`RESPONSE_TIMEOUT`].
     Unresponsive,
-    /// This process has no use for it any more.
+    /// The queue was closed: this process needs the link no more.
     Unneeded,
 }
 
-/// Sends what is queued until the link ends.
+/// Sends queued messages until the link ends.
 async fn run_link(
     sender: &Sender,
     receiver: Receiver,
@@ -123,14 +125,14 @@
     }
 }
 
-/// Notes what comes back, until the link is closed.
+/// Records when messages are received, until the link is closed.
 async fn listen(mut receiver: Receiver, last_received: Rc<Cell<Instant>>) {
     while receiver.receive().await.is_ok() {
         last_received.set(Instant::now());
     }
 }
 
-/// Accepts links of control machines and routers.
+/// Accepts links from control machines and routers.
 pub(super) async fn accept(control: Rc<Control>, listener: TcpListener) {
     let mut next = 0;
     loop {
@@ -142,7 +144,7 @@
             }
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error,
-                    "control: a connection was not accepted");
+                    "control: failed to accept a link");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -158,13 +160,13 @@
     };
     if let Message::Router(status) = &first {
         let address = status.address.as_str().to_owned();
-        tracing::info!(event = "router_linked", %address, ?wire, "control: a router linked");
+        tracing::info!(event = "router_linked", %address, ?wire, "control: a router connected");
         let sender = sender.with_wire(wire);
         control.routers.borrow_mut().insert(connection, sender);
         serve_router(&control, connection, wire, first, receiver).await;
         control.routers.borrow_mut().remove(&connection);
         control.with_core(|core, _| core.on_router_gone(connection));
-        tracing::info!(event = "router_lost", %address, "control: a router is lost");
+        tracing::info!(event = "router_lost", %address, "control: lost the connection to a router");
     } else {
         serve_control(&control, sender, first, receiver).await;
     }
@@ -180,7 +182,7 @@
     control.with_core(|core, now| {
         core.on_router(now, connection, first);
         if wire == RouterWire::BeforeViews {
-            // It cannot say whom it follows, so each control machine tells it all.
+            // The earlier layout has no message for what a router follows, so each control machine sends it everything.
             let all = Message::Follow(Following::ChangesAndNews);
             core.on_router(now, connection, all);
         }
--- a/crates/gateway/src/control/peers_tests.rs
+++ b/crates/gateway/src/control/peers_tests.rs
@@ -1,11 +1,11 @@
-//! Links between control machines that go silent.
+//! Tests that a link between control machines is replaced when it stops carrying data without being closed.
 
 use tokio::io::AsyncReadExt;
 use tokio::task::LocalSet;
 
 use super::*;
 
-/// The other end of links: it takes bytes, and says something back or nothing.
+/// The peer of the links: reads all bytes, and responds to messages if `responds` is set.
 async fn accept_links(listener: TcpListener, responds: bool, accepted: Rc<Cell<usize>>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         accepted.set(accepted.get() + 1);
--- a/crates/gateway/src/control/quarantine.rs
+++ b/crates/gateway/src/control/quarantine.rs
@@ -1,7 +1,7 @@
-//! How people on call see the quarantine and lift a verdict, at the metrics address.
+//! Lets operators list and release quarantined request fingerprints, at the metrics address.
 //!
-//! `GET /quarantine` lists all work that no back end is given, an identifier a line. `DELETE /quarantine/ID`
-//! releases the work whose identifier begins with the digits that logs show.
+//! `GET /quarantine` lists the fingerprints whose requests are sent to no back end, one per line.
+//! `DELETE /quarantine/ID` releases the fingerprint that begins with `ID`, the digits that logs show.
 
 use std::fmt::Write;
 
@@ -17,13 +17,13 @@
 /// A call about the quarantine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum QuarantineCall {
-    /// Which work is quarantined.
+    /// Lists the quarantined fingerprints.
     List,
-    /// Work is to be released; `None` when the name cannot be one.
+    /// Releases the fingerprint with this prefix; `None` when the prefix is invalid.
     Release(Option<WorkIdPrefix>),
 }
 
-/// The call that a request is; `None` when it is about something else.
+/// Maps a request to a call; `None` when it is not about the quarantine.
 pub(super) fn call_of(method: &Method, path: &str) -> Option<QuarantineCall> {
     let named = path.strip_prefix(PATH)?;
     match (method, named.strip_prefix('/')) {
@@ -74,7 +74,7 @@
     };
     let reply = api::submit(control, Command::Release { work: fingerprint }).await;
     tracing::info!(event = "release_asked", work = %fingerprint, outcome = api::reply_name(&reply),
-        "control: an operator releases work");
+        "control: an operator released a quarantined request fingerprint");
     api::acknowledge(control, reply)
 }
 
--- a/crates/gateway/src/control/quarantine_tests.rs
+++ b/crates/gateway/src/control/quarantine_tests.rs
@@ -1,4 +1,4 @@
-//! Which requests at the metrics address are about the quarantine.
+//! Tests of which requests at the metrics address are calls about the quarantine.
 
 use rstest::rstest;
 
@@ -6,25 +6,25 @@
 
 #[rstest]
 #[case::list(Method::GET, "/quarantine", Some(QuarantineCall::List))]
-#[case::figures(Method::GET, "/metrics", None)]
+#[case::metrics(Method::GET, "/metrics", None)]
 #[case::another_path(Method::GET, "/quarantines", None)]
-#[case::nothing_is_added(Method::PUT, "/quarantine/0123456789ab", None)]
+#[case::unsupported_method(Method::PUT, "/quarantine/0123456789ab", None)]
 #[case::too_short(
     Method::DELETE,
     "/quarantine/0123",
     Some(QuarantineCall::Release(None))
 )]
-#[case::no_hex(
+#[case::not_hexadecimal(
     Method::DELETE,
     "/quarantine/not-an-identifier",
     Some(QuarantineCall::Release(None))
 )]
-#[case::as_logs_show_it(
+#[case::prefix_as_logged(
     Method::DELETE,
     "/quarantine/0123456789ab",
     Some(QuarantineCall::Release(WorkIdPrefix::parse("0123456789ab")))
 )]
-fn a_call_is_read(
+fn a_request_maps_to_a_call(
     #[case] method: Method,
     #[case] path: &str,
     #[case] expected: Option<QuarantineCall>,
--- a/crates/gateway/src/control/store.rs
+++ b/crates/gateway/src/control/store.rs
@@ -1,5 +1,5 @@
-//! Follows the stores of cached prompts while this machine leads: their events as they come, and
-//! now and then their lists, for some events never come.
+//! Tracks the contents of the stores of cached prompts while this machine is the leader: polls their events, and reads
+//! their lists periodically, because some events are never sent.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,24 +15,29 @@
 use super::Control;
 use crate::dialect::{OutboundCall, StoreEvents};
 
-/// How long a question may wait for events.
+/// How long a store may hold a query until there are events.
 const POLL_WAIT: Duration = Duration::from_millis(700);
+/// Timeout of a query.
 const TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Between two questions, so that events come in batches.
+/// Delay between queries, so that events arrive in batches.
 const POLL_INTERVAL: Duration = Duration::from_millis(60);
-/// Between two looks at which stores there are, and after one that did not answer.
+/// Interval between checks of which stores exist, and delay after a query that failed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which a store's list is read again.
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Where in a store's events this machine is.
+/// The position of this machine in a store's events.
 #[derive(Clone, Copy, Debug)]
 struct Position {
+    /// Changes when the store restarts empty.
     epoch: u64,
+    /// From where the next query continues.
     next: u64,
+    /// When the list was read last.
     listed_at: Timestamp,
 }
 
-/// While this machine leads, keeps one follower for each store that the configuration names.
+/// Runs a follower task for each store that the configuration lists, while this machine is the leader.
 pub(super) async fn follow_all(control: Rc<Control>) {
     let mut followers: BTreeMap<String, JoinHandle<()>> = BTreeMap::new();
     loop {
@@ -59,6 +64,7 @@
     }
 }
 
+/// Follows one store, and reports it as lost while it does not respond.
 async fn follow(control: Rc<Control>, address: String) {
     let mut position: Option<Position> = None;
     loop {
@@ -67,9 +73,9 @@
             None => resync(&control, &address).await,
         };
         if new_position.is_none() && position.is_some() {
-            tracing::info!(event = "store_lost", %address, "control: a store does not answer");
+            tracing::info!(event = "store_lost", %address, "control: a store stopped responding");
         } else if new_position.is_some() && position.is_none() {
-            tracing::info!(event = "store_found", %address, "control: a store answers");
+            tracing::info!(event = "store_found", %address, "control: a store responds; following its events");
         }
         if new_position.is_none() {
             report(&control, &address, StoreNews::Lost);
@@ -80,7 +86,7 @@
     }
 }
 
-/// Events first, then the list: what changes between the two is told again by the next events.
+/// Reads the position of the events before the list: changes between the two queries are repeated by the next events.
 async fn resync(control: &Control, address: &str) -> Option<Position> {
     let events = query_events(control, address, 0, Duration::ZERO).await?;
     let list = query_list(control, address).await?;
@@ -92,6 +98,7 @@
     })
 }
 
+/// Queries the next events and reports the changes; reads the list again when it is due or events were lost.
 async fn poll(control: &Control, address: &str, mut position: Position) -> Option<Position> {
     let events = query_events(control, address, position.next, POLL_WAIT).await?;
     let now = control.clock.now();
--- a/crates/gateway/src/control/traffic_log.rs
+++ b/crates/gateway/src/control/traffic_log.rs
@@ -1,4 +1,4 @@
-//! A line that tells what a control machine sends, and how far behind it is.
+//! Periodic log lines with the traffic and the scheduling delay of a control machine.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 
 use super::Control;
 
-/// Between two lines that tell what is sent to other processes.
+/// Interval between the lines.
 const TRAFFIC_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One line a second of what is sent to other processes, and how late this one is: a control machine that has
-/// too much to do shows it here before anything else.
+/// Logs the bytes sent to other processes once per interval, and the delay of the line itself: an overloaded control
+/// machine shows in this delay first.
 pub(super) async fn log_periodically(control: Rc<Control>) {
     let mut last_logged = Instant::now();
     loop {
@@ -27,6 +27,6 @@
             most_queued_bytes = recent.most_queued_bytes, dropped = recent.dropped,
             routers = control.routers.borrow().len(), log_entries = core.log_length(),
             revision = core.state().revision(), back_ends = core.state().instances().count(),
-            "control: bytes sent to other processes");
+            "control: sent this traffic to other processes since the last line");
     }
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What callers, back ends and operators speak, as far as the gateway has to understand it.
+//! The protocol of callers, back ends and operators, as far as the gateway has to interpret it.
 
 use std::time::Duration;
 
@@ -13,35 +13,35 @@
 /// The names of the headers that the gateway reads or writes.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Tells requests apart; back ends return it.
+    /// Identifies a request; back ends return it with the answer.
     pub request_id: HeaderName,
-    /// Milliseconds that the caller will wait.
+    /// Milliseconds that the caller waits for the answer.
     pub deadline_ms: HeaderName,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: HeaderName,
-    /// The tenant that holds the key, for the back end.
+    /// The tenant that owns the key, sent to the back end.
     pub tenant: HeaderName,
-    /// The incarnation that a request is meant for.
+    /// The incarnation of a back end that a request is intended for.
     pub expect_instance: HeaderName,
-    /// The weights that a request is meant for.
+    /// The version of the weights that a request is intended for.
     pub expect_version: HeaderName,
-    /// The incarnation that answered.
+    /// The incarnation of the back end that answered.
     pub instance: HeaderName,
     /// On an answer: the back end did not run the request and will not.
     pub not_run: HeaderName,
-    /// 0 is most urgent.
+    /// Priority of a request; 0 is most urgent.
     pub priority: HeaderName,
-    /// Cached prompts are shared under the same value only.
+    /// Requests share cached prompts only if this value is the same.
     pub cache_salt: HeaderName,
-    /// Whence the back end takes what it lacks of a prompt.
+    /// The address from which the back end fetches the cached parts of the prompt that it lacks.
     pub cache_fetch: HeaderName,
-    /// Whither it copies what it computed of a prompt.
+    /// The address to which the back end saves the parts of the prompt that it computed.
     pub cache_save: HeaderName,
-    /// The back end to which a run's memory is copied as it grows.
+    /// The back end to which the memory of a run is copied continuously.
     pub run_copy: HeaderName,
-    /// The copied run that a request goes on with.
+    /// The copied run that a request resumes.
     pub copied_run: HeaderName,
-    /// The last event that a caller has of a stream.
+    /// The identifier of the last event of a stream that the caller received.
     pub last_event_id: HeaderName,
     /// Other headers that only the gateway may set.
     pub reserved: Vec<HeaderName>,
@@ -50,24 +50,24 @@
 /// A call to a control machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlCall {
-    /// An operator sends a configuration.
+    /// An operator replaces the configuration.
     PutConfiguration,
-    /// An operator reads it.
+    /// An operator reads the configuration.
     GetConfiguration,
-    /// An operator names new weights.
+    /// An operator sets the version of a model's weights that back ends are to load.
     NameWeights,
-    /// A back end says that it is there.
+    /// A back end reports that it is running.
     Heartbeat(InstanceId),
-    /// A back end says that it has gone.
+    /// A back end reports that it has stopped.
     Deregister(InstanceId),
-    /// A caller asks for routers.
+    /// A caller requests the addresses of routers.
     Directory {
         /// The caller's zone.
         zone: String,
     },
 }
 
-/// A call whose body cannot be understood.
+/// A call with an invalid body; the text gives the reason.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unreadable call: {0}")]
 pub struct InvalidCall(pub String);
@@ -75,96 +75,96 @@
 /// A call to a back end.
 #[derive(Clone, Debug)]
 pub struct OutboundCall {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path.
+    /// The path, with the query if there is one.
     pub path: String,
     /// The body; empty for none.
     pub body: Bytes,
-    /// The type of the body.
+    /// The content type of the body; not sent without one.
     pub content_type: &'static str,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(HeaderName, HeaderValue)>,
 }
 
-/// What a store of cached prompts tells of itself.
+/// Changes to the contents of a store of cached prompts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreEvents {
-    /// Changes when the store starts again with nothing.
+    /// Changes when the store restarts empty.
     pub epoch: u64,
-    /// Where the next question goes on.
+    /// The position from which the next query continues.
     pub next: u64,
-    /// True when some events before these are no longer there.
+    /// True when earlier events were dropped, so that the list must be read again.
     pub lost: bool,
-    /// Parts that came, and parts that went, in order.
+    /// Prompt parts that were added or removed, in order.
     pub events: Vec<StoreEvent>,
 }
 
-/// One part that came or went.
+/// A prompt part that was added to a store or removed from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreEvent {
-    /// True when it came.
+    /// True when it was added, false when it was removed.
     pub is_added: bool,
-    /// The part.
+    /// The key of the part.
     pub key: StoredKey,
 }
 
-/// Translates between the gateway and what others speak. It holds no state.
+/// Translates between the gateway's types and the protocol of callers, back ends and operators. Holds no state.
 pub trait Dialect: 'static {
-    /// The headers.
+    /// The names of the headers that this protocol uses.
     fn headers(&self) -> &HeaderNames;
 
-    /// The type of the bodies that the gateway writes.
+    /// The content type of the bodies that the gateway writes.
     fn content_type(&self) -> &'static str;
 
-    /// What a request says of its prompt.
+    /// Reads the description of a request's prompt; `None` when there is none.
     fn prompt(&self, headers: &HeaderMap) -> Option<Prompt>;
 
-    /// Tokens of its prompt and the most that are generated, when a request declares them.
+    /// Tokens of the prompt plus the maximum that may be generated, when the request declares them.
     fn declared_tokens(&self, headers: &HeaderMap) -> Option<u32>;
 
-    /// What a back end says of itself in the head of an answer.
+    /// Reads the status notice of a back end from the head of its answer.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> BackEndNotice;
 
-    /// Whether a header of an answer is read, or is known to need no reading.
+    /// Whether a header of an answer is interpreted, or is known to be irrelevant.
     fn is_known_header(&self, header: &HeaderName) -> bool;
 
-    /// Names a run of which the back end at `address` has a copy.
+    /// The value of [`HeaderNames::copied_run`] for a copy of the run of `request_id` at the back end at `address`.
     fn copied_run(&self, address: &str, request_id: &str) -> String;
 
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     fn document(&self, body: &[u8]) -> Result<Document, InvalidDocument>;
 
-    /// The call that a request to a control machine is; `None` when there is no such call.
+    /// Maps a request to a control machine to a call; `None` when there is no such call.
     fn call(&self, method: &Method, uri: &Uri) -> Option<ControlCall>;
 
-    /// Reads a back end's word.
+    /// Parses a back end's heartbeat.
     fn heartbeat(&self, instance: &InstanceId, body: &[u8]) -> Result<Heartbeat, InvalidCall>;
 
-    /// Reads which weights are named.
+    /// Parses the model and the version of its weights that an operator sets.
     fn weights(&self, body: &[u8]) -> Result<(ModelName, u64), InvalidCall>;
 
-    /// The answer to a caller who asks for routers.
+    /// The body of the answer to a caller that requests the addresses of routers.
     fn directory(&self, addresses: &[String], ttl: Duration) -> Bytes;
 
-    /// An order to a back end.
+    /// The call that gives an order to a back end.
     fn order(&self, order: &Order) -> OutboundCall;
 
-    /// A question to a back end.
+    /// The call that requests a report of a back end's state.
     fn report_call(&self) -> OutboundCall;
 
-    /// Reads a back end's answer to the question.
+    /// Parses a back end's report.
     fn report(&self, body: &[u8]) -> Result<Report, InvalidCall>;
 
-    /// Asks a store what changed; it may wait so long until something does.
+    /// The call that queries a store for changes since a position; the store may wait up to `wait` for the next change.
     fn store_events_call(&self, since: u64, wait: Duration) -> OutboundCall;
 
-    /// Reads a store's answer.
+    /// Parses the changes that a store returned.
     fn store_events(&self, body: &[u8]) -> Result<StoreEvents, InvalidCall>;
 
-    /// Asks a store for all that it holds.
+    /// The call that lists everything a store holds.
     fn store_list_call(&self) -> OutboundCall;
 
-    /// Reads a store's list.
+    /// Parses a store's list.
     fn store_list(&self, body: &[u8]) -> Result<Vec<StoredKey>, InvalidCall>;
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway's daemons: routers that forward callers' requests, and control machines that
-//! operators and back ends call. Decisions are made in `drumshore-gateway-core`; this crate has
-//! the sockets, the clock and the signals, on one event loop per process.
+//! The gateway's daemons: routers that forward callers' requests, and control machines that replicate the configuration
+//! and serve operators and back ends. Decisions are made in `drumshore-gateway-core`; this crate provides sockets,
+//! clock and signals, on one event loop per process.
 //!
-//! What callers, back ends and operators speak is a [`Dialect`]; the daemons know no name of it.
+//! The protocol of callers, back ends and operators is defined by a [`Dialect`]; the daemons contain none of its names.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
@@ -29,28 +29,28 @@
 pub use router::run as run_router;
 pub use settings::{ControlSettings, RouterSettings, SeedSource};
 
-/// Why a daemon ends.
+/// An error that ends a daemon.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
-    /// A socket could not be opened.
-    #[error("{what} at {address}: {source}")]
+    /// A listening socket could not be opened.
+    #[error("cannot listen for {purpose} at {address}: {source}")]
     Listen {
-        /// What was to be served.
-        what: &'static str,
-        /// Where.
+        /// What the socket was to serve.
+        purpose: &'static str,
+        /// The address to listen at.
         address: std::net::SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The event loop could not be started.
-    #[error("event loop: {0}")]
+    /// The event loop or its signal handlers could not be set up.
+    #[error("cannot set up the event loop: {0}")]
     EventLoop(#[from] std::io::Error),
     /// The data folder cannot be used.
-    #[error("data folder: {0}")]
+    #[error("cannot use the data folder: {0}")]
     Folder(#[from] drumshore_consensus::ReplicaError),
 }
 
-/// Runs a daemon on one thread, until it ends.
+/// Runs a daemon on the current thread until it ends.
 fn run_on_event_loop(
     daemon: impl std::future::Future<Output = Result<(), DaemonError>>,
 ) -> Result<(), DaemonError> {
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,4 +1,4 @@
-//! Messages over TCP: one frame each.
+//! Links between processes: TCP connections that carry one message per frame.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,22 +16,23 @@
 use crate::sockets;
 use crate::traffic::{kind_of, LinkTraffic};
 
-/// Frames that wait for a slow peer; beyond it messages are lost, and asked for again.
+/// Frames queued for a slow peer; further messages are dropped, and requested again later.
 const QUEUED_FRAMES: usize = 256;
-/// The first try to reach a peer, and the pause after it. A peer whose machine has no power is not
-/// heard to refuse, and it may be back at any moment.
+/// Timeout of the first attempts to connect. A machine without power refuses no connection, so an attempt must time out;
+/// the machine may be back at any moment.
 const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
+/// Delay after each of the first attempts.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(30);
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Tries of the first kind, before patience and pause grow.
+/// Attempts before the timeout and the delay start to grow.
 const QUICK_ATTEMPTS: u32 = 12;
 
-/// Frames that wait together are written together up to so many bytes, which spares calls to the kernel; a larger
-/// one is written as it is, for a copy of it would cost as much memory again.
+/// Queued frames are written in batches of up to this many bytes to save system calls. A larger frame is written without
+/// copying it, which would double its memory.
 const MAX_BATCH_BYTES: usize = 16 << 10;
 
-/// How long tries to reach a peer last, and the pauses between them; both grow.
+/// Connects to a peer repeatedly; the timeout of the attempts and the delay between them grow.
 #[derive(Debug, Default)]
 pub(crate) struct Redial {
     failed: u32,
@@ -39,12 +40,12 @@
 }
 
 impl Redial {
-    /// Counts what is sent over the link.
+    /// Counts the traffic of the links in `traffic`.
     pub fn with_traffic(traffic: Rc<LinkTraffic>) -> Self {
         Self { failed: 0, traffic }
     }
 
-    /// Dials a peer; starts anew once it was reached.
+    /// Connects to a peer; a success resets the timeout and the delay.
     pub async fn dial(&mut self, address: SocketAddr) -> io::Result<(Sender, Receiver)> {
         let stream = sockets::connect(
             address,
@@ -55,7 +56,7 @@
         Ok(split(stream?, Rc::clone(&self.traffic)))
     }
 
-    /// Before the next try.
+    /// The delay before the next attempt.
     pub fn retry_delay(&self) -> Duration {
         self.increased(FIRST_RETRY_DELAY, MAX_RETRY_DELAY)
     }
@@ -66,16 +67,16 @@
     }
 }
 
-/// Sends messages; cheap to clone.
+/// The sending half of a link; cheap to clone.
 #[derive(Clone, Debug)]
 pub(crate) struct Sender {
     queue: mpsc::Sender<Bytes>,
     traffic: Rc<LinkTraffic>,
-    /// How messages to the peer are laid out.
+    /// The layout of messages to the peer.
     wire: RouterWire,
 }
 
-/// A message as it is written, for any number of links: they share one copy of its bytes.
+/// An encoded message, which any number of links can send without copying its bytes.
 #[derive(Clone, Debug)]
 pub(crate) struct Frame {
     kind: &'static str,
@@ -83,7 +84,7 @@
 }
 
 impl Frame {
-    /// `None` when the peer cannot read the message, and, with a line, when it is too long.
+    /// Encodes a message; `None` when the layout has no such message, or when the message is too long, which is logged.
     pub fn of(message: &Message, wire: RouterWire) -> Option<Self> {
         match encode_payload(&wire.encode(message)?) {
             Ok(frame) => Some(Self {
@@ -91,7 +92,7 @@
                 bytes: Bytes::from(frame),
             }),
             Err(error) => {
-                tracing::error!(event = "message_dropped", %error, "link: a message was too long");
+                tracing::error!(event = "message_dropped", %error, "link: dropped a message that is too long for a frame");
                 None
             }
         }
@@ -99,22 +100,22 @@
 }
 
 impl Sender {
-    /// The same link, on which messages are laid out so.
+    /// The same link with another layout of messages.
     pub fn with_wire(self, wire: RouterWire) -> Self {
         Self { wire, ..self }
     }
 
-    /// How messages to the peer are laid out.
+    /// The layout of messages to the peer.
     pub fn wire(&self) -> RouterWire {
         self.wire
     }
 
-    /// Queues a message. False when the link has ended, its peer does not keep up, or cannot read it.
+    /// Queues a message; false when the link has ended, its queue is full, or the peer's layout has no such message.
     pub fn send(&self, message: &Message) -> bool {
         Frame::of(message, self.wire).is_some_and(|frame| self.send_frame(&frame))
     }
 
-    /// The same for a message that goes to several peers.
+    /// Queues a frame that is sent to several peers; false when the link has ended or its queue is full.
     pub fn send_frame(&self, frame: &Frame) -> bool {
         let is_queued = self.queue.try_send(frame.bytes.clone()).is_ok();
         if is_queued {
@@ -131,14 +132,14 @@
     }
 }
 
-/// Receives messages.
+/// The receiving half of a link.
 pub(crate) struct Receiver {
     stream_half: OwnedReadHalf,
     wire: RouterWire,
 }
 
 impl Receiver {
-    /// The first message, by which it is known how those after it are laid out.
+    /// Receives the first message from a router or control machine, which determines the layout of those that follow.
     pub async fn receive_first(&mut self) -> Result<(RouterWire, Message), FrameError> {
         let payload = self.receive_payload().await?;
         let first = RouterWire::of_first(&payload).ok_or_else(unknown_message)?;
@@ -146,7 +147,7 @@
         Ok(first)
     }
 
-    /// The first message of a control machine, by which it is known how those after it are laid out.
+    /// Receives the first message from a control machine to a router, which determines the layout of those that follow.
     pub async fn receive_first_of_control(&mut self) -> Result<(RouterWire, Message), FrameError> {
         let payload = self.receive_payload().await?;
         let first = RouterWire::of_control(&payload).ok_or_else(unknown_message)?;
@@ -154,7 +155,7 @@
         Ok(first)
     }
 
-    /// The next message.
+    /// Receives the next message.
     pub async fn receive(&mut self) -> Result<Message, FrameError> {
         let payload = self.receive_payload().await?;
         self.wire.decode(&payload).ok_or_else(unknown_message)
@@ -172,10 +173,10 @@
 }
 
 fn unknown_message() -> FrameError {
-    FrameError::Malformed("no such message".into())
+    FrameError::Malformed("unknown message".into())
 }
 
-/// Takes an accepted connection.
+/// Sets up a link on an accepted connection.
 pub(crate) fn accept(
     stream: TcpStream,
     traffic: Rc<LinkTraffic>,
@@ -207,7 +208,7 @@
     )
 }
 
-/// Frames on their way to a peer; those that are left when the link ends count as waiting no longer.
+/// Frames queued for a peer. When the link ends, the remaining frames no longer count as queued.
 struct QueuedFrames {
     frames: mpsc::Receiver<Bytes>,
     traffic: Rc<LinkTraffic>,
@@ -254,7 +255,7 @@
         if stream_half.write_all(&batch).await.is_err() {
             return;
         }
-        // An idle link keeps no memory for what it sent last.
+        // Frees the buffer, so that an idle link keeps no memory.
         batch = BytesMut::new();
     }
 }
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,4 +1,4 @@
-//! Structured logs on standard output: bounded in volume, and never waited for.
+//! Structured logs on standard output: limited in volume, and written without blocking.
 
 use std::io::{self, Write};
 use std::os::fd::AsRawFd;
@@ -8,18 +8,19 @@
 use nix::fcntl::{fcntl, FcntlArg, OFlag};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines a second, over longer times.
+/// Sustained limit, in lines per second.
 const LINES_PER_SECOND: f64 = 200.0;
-/// Lines at once.
+/// Lines that may be written in a burst.
 const BURST_LINES: f64 = 400.0;
 
+/// A token bucket of log lines.
 struct LineBudget {
     lines: f64,
     updated: Instant,
     suppressed: u64,
 }
 
-/// Lets so many lines through; what was suppressed is told with the next line.
+/// Standard output with a limited rate of lines. The number of suppressed lines is written before the next line.
 #[derive(Clone)]
 struct BoundedStdout(Arc<Mutex<LineBudget>>);
 
@@ -32,7 +33,7 @@
         })))
     }
 
-    /// How many lines were suppressed before this one; `None` when it is suppressed too.
+    /// Admits a line and returns how many lines were suppressed before it; `None` when this one is suppressed too.
     fn admit(&self) -> Option<u64> {
         let mut budget = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
@@ -64,7 +65,7 @@
         };
         let mut output = note.into_bytes();
         output.extend_from_slice(line);
-        // The descriptor does not block: a reader that does not keep up loses lines.
+        // The descriptor is non-blocking: lines are lost when the reader does not keep up.
         if nix::unistd::write(io::stdout(), &output).is_err() {
             self.restore_suppressed(suppressed + 1);
         }
@@ -84,7 +85,7 @@
     }
 }
 
-/// Starts logging; once per process, later calls change nothing.
+/// Starts logging. Only the first call in a process has an effect.
 pub fn start() {
     let stdout = io::stdout().as_raw_fd();
     if let Ok(flags) = fcntl(stdout, FcntlArg::F_GETFL) {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies, served as text.
+//! The metrics of a process, served in the OpenMetrics text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -22,35 +22,35 @@
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 10.0,
 ];
 
-/// What became of a request or decision.
+/// The outcome of a request, attempt or decision.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct OutcomeLabel {
-    /// A word from the code.
+    /// One of a fixed set of names.
     pub outcome: &'static str,
 }
 
-/// Tenants that have counters of their own; the others share one.
+/// Tenants with their own counters; the others share one.
 const MAX_TENANT_LABELS: usize = 64;
-/// Stands for all tenants beyond them.
+/// The label of all further tenants.
 const OTHER_TENANTS: &str = "other";
 
-/// A header that nobody reads.
+/// A header that the gateway does not know.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct NameLabel {
-    /// Its name, or one word for all beyond a number of them.
+    /// The header's name, or one name for all beyond a limit.
     pub name: String,
 }
 
-/// What became of the requests of a tenant that has a limit.
+/// A tenant with a limit, and the outcome of its requests.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 pub(crate) struct TenantLabel {
     /// The tenant, or [`OTHER_TENANTS`].
     pub tenant: String,
-    /// A word from the code.
+    /// One of a fixed set of names.
     pub outcome: &'static str,
 }
 
-/// Counters of one family, by a word from the code.
+/// A family of counters by kind; the kinds are a fixed set of names.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Counters(Family<KindLabel, Counter>);
 
@@ -65,35 +65,36 @@
     }
 }
 
-/// The figures of one process.
+/// The metrics of one process.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Requests by what they were answered.
+    /// Requests by the outcome that was answered.
     pub requests: Family<OutcomeLabel, Counter>,
-    /// Attempts at back ends by how they ended.
+    /// Attempts at back ends by outcome.
     pub attempts: Family<OutcomeLabel, Counter>,
-    /// Seconds to the head of the answer.
+    /// Seconds from the request to the head of the answer.
     pub latency: Histogram,
-    /// Answers that missed a target, by which.
+    /// Answers that missed a target, by target.
     late_answers: Family<OutcomeLabel, Counter>,
     /// Units of the limits of tenants, admitted and refused.
     limit_units: Family<TenantLabel, Counter>,
+    /// Tenants with their own counters.
     labelled_tenants: RefCell<BTreeSet<String>>,
-    /// Back ends whose connections broke, by what their address told then.
+    /// Back ends whose connections broke, by the result of probing their address.
     broken_back_ends: Family<OutcomeLabel, Counter>,
-    /// What back ends said of themselves in answers.
+    /// Notices of back ends in their answers, by kind.
     back_end_notices: Family<OutcomeLabel, Counter>,
-    /// Headers of back ends' answers that nobody reads, by name.
+    /// Unknown headers in back ends' answers, by name.
     unknown_headers: Family<NameLabel, Counter>,
-    /// Bytes sent over links to other processes, by kind of message.
+    /// Bytes sent over links to other processes, by kind of message; of the kind `dropped`, messages.
     pub link_bytes: Counters,
-    /// Questions to control machines for changes, and what became of the answers.
+    /// Requests to control machines for changes, and the outcomes of the answers.
     fetches: Family<OutcomeLabel, Counter>,
-    /// Decisions of a control machine.
+    /// Decisions of a control machine by outcome.
     pub decisions: Family<OutcomeLabel, Counter>,
-    /// The revision of the view or state.
+    /// Revision of the router's view or of the control machine's state.
     pub revision: Gauge,
-    /// Milliseconds since the view was surely current.
+    /// Milliseconds since the view was last confirmed to be current.
     pub view_age_ms: Gauge,
 }
 
@@ -226,7 +227,7 @@
             .inc();
     }
 
-    /// Answers any request with all figures.
+    /// Answers any request with all metrics.
     pub fn answer<B>(&self, _request: &Request<B>) -> Response<AnswerBody> {
         let mut text = String::new();
         if encode(&mut text, &self.registry).is_err() {
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 on a listener, one task a connection on the process's event loop.
+//! Serves HTTP/1.1 on a listener, with one task per connection on the process's event loop.
 
 use std::future::Future;
 use std::net::IpAddr;
@@ -16,52 +16,52 @@
 
 use crate::answer::AnswerBody;
 
-/// After an error of the listener, such as too many open files.
+/// Delay after an error of the listener, such as too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// Bounds of a server's connections.
+/// Limits of a server's connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServerParams {
-    /// How long a connection may rest, and a head may take.
+    /// How long a connection may be idle, and how long reading a request's head may take.
     pub idle_timeout: Duration,
-    /// Connections at once.
+    /// Connections that may be open at the same time.
     pub max_connections: usize,
-    /// What happens to further ones.
+    /// What happens to further connections.
     pub when_full: WhenFull,
 }
 
-/// What happens to a connection when as many as are allowed are open.
+/// What happens to a new connection when the limit is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WhenFull {
-    /// It waits in the listener's queue until another one ends.
+    /// It waits in the listener's backlog until another one ends.
     Wait,
-    /// It is closed at once: its caller has other processes to call, and the open connections may
-    /// stay for as long as their callers live.
+    /// It is closed at once: its caller can call other processes, and the open connections may last as long as their
+    /// callers run.
     Close,
 }
 
-/// Who sent a request, as an extension of it.
+/// The sender's address, as an extension of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Peer(pub IpAddr);
 
-/// Why a request ends without an answer: its connection is closed.
+/// A request ends without an answer, and its connection is closed.
 #[derive(Debug, thiserror::Error)]
-#[error("the caller has gone or sent no whole request")]
+#[error("the caller disconnected or sent an incomplete request")]
 pub(crate) struct NoAnswer;
 
-/// Room for a server's connections.
+/// The connection slots of a server.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionSlots(Arc<Semaphore>);
 
 impl ConnectionSlots {
-    /// Room for so many connections.
+    /// Creates this many slots.
     pub fn new(max_connections: usize) -> Self {
         Self(Arc::new(Semaphore::new(max_connections)))
     }
 
-    /// True while a further connection would wait for another one to end, but for the one that the
-    /// server is about to accept.
+    /// True while no slot is free. The server takes a slot before it accepts a connection, so one more connection may
+    /// still be accepted.
     pub fn all_taken(&self) -> bool {
         self.0.available_permits() == 0
     }
@@ -77,7 +77,7 @@
     serve_with_slots(listener, params, slots, handler).await;
 }
 
-/// The same for connections that share room.
+/// Serves connections until the process ends, with slots that the caller can observe.
 pub(crate) async fn serve_with_slots<H, F>(
     listener: TcpListener,
     params: ServerParams,
@@ -102,7 +102,7 @@
                 let slot = slot.or_else(|| Arc::clone(&slots).try_acquire_owned().ok());
                 let Some(slot) = slot else {
                     tracing::info!(event = "connection_refused", %peer,
-                        open = params.max_connections, "server: too many connections");
+                        open = params.max_connections, "server: closed a connection because all connection slots are in use");
                     continue;
                 };
                 let handler = Rc::clone(&handler);
@@ -113,7 +113,7 @@
             }
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error,
-                    "server: a connection was not accepted");
+                    "server: failed to accept a connection");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/crates/gateway/src/server_tests.rs
+++ b/crates/gateway/src/server_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the bound on connections.
+//! Tests of the limit on connections.
 
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
     TcpStream::connect(address).await.unwrap()
 }
 
-/// Bytes of the answer to one request; none when the connection is closed instead.
+/// Sends a request and returns how many bytes of the answer were read; 0 when the connection is closed instead.
 async fn ask(stream: &mut TcpStream) -> usize {
     if stream.write_all(REQUEST).await.is_err() {
         return 0;
@@ -47,20 +47,23 @@
 }
 
 #[test]
-fn a_full_server_of_processes_closes_further_connections() {
+fn a_full_server_that_closes_keeps_its_open_connections() {
     run(async {
         let address = server_with_one_slot(WhenFull::Close).await;
         let mut first = connect(address).await;
         assert!(ask(&mut first).await > 0);
         let mut second = connect(address).await;
         assert_eq!(ask(&mut second).await, 0);
-        assert!(ask(&mut first).await > 0, "the first one stays");
+        assert!(
+            ask(&mut first).await > 0,
+            "the first connection must stay open"
+        );
     });
 }
 
-/// A router says by this whether it takes new connections.
+/// A router's readiness depends on it: a router without free slots must not be called ready.
 #[test]
-fn a_server_knows_whether_its_room_is_taken() {
+fn taken_slots_show_until_connections_end() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -91,7 +94,7 @@
 }
 
 #[test]
-fn a_full_server_of_callers_lets_further_connections_wait() {
+fn a_full_server_that_waits_serves_further_connections_later() {
     run(async {
         let address = server_with_one_slot(WhenFull::Wait).await;
         let mut first = connect(address).await;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start.
+//! The settings that a process is started with.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -7,8 +7,7 @@
 
 use drumshore_gateway_core::{ControlParams, RouterParams};
 
-/// Where the addresses of some control machines come from; asked again now and then, for they
-/// may change.
+/// Returns the addresses of some control machines. Called repeatedly, because they may change.
 pub type SeedSource = Rc<dyn Fn() -> Vec<Ipv4Addr>>;
 
 /// Settings of a router.
@@ -16,49 +15,49 @@
 pub struct RouterSettings {
     /// This machine's name, for logs.
     pub node: String,
-    /// Where callers reach it.
+    /// The address that callers connect to.
     pub listen: SocketAddr,
-    /// Where the platform asks whether it is ready.
+    /// The address that serves the platform's readiness checks.
     pub ready_listen: SocketAddr,
     /// Where metrics are served.
     pub metrics_listen: Option<SocketAddr>,
-    /// The port of control machines for routers and for one another.
+    /// The port at which control machines accept links from routers and from each other.
     pub internal_port: u16,
     /// Some control machines.
     pub seeds: SeedSource,
-    /// From the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub grace: Duration,
-    /// How long callers may go on using a directory answer.
+    /// The longest time for which any caller uses a cached directory answer.
     pub directory_max_age: Duration,
-    /// Of its decisions.
+    /// Parameters of the router's decisions.
     pub params: RouterParams,
 }
 
 /// Settings of a control machine.
 #[derive(Clone)]
 pub struct ControlSettings {
-    /// This machine's name; also the holder of its orders.
+    /// This machine's name; also identifies it as the holder of leases on orders.
     pub node: String,
-    /// Its address.
+    /// This machine's address.
     pub ip: Ipv4Addr,
-    /// Where operators and back ends call.
+    /// The address that operators and back ends call.
     pub listen: SocketAddr,
-    /// Where callers ask for routers, when that is another address.
+    /// The address at which callers request the directory of routers, when it is a separate one.
     pub directory_listen: Option<SocketAddr>,
     /// Where metrics are served.
     pub metrics_listen: Option<SocketAddr>,
-    /// The port for routers and other control machines.
+    /// The port that accepts links from routers and other control machines.
     pub internal_port: u16,
     /// Some control machines.
     pub seeds: SeedSource,
-    /// True when the whole system starts for the first time.
+    /// True when the cluster is started for the first time.
     pub bootstrap: bool,
-    /// Descriptors that the process may have open.
+    /// File descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// Where state is kept.
+    /// The folder that stores the state.
     pub data_dir: PathBuf,
-    /// How long callers may keep a directory answer.
+    /// How long callers may cache a directory answer.
     pub directory_ttl: Duration,
-    /// Of its decisions.
+    /// Parameters of the control machine's decisions.
     pub params: ControlParams,
 }
--- a/crates/gateway/src/signals.rs
+++ b/crates/gateway/src/signals.rs
@@ -1,22 +1,22 @@
-//! The signals that a daemon heeds.
+//! The signals that a daemon handles: SIGTERM and SIGINT stop it, SIGHUP reloads its settings.
 
 use std::io;
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Stop and reload.
+/// Receives the signals.
 pub(crate) struct Signals {
     terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
 }
 
-/// What a signal asks for.
+/// What a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Request {
-    /// End in good order.
+    /// Shut down gracefully.
     Stop,
-    /// Read the settings again.
+    /// Read the reloadable settings again.
     Reload,
 }
 
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -1,4 +1,4 @@
-//! TCP sockets that notice a dead peer.
+//! TCP sockets that detect a dead peer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,13 +10,14 @@
 
 use crate::DaemonError;
 
-/// Data that a peer does not acknowledge for so long ends the connection.
+/// The connection ends when sent data is not acknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Idle time before the first keep-alive probe.
 const KEEP_ALIVE_DELAY: Duration = Duration::from_secs(2);
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const BACKLOG: i32 = 512;
 
-/// Opens a connection within `time_limit`.
+/// Opens a connection within `time_limit`; fails with `TimedOut` after it.
 pub(crate) async fn connect(address: SocketAddr, time_limit: Duration) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect(address);
     let stream = timeout(time_limit, connecting)
@@ -26,7 +27,7 @@
     Ok(stream)
 }
 
-/// Makes a connection end when its peer has gone without a word.
+/// Makes a connection end when its peer has disappeared without closing it.
 pub(crate) fn enable_dead_peer_detection(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -37,16 +38,16 @@
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Listens, with an error that says what was to be served.
-pub(crate) fn open(what: &'static str, address: SocketAddr) -> Result<TcpListener, DaemonError> {
+/// Opens a listener; the error says what it was to serve.
+pub(crate) fn open(purpose: &'static str, address: SocketAddr) -> Result<TcpListener, DaemonError> {
     listen(address).map_err(|source| DaemonError::Listen {
-        what,
+        purpose,
         address,
         source,
     })
 }
 
-/// Listens; a process that starts again takes over its predecessor's address.
+/// Opens a listener. A restarted process can bind its predecessor's address at once.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
--- a/crates/gateway/src/traffic.rs
+++ b/crates/gateway/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What a process sends over its links to others: bytes by kind of message, and what waits in queues.
+//! Measures the traffic of a process's links to other processes: bytes by kind of message, and bytes in queues.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,27 +8,29 @@
 
 use crate::metrics::Counters;
 
-/// Counts what is sent over all links of a process.
+/// Counts the messages sent over all links of a process.
 #[derive(Debug, Default)]
 pub(crate) struct LinkTraffic {
-    /// In all, for metrics.
+    /// Totals since the start, for metrics.
     counters: Counters,
+    /// Since the last log line.
     recent: RefCell<RecentTraffic>,
+    /// Bytes that are in queues now.
     queued_bytes: Cell<usize>,
 }
 
-/// What was sent since the last line that told it.
+/// The traffic since the last log line that reported it.
 #[derive(Debug, Default)]
 pub(crate) struct RecentTraffic {
     bytes: BTreeMap<&'static str, usize>,
-    /// Bytes that waited in the queues of all links together, at most.
+    /// The largest number of bytes in the queues of all links together.
     pub most_queued_bytes: usize,
-    /// Messages that were lost because a queue was full.
+    /// Messages that were not queued, because a queue was full or its link had ended.
     pub dropped: usize,
 }
 
 impl LinkTraffic {
-    /// Counts into the process's metrics as well.
+    /// Adds to the process's metrics as well.
     pub fn with_counters(counters: Counters) -> Self {
         Self {
             counters,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// A message of a kind was queued for a link.
+    /// Counts a message that was queued for a link.
     pub fn on_queued(&self, kind: &'static str, bytes: usize) {
         self.counters.add(kind, bytes as u64);
         self.queued_bytes.set(self.queued_bytes.get() + bytes);
@@ -45,18 +47,18 @@
         recent.most_queued_bytes = recent.most_queued_bytes.max(self.queued_bytes.get());
     }
 
-    /// A message was lost before it was queued.
+    /// Counts a message that was dropped instead of queued.
     pub fn on_dropped(&self) {
         self.counters.add("dropped", 1);
         self.recent.borrow_mut().dropped += 1;
     }
 
-    /// Bytes have left their queue: they were written, or their link has ended.
+    /// Counts bytes that left their queue, because they are being written or their link has ended.
     pub fn on_dequeued(&self, bytes: usize) {
         self.queued_bytes.set(self.queued_bytes.get() - bytes);
     }
 
-    /// What was sent since the last call.
+    /// The traffic since the last call.
     pub fn take_recent(&self) -> RecentTraffic {
         self.recent.take()
     }
@@ -72,7 +74,7 @@
     }
 }
 
-/// A name for metrics and lines.
+/// The name of a message's kind in metrics and log lines.
 pub(crate) fn kind_of(message: &Message) -> &'static str {
     match message {
         Message::Router(_) => "router",
--- a/crates/gateway/src/traffic_tests.rs
+++ b/crates/gateway/src/traffic_tests.rs
@@ -1,9 +1,9 @@
-//! Tests of what a process knows of its own traffic.
+//! Tests of the traffic that is reported in log lines.
 
 use super::*;
 
 #[test]
-fn bytes_are_told_by_kind_and_only_once() {
+fn bytes_are_reported_by_kind_and_only_once() {
     let traffic = LinkTraffic::default();
     traffic.on_queued(kind_of(&Message::KeepAlive), 20);
     traffic.on_queued(kind_of(&Message::Ping { sequence: 1 }), 30);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_waits_counts_until_it_is_written() {
+fn queued_bytes_count_until_they_are_dequeued() {
     let traffic = LinkTraffic::default();
     traffic.on_queued(kind_of(&Message::KeepAlive), 1_000);
     traffic.take_recent();
--- a/crates/gateway/src/unknown_headers.rs
+++ b/crates/gateway/src/unknown_headers.rs
@@ -1,8 +1,8 @@
-//! Headers of answers that nobody reads.
+//! Detects headers in back ends' answers that the gateway does not know.
 //!
-//! Back ends gain words over time, and one that says what it needs in a header that the gateway does not know is given
-//! what it cannot bear while all lines look well. So each name that is neither read nor known to need no reading is
-//! counted, and said once.
+//! Back ends gain new headers over time. When one states a requirement in a header that the gateway ignores, the gateway
+//! may overload it while logs and metrics show no fault. So each name that is neither interpreted nor known to be
+//! irrelevant is counted, and logged once.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -13,17 +13,19 @@
 
 use crate::metrics::Metrics;
 
-/// Names that are told apart; further ones are counted as one. Whoever makes an answer chooses its headers.
+/// Names that are counted separately; further ones are counted together. The limit is needed because whoever sends an
+/// answer chooses its headers.
 const MAX_NAMES: usize = 32;
-/// Stands for all names beyond them.
+/// The label of all further names.
 const OTHER_NAMES: &str = "other";
 
-/// The unknown names that this process has seen.
+/// The unknown header names that this process has seen.
 #[derive(Debug, Default)]
 pub(crate) struct UnknownHeaders(RefCell<HashSet<HeaderName>>);
 
 impl UnknownHeaders {
-    /// Looks through the head of an answer of a back end; `is_known_header` is what [`Dialect::is_known_header`](crate::Dialect::knows_of) says.
+    /// Counts the unknown headers of a back end's answer; `is_known_header` calls
+    /// [`Dialect::is_known_header`](crate::Dialect::is_known_header).
     pub fn record(
         &self,
         is_known_header: impl Fn(&HeaderName) -> bool,
@@ -37,7 +39,7 @@
         }
     }
 
-    /// The name that it is counted by; a line when it is new.
+    /// The label that counts a name. Logs the name when it is new.
     fn label<'a>(&self, name: &'a HeaderName, instance: &InstanceId) -> &'a str {
         let mut seen = self.0.borrow_mut();
         if seen.contains(name) {
@@ -48,7 +50,7 @@
         }
         seen.insert(name.clone());
         tracing::warn!(event = "unknown_header", %name, %instance,
-            "a back end's answer carries a header that nobody reads");
+            "a back end's answer has a header that the gateway does not know");
         name.as_str()
     }
 }
--- a/crates/gateway/src/unknown_headers_tests.rs
+++ b/crates/gateway/src/unknown_headers_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of headers that nobody reads.
+//! Tests of the counting of unknown headers.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn names_beyond_a_number_are_counted_as_one() {
+fn names_beyond_the_limit_are_counted_together() {
     let unknown = UnknownHeaders::default();
     let back_end = InstanceId::new("i-1");
     for number in 0..MAX_NAMES {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_is_known_is_not_noted() {
+fn known_headers_are_not_counted() {
     let unknown = UnknownHeaders::default();
     let headers = [
         (name(1), "1".parse().unwrap()),
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends: kept, few, and one request at a time on each.
+//! Pools of connections to back ends: limited in number, reused, one request at a time on each.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,56 +22,62 @@
 use crate::clock::Clock;
 use crate::sockets;
 
+/// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A connection whose peer does not say how long it may rest is closed after this long.
+/// Idle time after which a connection is closed when the peer does not state a limit.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Safety before the time that the peer says.
+/// A connection is closed this long before its idle limit, so that no request is sent while the peer closes it.
 const IDLE_MARGIN: Duration = Duration::from_millis(600);
-/// Idle connections kept to one back end.
+/// Idle connections kept per back end.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 const BUFFER_BYTES: usize = 32 << 10;
 
-/// Why there is no connection. Nothing was sent.
+/// Why no connection is available; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum NoConnection {
     /// The back end cannot be reached.
-    #[error("unreachable: {0}")]
+    #[error("back end is unreachable: {0}")]
     Unreachable(#[from] io::Error),
-    /// All connections that this process may have are in use.
-    #[error("no free connection")]
+    /// All connections that this process may open to the back end are in use.
+    #[error("no free connection to the back end")]
     NoneFree,
 }
 
-/// Why there is no answer.
+/// Why there is no answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum SendError {
-    /// The request did not leave this process.
-    #[error("not sent")]
+    /// No part of the request was sent.
+    #[error("request was not sent")]
     NotSent,
-    /// It left, at least in part.
-    #[error("connection broke")]
+    /// The connection broke after at least a part of the request was sent.
+    #[error("connection broke after part of the request was sent")]
     Broken,
 }
 
+/// An idle connection.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
     expires: Timestamp,
 }
 
+/// The connections to one back end.
 #[derive(Debug, Default)]
 struct Pool {
+    /// Connections that are open or being opened, idle ones included.
     open: Cell<usize>,
     idle: RefCell<Vec<Idle>>,
+    /// Notified when a connection is released or closed.
     freed: Notify,
 }
 
-/// A connection; it is closed when dropped.
+/// A connection to a back end; closed when dropped.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     pool: Rc<Pool>,
+    /// How long the peer keeps the connection open while it is idle.
     idle_timeout: Duration,
 }
 
@@ -98,7 +104,7 @@
         Ok(response)
     }
 
-    /// Keeps the connection for another request, once its answer was read whole.
+    /// Returns the connection to its pool, after its answer has been read to the end.
     pub fn release(self, now: Timestamp) {
         let pool = Rc::clone(&self.pool);
         if !self.sender.is_closed() && pool.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
@@ -112,7 +118,7 @@
     }
 }
 
-/// All connections to back ends.
+/// The connections to all back ends.
 pub(crate) struct Upstreams {
     pools: RefCell<HashMap<InstanceId, Rc<Pool>>>,
     clock: Clock,
@@ -126,8 +132,8 @@
         }
     }
 
-    /// A connection that is ready for a request, of at most `max_connections`; waits for one to be freed
-    /// for `time_limit`.
+    /// Returns a connection that is ready for a request. Opens one while there are fewer than `max_connections` to the
+    /// back end, else waits up to `time_limit` for a free one.
     pub async fn connect(
         &self,
         instance: &InstanceId,
@@ -151,15 +157,15 @@
         waited.unwrap_or(Err(NoConnection::NoneFree))
     }
 
-    /// Closes the connections to a back end that rest: it has fallen silent, and a request on one
-    /// of them would be lost, where a new connection that does not come about costs nothing.
+    /// Closes the idle connections to a back end that has become unresponsive: a request sent on one of them would be
+    /// lost, whereas a failed attempt to open a new connection loses nothing.
     pub fn close_idle(&self, instance: &InstanceId) {
         let pool = self.pools.borrow().get(instance).cloned();
         let idle = pool.map(|pool| std::mem::take(&mut *pool.idle.borrow_mut()));
         drop(idle);
     }
 
-    /// Closes connections that rested long enough, and forgets back ends without any.
+    /// Closes connections that have been idle too long, and removes the pools of back ends without connections.
     pub fn prune(&self) {
         let now = self.clock.now();
         self.pools.borrow_mut().retain(|_, pool| {
@@ -176,7 +182,7 @@
         Rc::clone(pools.entry(instance.clone()).or_default())
     }
 
-    /// The connection that rested least.
+    /// Takes the connection that was used last; closes those found expired or closed on the way.
     fn take_idle(&self, pool: &Pool) -> Option<Connection> {
         let now = self.clock.now();
         let mut stale = Vec::new();
@@ -220,7 +226,7 @@
     })
 }
 
-/// Counts a connection while it is being opened.
+/// Counts a connection while it is being opened; gives the slot back when opening fails.
 struct OpeningSlot(Option<Rc<Pool>>);
 
 impl OpeningSlot {
@@ -230,7 +236,7 @@
     }
 
     fn into_pool(mut self) -> Rc<Pool> {
-        self.0.take().expect("a place is kept once")
+        self.0.take().expect("a slot is converted only once")
     }
 }
 
@@ -243,7 +249,7 @@
     }
 }
 
-/// How long the peer lets the connection rest, in whole seconds.
+/// How long the peer keeps an idle connection open, as its `keep-alive` header states in whole seconds.
 fn keep_alive(response: &Response<Incoming>) -> Option<Duration> {
     let value = response.headers().get("keep-alive")?.to_str().ok()?;
     let parameter = value
