--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -48,7 +48,7 @@
             };
             let reply = submit(&control, command).await;
             tracing::info!(event = "deregister", %instance, outcome = reply_name(&reply),
-                "control: a back end deregistered itself");
+                "control: a back end asked to be deregistered");
             acknowledge(&control, reply)
         }
         ControlCall::Directory { zone } => directory(&control, &zone, caller),
@@ -92,7 +92,7 @@
     tracing::info!(
         event = "configuration_read",
         outcome = reply_name(&reply),
-        "control: an operator read the configuration"
+        "control: an operator requested the configuration"
     );
     match reply {
         Reply::Configuration(Some(body)) => answer::typed(control.dialect.content_type(), body),
@@ -111,7 +111,7 @@
     };
     let reply = submit(control, command).await;
     tracing::info!(event = "weights_named", %model, version, outcome = reply_name(&reply),
-        "control: an operator set the version of a model's weights");
+        "control: an operator requested a new version of a model's weights");
     acknowledge(control, reply)
 }
 
--- a/crates/gateway/src/control/back_ends.rs
+++ b/crates/gateway/src/control/back_ends.rs
@@ -22,6 +22,7 @@
 const TIMEOUT: Duration = Duration::from_millis(400);
 /// Connections to one back end.
 const CONNECTIONS: usize = 2;
+/// Limit of the body of an answer.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 /// Interval between queries to a back end that limits its rate of requests. Without a limit, a back end that loads
 /// weights is queried several times a second, which exceeds what some accept from all callers together. The end of a
@@ -38,6 +39,7 @@
     unknown_headers: UnknownHeaders,
 }
 
+/// The answer of a back end or store to a call.
 pub(super) struct CallAnswer {
     pub status: StatusCode,
     pub body: Bytes,
@@ -184,7 +186,7 @@
     }
 }
 
-/// Queries a back end for its state and passes the report to the core; `None` when there is no valid report.
+/// Queries a back end for its state and passes the report to the core, or `None` without a valid report.
 pub(super) fn query_report(control: &Rc<Control>, instance: InstanceId, address: String) {
     let control = Rc::clone(control);
     tokio::task::spawn_local(async move {
--- a/crates/gateway/src/control/connections.rs
+++ b/crates/gateway/src/control/connections.rs
@@ -8,7 +8,7 @@
 /// routers, as many calls, and the 200 that the users' platform sets aside.
 const RESERVED_DESCRIPTORS: usize = 920;
 /// Share of the other descriptors that is for back ends and operators. The rest is for callers of the directory, whose
-/// connections are short.
+/// connections are short-lived.
 const CONTROL_SHARE: f64 = 0.75;
 /// Minimum of connections of each kind, for machines with few descriptors.
 const MIN_CONNECTIONS: usize = 256;
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -48,6 +48,7 @@
 
 /// How long a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Connections to the metrics listener.
 const MAX_METRICS_CONNECTIONS: usize = 32;
 /// Delay before each attempt to open the data folder again after its disk failed.
 const REOPEN_DELAY: Duration = Duration::from_millis(500);
@@ -72,9 +73,9 @@
     /// Calls that wait for a reply of the core.
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<Reply>>>,
     next_ticket: Cell<u64>,
-    /// Notified when the core has something to store or send.
+    /// Notified after each operation on the core, whose effects must be stored and sent.
     flush: Notify,
-    /// The role that was logged last.
+    /// The role at the last tick; `None` before the first one with an open replica.
     role: Cell<Option<Role>>,
     configuration: RefCell<CachedConfiguration>,
 }
@@ -94,7 +95,7 @@
         Ok(core) => Some(core),
         Err(error) => {
             tracing::error!(event = "folder_failed", %error,
-                "control: the folder cannot be opened");
+                "control: cannot open the data folder");
             None
         }
     };
@@ -191,6 +192,7 @@
     }
 }
 
+/// Drives the core's timers, and opens the replica again after a disk failure.
 async fn tick(control: Rc<Control>) {
     let mut ticks = interval(control.settings.params.tick);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -326,7 +328,7 @@
             }
             Err(error) => {
                 tracing::error!(event = "folder_failed", %error,
-                    "control: the folder cannot be opened")
+                    "control: cannot open the data folder")
             }
         }
     }
--- a/crates/gateway/src/control/peers_tests.rs
+++ b/crates/gateway/src/control/peers_tests.rs
@@ -25,8 +25,7 @@
     }
 }
 
-/// How a link to such an end ended; `None` when it did not within a time that is longer than a link may
-/// be silent.
+/// How a link to such a peer ends; `None` when it stays connected for longer than [`RESPONSE_TIMEOUT`].
 fn link_end(responds: bool) -> Option<LinkEnd> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -44,20 +43,20 @@
     })
 }
 
-/// The kernel acknowledges all that is sent, so only the question that gets no answer shows it.
+/// The peer's kernel acknowledges all data, so only the missing response to keep-alive messages shows the failure.
 #[test]
-fn a_link_that_takes_bytes_and_says_nothing_is_given_up() {
+fn a_link_whose_peer_reads_but_never_responds_is_closed() {
     assert_eq!(link_end(false), Some(LinkEnd::Unresponsive));
 }
 
 #[test]
-fn a_link_without_traffic_of_its_own_stays() {
+fn a_link_with_keep_alive_traffic_only_stays_connected() {
     assert_eq!(link_end(true), None);
 }
 
-/// Something on the way has forgotten the connection; the next one works.
+/// Guards against keeping a connection that a device on the path has dropped: the link must connect again.
 #[test]
-fn a_silent_link_is_dialled_anew() {
+fn an_unresponsive_link_is_reconnected() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
--- a/crates/gateway/src/control/quarantine.rs
+++ b/crates/gateway/src/control/quarantine.rs
@@ -74,7 +74,7 @@
     };
     let reply = api::submit(control, Command::Release { work: fingerprint }).await;
     tracing::info!(event = "release_asked", work = %fingerprint, outcome = api::reply_name(&reply),
-        "control: an operator released a quarantined request fingerprint");
+        "control: an operator requested the release of a quarantined request fingerprint");
     api::acknowledge(control, reply)
 }
 
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -28,8 +28,8 @@
 /// Attempts before the timeout and the delay start to grow.
 const QUICK_ATTEMPTS: u32 = 12;
 
-/// Queued frames are written in batches of up to this many bytes to save system calls. A larger frame is written without
-/// copying it, which would double its memory.
+/// Queued frames are written in batches of up to this many bytes to save system calls. A frame that does not fit is
+/// written without copying it, because the copy of a large one would double its memory.
 const MAX_BATCH_BYTES: usize = 16 << 10;
 
 /// Connects to a peer repeatedly; the timeout of the attempts and the delay between them grow.
--- a/crates/gateway/src/router/attempt.rs
+++ b/crates/gateway/src/router/attempt.rs
@@ -22,7 +22,7 @@
 /// The head of the answer to a repeatable request should arrive within the route's target times this factor; then
 /// another back end is tried.
 const HEAD_TIMEOUT_FACTOR: f64 = 1.6;
-/// How long to wait for a free connection.
+/// Time allowed for waiting for a free connection, in addition to the time for opening one.
 const CONNECTION_WAIT: Duration = Duration::from_millis(60);
 
 /// How one attempt ended.
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -271,10 +271,10 @@
             leader,
         } => {
             links.leader.set(leader);
-            let asked = links.view_links.borrow_mut().on_pong(address, sequence);
-            if let Some(asked) = asked {
+            let ping_sent_at = links.view_links.borrow_mut().on_pong(address, sequence);
+            if let Some(ping_sent_at) = ping_sent_at {
                 let mut core = router.core.borrow_mut();
-                core.on_confirmed(asked, revision, routers);
+                core.on_confirmed(ping_sent_at, revision, routers);
             }
             wake_waiting_requests(router);
             if !controls.items.is_empty() {
@@ -302,8 +302,8 @@
         }
         Message::Suspects(keys) => {
             let now = router.clock.now();
-            let silent = router.core.borrow_mut().on_suspects(now, &keys.items);
-            for instance in silent {
+            let unresponsive = router.core.borrow_mut().on_suspects(now, &keys.items);
+            for instance in unresponsive {
                 tracing::info!(event = "back_end_suspected", %instance, by = "another router",
                         "router: another router reported an unresponsive back end");
                 router.upstreams.close_idle(&instance);
@@ -325,7 +325,7 @@
             let now = router.clock.now();
             router.core.borrow_mut().on_trial_permitted(now, work);
             tracing::info!(event = "work_trial", %work, by = %address,
-                    "router: permitted a trial run of a quarantined request fingerprint");
+                    "router: a control machine permitted one trial run of a quarantined request fingerprint");
         }
         Message::Holders(entries) => {
             let now = router.clock.now();
--- a/crates/gateway/src/router/crash_detection.rs
+++ b/crates/gateway/src/router/crash_detection.rs
@@ -1,8 +1,9 @@
 //! Determines why connections to a back end broke: because the back end crashed, or for another reason.
 //!
-//! A request may crash each back end that runs it. The crash breaks off all requests that run beside it as well, and
-//! to a request a reset connection, a load of weights that cuts streams and a lost network link look the same. So the
-//! router opens a new connection to the back end's address: it is refused when the process has crashed.
+//! A request may crash each back end that runs it. The crash also breaks off all other requests that run there, so a
+//! broken connection alone does not identify the cause: a reset connection, a load of weights that cuts streams and a
+//! lost network link look the same. The router therefore opens a new connection to the back end's address, which is
+//! refused when the process has crashed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/gateway/src/router/events.rs
+++ b/crates/gateway/src/router/events.rs
@@ -6,8 +6,8 @@
 /// Ends an event (WHATWG HTML §9.2.6, with the line ends that back ends use).
 const EVENT_END: &[u8] = b"\n\n";
 const ID_FIELD: &[u8] = b"id:";
-/// Limit of the memory for an incomplete event. Back ends send no longer events; beyond it bytes are forwarded as they
-/// arrive.
+/// Limit of the memory for an incomplete event, above the size of any event that back ends send. Beyond it bytes are
+/// forwarded as they arrive.
 const MAX_PENDING_BYTES: usize = 256 << 10;
 
 /// The events of one answer.
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -96,8 +96,8 @@
         return;
     }
     tokio::task::spawn_local(async move {
-        let taking = Limited::new(body, MAX_UNREAD_BYTES).collect();
-        let _ = timeout(UNREAD_BODY_TIMEOUT, taking).await;
+        let reading = Limited::new(body, MAX_UNREAD_BYTES).collect();
+        let _ = timeout(UNREAD_BODY_TIMEOUT, reading).await;
     });
 }
 
@@ -223,6 +223,7 @@
 /// Tries back ends until one answers, the attempts are used up or the deadline has passed.
 async fn answer(router: &Rc<Router>, call: Call, open: OpenRequest) -> Response<AnswerBody> {
     let mut attempts = Attempts::default();
+    // The worst case over all attempts: not run, may have run, ran.
     let mut worst_execution = Execution::NotRun;
     for _ in 0..MAX_TRIES {
         let now = router.clock.now();
--- a/crates/gateway/src/router/headers.rs
+++ b/crates/gateway/src/router/headers.rs
@@ -13,7 +13,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const EXPECT: HeaderName = hyper::header::EXPECT;
-/// The largest number that back ends accept as a priority; 0 is most urgent.
+/// The least urgent priority that is sent to back ends; 0 is most urgent.
 const LOWEST_PRIORITY: u8 = 9;
 
 /// Removes the headers that apply to a single connection (RFC 9110 §7.6.1).
--- a/crates/gateway/src/router/mod.rs
+++ b/crates/gateway/src/router/mod.rs
@@ -45,8 +45,7 @@
 
 /// Interval at which idle connections to back ends are closed and the gauge of the view's age is set.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a connection may be idle. Longer than any configuration lets callers keep an idle connection, so that
-/// callers close first.
+/// How long a connection may be idle; longer than any configuration lets callers keep an idle connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(16);
 /// Connections of callers.
 const MAX_CONNECTIONS: usize = 1_500;
@@ -186,10 +185,10 @@
 impl Router {
     /// True when the process is stopping and would probably exit before such a request is answered.
     fn stops_too_soon_for(&self, kind: RequestKind) -> bool {
-        let Some(begun) = self.stopping.get() else {
+        let Some(stop_started) = self.stopping.get() else {
             return false;
         };
-        let elapsed = self.clock.now().since(begun);
+        let elapsed = self.clock.now().since(stop_started);
         if kind.is_stream() {
             return elapsed > LATEST_STREAM_START;
         }
@@ -202,8 +201,8 @@
 /// other routers. The process ends once cached directory answers have expired and no request is open, at the latest
 /// when the grace period is nearly over.
 async fn stop(router: &Rc<Router>) {
-    let begun = router.clock.now();
-    router.stopping.set(Some(begun));
+    let stop_started = router.clock.now();
+    router.stopping.set(Some(stop_started));
     router.status_changed.notify_waiters();
     tracing::info!(
         event = "stopping",
@@ -213,7 +212,7 @@
     let stop_limit = router.settings.grace.saturating_sub(EXIT_MARGIN);
     loop {
         tokio::time::sleep(STOP_CHECK_INTERVAL).await;
-        let elapsed = router.clock.now().since(begun);
+        let elapsed = router.clock.now().since(stop_started);
         let is_drained =
             elapsed >= router.settings.directory_max_age && router.open_requests.get() == 0;
         if elapsed >= stop_limit || is_drained {
--- a/crates/gateway/src/router/refusal.rs
+++ b/crates/gateway/src/router/refusal.rs
@@ -115,22 +115,26 @@
     received: Timestamp,
     refused: Refused,
 ) -> Response<AnswerBody> {
-    let busy = StatusCode::SERVICE_UNAVAILABLE;
+    let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let (status, retry_after, reason) = match refused {
         Refused::ByView(Refusal::NoRoute) => (StatusCode::NOT_FOUND, None, "no_route"),
         Refused::ByView(Refusal::UnknownKey) => (StatusCode::UNAUTHORIZED, None, "unknown_key"),
-        Refused::ByView(Refusal::NoConfiguration) => {
-            (busy, Some(RETRY_WITHOUT_BACK_ENDS), "no_configuration")
-        }
-        Refused::ByView(Refusal::Unconfirmed) => {
-            (busy, Some(retry_after_unconfirmed(router)), "unconfirmed")
-        }
+        Refused::ByView(Refusal::NoConfiguration) => (
+            unavailable,
+            Some(RETRY_WITHOUT_BACK_ENDS),
+            "no_configuration",
+        ),
+        Refused::ByView(Refusal::Unconfirmed) => (
+            unavailable,
+            Some(retry_after_unconfirmed(router)),
+            "unconfirmed",
+        ),
         Refused::ByView(Refusal::OverLimit(over)) => {
             record_over_limit(router, id, &over);
             let after = retry_after_limit(over.wait, rand::rng().random());
             (StatusCode::TOO_MANY_REQUESTS, Some(after), "over_limit")
         }
-        Refused::Stopping => (busy, Some(RETRY_AT_ANOTHER_ROUTER), "stopping"),
+        Refused::Stopping => (unavailable, Some(RETRY_AT_ANOTHER_ROUTER), "stopping"),
     };
     let now = router.clock.now();
     router.metrics.count_request(reason, now.since(received));
@@ -163,7 +167,7 @@
     (wait + spread).min(MAX_RETRY_AFTER)
 }
 
-/// Logs the values by which a request was refused as over its tenant's limit.
+/// Counts and logs a request that exceeds its tenant's limit, with the values that the decision is based on.
 fn record_over_limit(router: &Router, id: &str, over: &OverLimit) {
     let metrics = &router.metrics;
     metrics.count_limit_units(over.tenant.as_str(), "refused", over.cost);
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -89,7 +89,7 @@
 }
 
 /// Sends reports of crashes, by request fingerprint, to a control machine, also to one that connects later. All control
-/// machines receive them: another router may be connected to any of them only.
+/// machines receive them, because the next router may get its updates from any of them.
 pub(super) async fn send_crash_reports(router: &Rc<Router>, sender: &Sender) -> &'static str {
     let mut cursor = 0;
     loop {
--- a/crates/gateway/src/server_tests.rs
+++ b/crates/gateway/src/server_tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_full_server_that_closes_keeps_its_open_connections() {
+fn a_full_server_closes_further_connections_and_keeps_open_ones() {
     run(async {
         let address = server_with_one_slot(WhenFull::Close).await;
         let mut first = connect(address).await;
@@ -63,7 +63,7 @@
 
 /// A router's readiness depends on it: a router without free slots must not be called ready.
 #[test]
-fn taken_slots_show_until_connections_end() {
+fn all_slots_are_taken_until_connections_end() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_full_server_that_waits_serves_further_connections_later() {
+fn a_full_server_lets_further_connections_wait_for_a_slot() {
     run(async {
         let address = server_with_one_slot(WhenFull::Wait).await;
         let mut first = connect(address).await;
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -36,7 +36,7 @@
 /// Settings of a control machine.
 #[derive(Clone)]
 pub struct ControlSettings {
-    /// This machine's name; also identifies it as the holder of leases on orders.
+    /// This machine's name, for logs; also sent as the holder in its orders.
     pub node: String,
     /// This machine's address.
     pub ip: Ipv4Addr,
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -26,7 +26,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Idle time after which a connection is closed when the peer does not state a limit.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection is closed this long before its idle limit, so that no request is sent while the peer closes it.
+/// Safety margin: an idle connection is no longer used this long before its idle limit.
 const IDLE_MARGIN: Duration = Duration::from_millis(600);
 /// Idle connections kept per back end.
 const MAX_IDLE_CONNECTIONS: usize = 16;
@@ -133,7 +133,7 @@
     }
 
     /// Returns a connection that is ready for a request. Opens one while there are fewer than `max_connections` to the
-    /// back end, else waits up to `time_limit` for a free one.
+    /// back end, else waits for a free one. Takes at most `time_limit` plus [`CONNECT_TIMEOUT`].
     pub async fn connect(
         &self,
         instance: &InstanceId,
