--- a/crates/gateway-core/src/control/load_timing.rs
+++ b/crates/gateway-core/src/control/load_timing.rs
@@ -40,7 +40,7 @@
         let rounds = u32::try_from(ROUNDS).unwrap_or(u32::MAX);
         let share = waiting.len() as f64 / self.state.instances().count().max(1) as f64;
         let needed = LOAD_CYCLE.mul_f64(f64::from(rounds) * share.min(1.0)) + LOAD_SLACK;
-        oldest + needed >= self.params.load_within || !self.is_pool_busy(loads)
+        oldest + needed >= self.params.load_deadline || !self.is_pool_busy(loads)
     }
 
     /// True while the back ends that could be loaded have so much to read that the others could not
--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -40,7 +40,7 @@
 pub use members::{address_of, bootstrap_id};
 pub use order::{Order, OrderId, OrderOutcome, Report};
 pub use params::ControlParams;
-pub use stored::StoreNews;
+pub use stored::StoreUpdate;
 
 use accounts::TenantAccounts;
 use fetches::Fetches;
--- a/crates/gateway-core/src/control/params.rs
+++ b/crates/gateway-core/src/control/params.rs
@@ -28,7 +28,7 @@
     /// Between telling routers that a back end loads weights and ordering it to.
     pub load_notice: Duration,
     /// Back ends hold new weights within this time after they were named.
-    pub load_within: Duration,
+    pub load_deadline: Duration,
     /// A voter that was silent this long gives way to a replica that waits to vote.
     pub voter_silence: Duration,
 }
@@ -61,7 +61,7 @@
             patience: Duration::from_millis(850),
             order_lease: Duration::from_millis(3_300),
             load_notice: Duration::from_millis(250),
-            load_within: Duration::from_secs(6),
+            load_deadline: Duration::from_secs(6),
             voter_silence: Duration::from_secs(5),
         }
     }
--- a/crates/gateway-core/src/control/stored.rs
+++ b/crates/gateway-core/src/control/stored.rs
@@ -12,7 +12,7 @@
 
 /// News of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreNews {
+pub enum StoreUpdate {
     /// All that it holds.
     Holds(Vec<StoredKey>),
     /// Parts that came or went.
@@ -55,20 +55,20 @@
         }
     }
 
-    fn take_in(&mut self, news: StoreNews) {
+    fn take_in(&mut self, news: StoreUpdate) {
         match news {
-            StoreNews::Holds(keys) => {
+            StoreUpdate::Holds(keys) => {
                 let keys: BTreeSet<StoredKey> = keys.into_iter().collect();
                 if self.held.as_ref() != Some(&keys) {
                     self.held = Some(keys);
                     self.reset = true;
                 }
             }
-            StoreNews::Lost => {
+            StoreUpdate::Lost => {
                 // Of one that this leader never heard routers may believe what another one told.
                 self.reset |= self.held.take().is_some() || !self.was_told;
             }
-            StoreNews::Changed { added, removed } => self.change(added, removed),
+            StoreUpdate::Changed { added, removed } => self.change(added, removed),
         }
         self.changed |= self.reset;
         self.was_told |= self.changed;
@@ -113,7 +113,7 @@
 
 impl<D: Directory> ControlCore<D> {
     /// Takes in news of a store of cached prompts.
-    pub fn on_store_news(&mut self, now: Timestamp, store: StoreId, news: StoreNews) {
+    pub fn on_store_update(&mut self, now: Timestamp, store: StoreId, news: StoreUpdate) {
         self.now = now;
         self.stores.0.entry(store).or_default().take_in(news);
     }
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -29,7 +29,7 @@
 pub use command::{Command, LoadPhase, Proposal, ProposalId};
 pub use control::{
     address_of, bootstrap_id, ConnectionId, ControlCore, ControlParams, Effect, Heartbeat, Order,
-    OrderId, OrderOutcome, Reply, Report, StoreNews, Ticket,
+    OrderId, OrderOutcome, Reply, Report, StoreUpdate, Ticket,
 };
 pub use document::{
     CacheStore, Document, InvalidDocument, Limits, ModelPool, Pool, RequestKind, Route, Share,
--- a/crates/gateway-core/src/router/copies.rs
+++ b/crates/gateway-core/src/router/copies.rs
@@ -68,7 +68,7 @@
         copy: &RunCopy,
         earlier: EarlierAttempts<'_>,
     ) -> Result<Choice, ChoiceError> {
-        self.judge_work(now, &earlier)?;
+        self.check_fingerprint(now, &earlier)?;
         if earlier.arrived > 0 && !self.budget.may_retry(now, &admission.pool) {
             return Err(ChoiceError::NoBudget);
         }
--- a/crates/gateway-core/src/router/endpoint.rs
+++ b/crates/gateway-core/src/router/endpoint.rs
@@ -7,7 +7,7 @@
 use drumshore_core::Timestamp;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::notices::{HeldNotices, Permission};
+use super::notices::{NoticeState, Permission};
 use super::summary::Summary;
 use crate::{InstanceRecord, LoadEntry};
 
@@ -103,14 +103,14 @@
     /// How long this router's requests stay there, on the mean.
     stay: Duration,
     /// What it said of itself to this router.
-    pub notices: HeldNotices,
+    pub notices: NoticeState,
     /// When bytes of an answer came last; shared with the answers that are passed on.
     pub heard: Rc<Cell<Timestamp>>,
 }
 
 impl Endpoint {
     /// One that is new, and what it said of itself before.
-    pub fn new(record: &Rc<InstanceRecord>, notices: HeldNotices) -> Self {
+    pub fn new(record: &Rc<InstanceRecord>, notices: NoticeState) -> Self {
         Self {
             record: Rc::clone(record),
             summary: Summary::of(record),
--- a/crates/gateway-core/src/router/endpoints.rs
+++ b/crates/gateway-core/src/router/endpoints.rs
@@ -8,7 +8,7 @@
 
 use super::addresses::Addresses;
 use super::endpoint::{Endpoint, Outcome};
-use super::notices::{Hearing, NoticeChange, NoticesOfAbsent};
+use super::notices::{NoticeContext, NoticeChange, AbsentNotices};
 use super::summary::{NameHash, Summary};
 use crate::{BackEndNotice, InstanceId, InstanceRecord, LoadEntry, PoolName};
 
@@ -33,7 +33,7 @@
     loaded_by_others: BTreeSet<u32>,
     addresses: Addresses,
     /// Of back ends that control machines do not name at present.
-    notices_of_absent: NoticesOfAbsent,
+    notices_of_absent: AbsentNotices,
     /// Those that name a limit.
     limited: BTreeSet<InstanceId>,
 }
@@ -241,7 +241,7 @@
         &mut self,
         instance: &InstanceId,
         notice: BackEndNotice,
-        hearing: Hearing,
+        hearing: NoticeContext,
     ) -> NoticeChange {
         let Some(endpoint) = self.by_id.get_mut(instance) else {
             return self.notices_of_absent.take_in(instance, notice, hearing);
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -57,7 +57,7 @@
 use budget::RetryBudget;
 use endpoints::Endpoints;
 use holders::Holders;
-use notices::{Hearing, RoomUnderLimits};
+use notices::{NoticeContext, RetrySchedule};
 use overload::PoolLoads;
 use prompt_mix::PromptMix;
 use router_count::RouterCount;
@@ -106,7 +106,7 @@
     first_draw: u64,
     /// Routers that share limits, retries and connections.
     router_count: RouterCount,
-    room_under_limits: RoomUnderLimits,
+    retry_schedule: RetrySchedule,
     stores: Stores,
     holders: Holders,
     suspects: Vec<u32>,
@@ -129,7 +129,7 @@
             first_draw: xxh3_64(&seed.to_le_bytes()),
             params,
             router_count: RouterCount::default(),
-            room_under_limits: RoomUnderLimits::default(),
+            retry_schedule: RetrySchedule::default(),
             stores: Stores::default(),
             holders: Holders::default(),
             suspects: Vec::new(),
@@ -252,7 +252,7 @@
         let endpoint = self.endpoints.get(instance);
         endpoint.is_some_and(|endpoint| {
             let is_ready = endpoint.record.lifecycle == Lifecycle::Ready;
-            is_ready && !endpoint.notices.say_it_leaves(now)
+            is_ready && !endpoint.notices.announced_leaving(now)
         })
     }
 
@@ -289,7 +289,7 @@
         prompt: Option<&Prompt>,
         earlier: EarlierAttempts<'_>,
     ) -> Result<Choice, ChoiceError> {
-        self.judge_work(now, &earlier)?;
+        self.check_fingerprint(now, &earlier)?;
         let is_retry = earlier.arrived > 0;
         if earlier.tried.is_empty() {
             self.budget.on_request(now, &admission.pool);
@@ -380,7 +380,7 @@
         notice: BackEndNotice,
         asked: Timestamp,
     ) -> NoticeChange {
-        let hearing = Hearing {
+        let hearing = NoticeContext {
             now,
             asked,
             routers: self.router_count.get(),
--- a/crates/gateway-core/src/router/notices.rs
+++ b/crates/gateway-core/src/router/notices.rs
@@ -36,7 +36,7 @@
 
 /// What one back end said of itself.
 #[derive(Clone, Debug, Default)]
-pub(super) struct HeldNotices {
+pub(super) struct NoticeState {
     /// It asked for no requests until then.
     backoff_until: Timestamp,
     /// It leaves, and is taken to until then.
@@ -72,7 +72,7 @@
 
 /// By what and when a notice came.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Hearing {
+pub(super) struct NoticeContext {
     pub now: Timestamp,
     /// When the request was sent that the notice is in the answer to.
     pub asked: Timestamp,
@@ -129,11 +129,11 @@
     Ended,
 }
 
-impl HeldNotices {
+impl NoticeState {
     pub fn take_in(
         &mut self,
         notice: BackEndNotice,
-        hearing: Hearing,
+        hearing: NoticeContext,
         in_flight: u32,
     ) -> NoticeChange {
         let now = hearing.now;
@@ -159,7 +159,7 @@
     fn take_in_limit(
         &mut self,
         named: Option<RequestRate>,
-        hearing: Hearing,
+        hearing: NoticeContext,
     ) -> Option<LimitChange> {
         let now = hearing.now;
         let Some(held) = &mut self.limit else {
@@ -256,7 +256,7 @@
     }
 
     /// Whether it said that it leaves.
-    pub fn say_it_leaves(&self, now: Timestamp) -> bool {
+    pub fn announced_leaving(&self, now: Timestamp) -> bool {
         self.leaves_until > now
     }
 
@@ -272,11 +272,11 @@
 /// What back ends said that control machines do not name at present. They may name them again: one that is cut
 /// off from them and from no router is removed and comes back, and what it said holds on.
 #[derive(Debug, Default)]
-pub(super) struct NoticesOfAbsent(BTreeMap<InstanceId, HeldNotices>);
+pub(super) struct AbsentNotices(BTreeMap<InstanceId, NoticeState>);
 
-impl NoticesOfAbsent {
+impl AbsentNotices {
     /// A back end is no longer named.
-    pub fn keep(&mut self, instance: InstanceId, notices: HeldNotices) {
+    pub fn keep(&mut self, instance: InstanceId, notices: NoticeState) {
         if notices.ends_at() > Timestamp::default() {
             self.0.insert(instance, notices);
         }
@@ -290,7 +290,7 @@
     }
 
     /// It is named again.
-    pub fn restore(&mut self, instance: &InstanceId) -> HeldNotices {
+    pub fn restore(&mut self, instance: &InstanceId) -> NoticeState {
         self.0.remove(instance).unwrap_or_default()
     }
 
@@ -299,7 +299,7 @@
         &mut self,
         instance: &InstanceId,
         notice: BackEndNotice,
-        hearing: Hearing,
+        hearing: NoticeContext,
     ) -> NoticeChange {
         self.0.retain(|_, notices| notices.ends_at() > hearing.now);
         let notices = self.0.entry(instance.clone()).or_default();
@@ -317,7 +317,7 @@
 impl RouterCore {
     /// When all back ends that could take a request have asked for no requests: until when. For the answer to one
     /// that was sent to the last of them.
-    pub fn backoff_of_all(
+    pub fn pool_backoff(
         &mut self,
         now: Timestamp,
         admission: &Admission,
@@ -325,14 +325,14 @@
     ) -> Option<ChoiceError> {
         let draw = self.random.random();
         let none_left = self.candidates(now, admission, prompt).is_empty();
-        let reason = none_left.then(|| self.none_takes_requests(now, admission, prompt, draw));
+        let reason = none_left.then(|| self.no_candidate_error(now, admission, prompt, draw));
         reason.filter(|reason| matches!(reason, ChoiceError::BackedOff(_)))
     }
 
     /// Why no back end of a pool takes a request. When all have asked for no requests, or have got what they take,
     /// its caller is told when the first of them takes some again: holding the request until then would let it die
     /// with this router, and sending it all the same would be turned away, or more than the back end has room for.
-    pub(super) fn none_takes_requests(
+    pub(super) fn no_candidate_error(
         &mut self,
         now: Timestamp,
         admission: &Admission,
@@ -357,7 +357,7 @@
         let own_rate: f64 = limits.sum();
         let draw = draw as f64 / u64::MAX as f64;
         let retry_after = if own_rate > 0.0 {
-            let room = &mut self.room_under_limits;
+            let room = &mut self.retry_schedule;
             room.next(now, &admission.pool, soonest, own_rate) + LEAST_SPREAD.mul_f64(draw)
         } else {
             soonest + soonest.mul_f64(SPREAD).max(LEAST_SPREAD).mul_f64(draw)
@@ -373,9 +373,9 @@
 /// When callers that were refused return to pools whose back ends limit what they take: one after the other, as this
 /// router's part of the limits has room. Were all told of the next moment, one of them would be served then.
 #[derive(Debug, Default)]
-pub(super) struct RoomUnderLimits(BTreeMap<PoolName, Timestamp>);
+pub(super) struct RetrySchedule(BTreeMap<PoolName, Timestamp>);
 
-impl RoomUnderLimits {
+impl RetrySchedule {
     /// When the next caller has room, who was refused now; `soonest` is when the first has.
     fn next(
         &mut self,
--- a/crates/gateway-core/src/router/notices_tests.rs
+++ b/crates/gateway-core/src/router/notices_tests.rs
@@ -25,8 +25,8 @@
     }
 }
 
-fn hearing(now: Timestamp) -> Hearing {
-    Hearing {
+fn hearing(now: Timestamp) -> NoticeContext {
+    NoticeContext {
         now,
         asked: now,
         routers: 1,
@@ -317,9 +317,9 @@
 
 #[test]
 fn what_is_kept_of_those_that_are_gone_is_bounded() {
-    let mut absent = NoticesOfAbsent::default();
+    let mut absent = AbsentNotices::default();
     for number in 0..3 * MOST_ABSENT as u64 {
-        let mut notices = HeldNotices::default();
+        let mut notices = NoticeState::default();
         notices.take_in(leaving(), hearing(at(number)), 0);
         absent.keep(id(&format!("app-{number}")), notices);
     }
@@ -445,7 +445,7 @@
 /// A pause within a limit, and the window after it: what lasts longer holds.
 #[test]
 fn a_pause_a_limit_and_leaving_hold_together() {
-    let mut notices = HeldNotices::default();
+    let mut notices = NoticeState::default();
     let all = BackEndNotice {
         retry_after: Some(PAUSE),
         is_leaving: true,
@@ -457,7 +457,7 @@
         is_leaving: false,
         ..all
     };
-    let mut notices = HeldNotices::default();
+    let mut notices = NoticeState::default();
     notices.take_in(paused, hearing(at(10)), 3);
     assert_eq!(
         notices.permission(at(1_010), 0),
--- a/crates/gateway-core/src/router/placement.rs
+++ b/crates/gateway-core/src/router/placement.rs
@@ -32,7 +32,7 @@
         let draw = self.random.random();
         let mut candidates = self.candidates(now, admission, prompt);
         if candidates.is_empty() {
-            return Err(self.none_takes_requests(now, admission, prompt, draw));
+            return Err(self.no_candidate_error(now, admission, prompt, draw));
         }
         if !earlier.tried.is_empty() {
             candidates.retain(|candidate| !earlier.tried.contains(candidate.id));
--- a/crates/gateway-core/src/router/suspected_work.rs
+++ b/crates/gateway-core/src/router/suspected_work.rs
@@ -123,13 +123,13 @@
 
 impl RouterCore {
     /// Moments at which back ends ended under the work, as far as this router knows.
-    pub fn ends_under(&self, work: WorkId) -> u32 {
+    pub fn crash_count(&self, work: WorkId) -> u32 {
         self.suspected_work.ends(work)
     }
 
     /// Whether work may run now. A call does not send suspected work on: its caller may come back, which
     /// spreads further runs in time and leaves room for what other routers saw.
-    pub(super) fn judge_work(
+    pub(super) fn check_fingerprint(
         &mut self,
         now: Timestamp,
         earlier: &EarlierAttempts<'_>,
@@ -169,7 +169,7 @@
 
     /// A back end ended while it had these works in hand, each since a time. Returns those of which that
     /// was not known, with the moments at which back ends ended under each.
-    pub fn on_back_end_ended(
+    pub fn on_back_end_crashed(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
@@ -213,7 +213,7 @@
 
     /// Takes in what a control machine added up. Reports only add up, so the most that any of them says
     /// counts, until one says that nothing is left, or the work has just run well here.
-    pub fn on_work_suspicions(&mut self, now: Timestamp, suspicions: &[WorkSuspicion]) {
+    pub fn on_fingerprint_suspicions(&mut self, now: Timestamp, suspicions: &[WorkSuspicion]) {
         let suspected = &mut self.suspected_work;
         for WorkSuspicion { work, ends } in suspicions {
             if *ends == 0 {
@@ -228,7 +228,7 @@
     }
 
     /// What this router saw of work since `cursor`, which moves on. A new link begins at 0.
-    pub fn work_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<WorkReport> {
+    pub fn fingerprint_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<WorkReport> {
         let suspected = &self.suspected_work;
         let skipped = cursor.saturating_sub(suspected.dropped_reports) as usize;
         *cursor = suspected.dropped_reports + suspected.reports.len() as u64;
--- a/crates/gateway-core/src/router/tests/suspected_work.rs
+++ b/crates/gateway-core/src/router/tests/suspected_work.rs
@@ -21,7 +21,7 @@
 fn end_under(router: &mut RouterCore, work: WorkId, names: &[&str]) {
     for (number, name) in names.iter().enumerate() {
         let now = at(1_000 * (1 + number as u64));
-        router.on_back_end_ended(now, &InstanceId::new(name), &[(work, now)]);
+        router.on_back_end_crashed(now, &InstanceId::new(name), &[(work, now)]);
     }
 }
 
@@ -48,7 +48,7 @@
     let mut router = router();
     if told {
         let work = work("a");
-        router.on_work_suspicions(at(1), &[WorkSuspicion { work, ends: 3 }]);
+        router.on_fingerprint_suspicions(at(1), &[WorkSuspicion { work, ends: 3 }]);
     } else {
         update(&mut router, at(1), with_quarantine(10, 11, &[work("a")]));
     }
@@ -78,10 +78,10 @@
         at(3_200),
         with_quarantine(11, 12, &[work("b")]),
     );
-    assert_eq!(router.ends_under(work("a")), 0);
+    assert_eq!(router.crash_count(work("a")), 0);
     assert!(choose(&mut router, first_of(work("a"))).is_ok());
     assert!(choose(&mut router, first_of(work("b"))).is_err());
-    let reports = router.work_reports_since(at(3_300), &mut 0);
+    let reports = router.fingerprint_reports_since(at(3_300), &mut 0);
     assert!(
         reports.is_empty(),
         "a control machine that links later hears nothing of it"
@@ -131,7 +131,7 @@
         work: work("a"),
         ends: 2,
     };
-    router.on_work_suspicions(at(1), &[suspicion]);
+    router.on_fingerprint_suspicions(at(1), &[suspicion]);
     let admission = admit(&mut router, at(1), "/a/b/x");
     for session in ["s1", "s2", "s3", "s4"] {
         let prompt = prompt(session, 300);
@@ -147,11 +147,11 @@
     let mut router = router();
     end_under(&mut router, work("a"), &["app-1", "app-2"]);
     let (mut early, mut late) = (0, 0);
-    assert_eq!(router.work_reports_since(at(2_000), &mut early).len(), 2);
-    assert!(router.work_reports_since(at(2_000), &mut early).is_empty());
+    assert_eq!(router.fingerprint_reports_since(at(2_000), &mut early).len(), 2);
+    assert!(router.fingerprint_reports_since(at(2_000), &mut early).is_empty());
     end_under(&mut router, work("b"), &["app-1"]);
-    assert_eq!(router.work_reports_since(at(2_500), &mut early).len(), 1);
-    let all = router.work_reports_since(at(2_500), &mut late);
+    assert_eq!(router.fingerprint_reports_since(at(2_500), &mut early).len(), 1);
+    let all = router.fingerprint_reports_since(at(2_500), &mut late);
     let ages: Vec<u32> = all.iter().map(|report| report.age_ms).collect();
     assert_eq!(ages, [1_500, 500, 1_500]);
 }
@@ -166,7 +166,7 @@
     end_under(&mut router, work("a"), &["app-1", "app-2", "app-3"]);
     assert!(router.on_work_completed(at(3_100), work("a")));
     assert!(choose(&mut router, first_of(work("a"))).is_ok());
-    let reports = router.work_reports_since(at(3_200), &mut 3);
+    let reports = router.fingerprint_reports_since(at(3_200), &mut 3);
     let events: Vec<WorkEvent> = reports.iter().map(|report| report.event).collect();
     assert_eq!(events, [WorkEvent::Completed]);
 }
@@ -183,7 +183,7 @@
     router.on_trial_permitted(at(3_500), work("a"));
     assert!(router.is_suspected(Some(work("a"))));
     let too_late = at(23_500);
-    let judged = router.judge_work(too_late, &first_of(work("a")));
+    let judged = router.check_fingerprint(too_late, &first_of(work("a")));
     assert_eq!(judged, Err(ChoiceError::Quarantined));
 }
 
@@ -209,8 +209,8 @@
     let mut router = router();
     end_under(&mut router, work("a"), &["app-1"]);
     router.on_work_completed(at(2_000), work("a"));
-    assert_eq!(router.work_reports_since(at(2_100), &mut 0).len(), 1);
-    assert!(router.work_reports_since(at(12_100), &mut 0).is_empty());
+    assert_eq!(router.fingerprint_reports_since(at(2_100), &mut 0).len(), 1);
+    assert!(router.fingerprint_reports_since(at(12_100), &mut 0).is_empty());
 }
 
 /// Requests that are all the same work, such as a question for a status, are in hand at every back end that
@@ -223,10 +223,10 @@
     for name in ["app-1", "app-2", "app-3"] {
         let now = at(1_000 + 300 * u64::from(name.as_bytes()[4] - b'0'));
         let in_hand = [(work("common"), at(950)), (work("ending"), at(950))];
-        router.on_back_end_ended(now, &InstanceId::new(name), &in_hand);
+        router.on_back_end_crashed(now, &InstanceId::new(name), &in_hand);
     }
-    assert_eq!(router.ends_under(work("common")), 0);
-    assert_eq!(router.ends_under(work("ending")), 3);
+    assert_eq!(router.crash_count(work("common")), 0);
+    assert_eq!(router.crash_count(work("ending")), 3);
 }
 
 /// The router that saw a back end end need not be the one that has run the work well: each contradicts what
@@ -241,12 +241,12 @@
     let mut cursor = 0;
     if suspicion {
         let work = work("common");
-        router.on_work_suspicions(at(1_000), &[WorkSuspicion { work, ends: 3 }]);
+        router.on_fingerprint_suspicions(at(1_000), &[WorkSuspicion { work, ends: 3 }]);
     } else {
         let quarantined = with_quarantine(10, 11, &[work("common"), work("ending")]);
         update(&mut router, at(1_000), quarantined);
     }
-    let reports = router.work_reports_since(at(1_000), &mut cursor);
+    let reports = router.fingerprint_reports_since(at(1_000), &mut cursor);
     let events: Vec<(WorkId, WorkEvent)> = reports
         .iter()
         .map(|report| (report.work, report.event))
@@ -265,8 +265,8 @@
     router.on_work_completed(at(900), work("a"));
     let later = at(12_000);
     router.on_work_completed(later, work("another"));
-    router.on_back_end_ended(later, &InstanceId::new("app-1"), &[(work("a"), later)]);
-    assert_eq!(router.ends_under(work("a")), 1);
+    router.on_back_end_crashed(later, &InstanceId::new("app-1"), &[(work("a"), later)]);
+    assert_eq!(router.crash_count(work("a")), 1);
 }
 
 #[test]
--- a/crates/gateway-core/tests/control/back_ends.rs
+++ b/crates/gateway-core/tests/control/back_ends.rs
@@ -133,8 +133,8 @@
     let former = cluster.leader().unwrap();
     let store = StoreId::at("10.0.9.1:80");
     let now = cluster.now;
-    let holds = StoreNews::Holds(vec![StoredKey::new("salt", "a")]);
-    cluster.core(former).on_store_news(now, store, holds);
+    let holds = StoreUpdate::Holds(vec![StoredKey::new("salt", "a")]);
+    cluster.core(former).on_store_update(now, store, holds);
     cluster.kill(former);
     cluster.run(4 * SECOND);
     let leader = cluster.leader().unwrap();
@@ -142,7 +142,7 @@
     let told_of_loss = |cluster: &mut Cluster| {
         let now = cluster.now;
         let core = cluster.core(leader);
-        core.on_store_news(now, store, StoreNews::Lost);
+        core.on_store_update(now, store, StoreUpdate::Lost);
         cluster.to_routers.clear();
         cluster.run(Duration::from_millis(100));
         let mut sent = cluster.to_routers.iter();
--- a/crates/gateway-core/tests/control/main.rs
+++ b/crates/gateway-core/tests/control/main.rs
@@ -17,7 +17,7 @@
 use cluster::{address, back_end, Cluster};
 use drumshore_gateway_core::{
     ConnectionId, ControlParams, HolderEntry, Lifecycle, LoadEntry, Message, ModelName,
-    OrderOutcome, Reply, Report, StoreId, StoreNews, StoredKey,
+    OrderOutcome, Reply, Report, StoreId, StoreUpdate, StoredKey,
 };
 use drumshore_wire::List;
 use rstest::rstest;
@@ -47,7 +47,7 @@
 
 fn impatient() -> ControlParams {
     ControlParams {
-        load_within: Duration::ZERO,
+        load_deadline: Duration::ZERO,
         ..ControlParams::default()
     }
 }
--- a/crates/gateway-core/tests/control/routers.rs
+++ b/crates/gateway-core/tests/control/routers.rs
@@ -226,7 +226,7 @@
     let store = StoreId::at("10.0.9.1:80");
     let mut told = |news| {
         let now = cluster.now;
-        cluster.core(leader).on_store_news(now, store, news);
+        cluster.core(leader).on_store_update(now, store, news);
         cluster.to_routers.clear();
         cluster.run(Duration::from_millis(100));
         let messages = cluster.to_routers.iter();
@@ -244,15 +244,15 @@
         removed: List::new(Vec::new()),
     };
     assert_eq!(
-        told(StoreNews::Holds(vec![key("a")])),
+        told(StoreUpdate::Holds(vec![key("a")])),
         stored(1, 1, vec![key("a")])
     );
-    let gained = StoreNews::Changed {
+    let gained = StoreUpdate::Changed {
         added: vec![key("a"), key("b")],
         removed: Vec::new(),
     };
     assert_eq!(told(gained), stored(1, 0, vec![key("b")]));
-    assert_eq!(told(StoreNews::Lost), stored(0, 1, Vec::new()));
+    assert_eq!(told(StoreUpdate::Lost), stored(0, 1, Vec::new()));
 }
 
 fn holder(prefix: u32) -> HolderEntry {
--- a/crates/gateway-core/tests/pauses/mod.rs
+++ b/crates/gateway-core/tests/pauses/mod.rs
@@ -355,7 +355,7 @@
         self.pauses.insert((router, key), until);
         self.fresh_pauses.push((router, key));
         let admission = core.admit(now, head()).unwrap();
-        let error = core.backoff_of_all(now, &admission, None);
+        let error = core.pool_backoff(now, &admission, None);
         self.refuse(caller, error);
     }
 
--- a/crates/gateway/src/control/back_ends.rs
+++ b/crates/gateway/src/control/back_ends.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use drumshore_core::Timestamp;
-use drumshore_gateway_core::{InstanceId, Order, OrderOutcome, Report, RequestRate};
+use drumshore_gateway_core::{InstanceId, Order, OrderOutcome, BackEndReport, RequestRate};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE, HOST};
 use hyper::{Request, StatusCode};
@@ -203,7 +203,7 @@
         if let Some(limit) = answer.as_ref().and_then(|answer| answer.limit) {
             control.back_ends.record_limit(&control, &instance, limit);
         }
-        let report: Option<Report> = answer
+        let report: Option<BackEndReport> = answer
             .filter(|answer| answer.status == StatusCode::OK)
             .and_then(|answer| control.dialect.report(&answer.body).ok());
         control.with_core(|core, now| core.on_report(now, &instance, report.as_ref()));
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -272,7 +272,7 @@
                 }
             }
             Effect::Applied { position, command } => applied::log(position, &command),
-            Effect::WorkSuspected { work, ends } => {
+            Effect::FingerprintSuspected { work, ends } => {
                 tracing::info!(
                     event = "work_suspected",
                     work = format_args!("{work:#}"),
@@ -288,7 +288,7 @@
                 );
             }
             Effect::Order(order) => back_ends::send_order(self, order),
-            Effect::Ask { instance, address } => back_ends::query_report(self, instance, address),
+            Effect::RequestReport { instance, address } => back_ends::query_report(self, instance, address),
         }
     }
 
--- a/crates/gateway/src/control/store.rs
+++ b/crates/gateway/src/control/store.rs
@@ -7,7 +7,7 @@
 
 use drumshore_consensus::Role;
 use drumshore_core::Timestamp;
-use drumshore_gateway_core::{InstanceId, StoreId, StoreNews, StoredKey};
+use drumshore_gateway_core::{InstanceId, StoreId, StoreUpdate, StoredKey};
 use hyper::StatusCode;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
@@ -50,7 +50,7 @@
             let is_wanted = wanted.contains(address);
             if !is_wanted {
                 follower.abort();
-                report(&control, address, StoreNews::Lost);
+                report(&control, address, StoreUpdate::Unreachable);
             }
             is_wanted
         });
@@ -78,7 +78,7 @@
             tracing::info!(event = "store_found", %address, "control: a store responds; following its events");
         }
         if new_position.is_none() {
-            report(&control, &address, StoreNews::Lost);
+            report(&control, &address, StoreUpdate::Unreachable);
             sleep(CHECK_INTERVAL).await;
         }
         position = new_position;
@@ -90,7 +90,7 @@
 async fn resync(control: &Control, address: &str) -> Option<Position> {
     let events = query_events(control, address, 0, Duration::ZERO).await?;
     let list = query_list(control, address).await?;
-    report(control, address, StoreNews::Holds(list));
+    report(control, address, StoreUpdate::Contents(list));
     Some(Position {
         epoch: events.epoch,
         next: events.next,
@@ -115,7 +115,7 @@
         report(
             control,
             address,
-            StoreNews::Changed {
+            StoreUpdate::Changed {
                 added: added_events.into_iter().map(|event| event.key).collect(),
                 removed: removed_events.into_iter().map(|event| event.key).collect(),
             },
@@ -148,9 +148,9 @@
     (answer.status == StatusCode::OK).then_some(answer.body)
 }
 
-fn report(control: &Control, address: &str, news: StoreNews) {
+fn report(control: &Control, address: &str, news: StoreUpdate) {
     let store = StoreId::at(address);
-    control.with_core(|core, now| core.on_store_news(now, store, news));
+    control.with_core(|core, now| core.on_store_update(now, store, news));
 }
 
 impl Control {
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use drumshore_gateway_core::{
     BackEndNotice, Document, Heartbeat, InstanceId, InvalidDocument, ModelName, Order, Prompt,
-    Report, StoredKey,
+    BackEndReport, StoredKey,
 };
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{HeaderMap, Method, StatusCode, Uri};
@@ -154,7 +154,7 @@
     fn report_call(&self) -> OutboundCall;
 
     /// Parses a back end's report.
-    fn report(&self, body: &[u8]) -> Result<Report, InvalidCall>;
+    fn report(&self, body: &[u8]) -> Result<BackEndReport, InvalidCall>;
 
     /// The call that queries a store for changes since a position; the store may wait up to `wait` for the next change.
     fn store_events_call(&self, since: u64, wait: Duration) -> OutboundCall;
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -319,7 +319,7 @@
             );
         }
         Message::WorkSuspicions(suspicions) => {
-            on_work_suspicions(router, address, &suspicions.items);
+            on_fingerprint_suspicions(router, address, &suspicions.items);
         }
         Message::TryWork(work) => {
             let now = router.clock.now();
@@ -351,9 +351,9 @@
     }
 }
 
-fn on_work_suspicions(router: &Router, address: Ipv4Addr, suspicions: &[WorkSuspicion]) {
+fn on_fingerprint_suspicions(router: &Router, address: Ipv4Addr, suspicions: &[WorkSuspicion]) {
     let now = router.clock.now();
-    router.core.borrow_mut().on_work_suspicions(now, suspicions);
+    router.core.borrow_mut().on_fingerprint_suspicions(now, suspicions);
     router.crash_reports_changed.notify_waiters();
     for WorkSuspicion { work, ends } in suspicions {
         tracing::info!(event = "work_suspected", %work, ends, by = %address,
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -189,7 +189,7 @@
     };
     let fingerprint = fingerprint_of(router, &parts, &admission, &body);
     let core = router.core.borrow();
-    let ends_before_call = fingerprint.map_or(0, |fingerprint| core.ends_under(fingerprint));
+    let ends_before_call = fingerprint.map_or(0, |fingerprint| core.crash_count(fingerprint));
     Ok(Call {
         id,
         fingerprint,
@@ -267,7 +267,7 @@
     let now = router.clock.now();
     let prompt = call.prompt.as_ref();
     let mut core = router.core.borrow_mut();
-    let error = core.backoff_of_all(now, &call.admission, prompt);
+    let error = core.pool_backoff(now, &call.admission, prompt);
     drop(core);
     refusal::answer_unserved(router, &call, &attempts.tried, worst_execution, error)
 }
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -94,7 +94,7 @@
     let mut cursor = 0;
     loop {
         let now = router.clock.now();
-        let reports = router.core.borrow().work_reports_since(now, &mut cursor);
+        let reports = router.core.borrow().fingerprint_reports_since(now, &mut cursor);
         if !reports.is_empty() && !sender.send(&Message::WorkReports(List::new(reports))) {
             return "closed";
         }
