--- a/crates/gateway/src/control/back_ends.rs
+++ b/crates/gateway/src/control/back_ends.rs
@@ -1,4 +1,4 @@
-//! Calls from a control machine to back ends: orders and questions.
+//! Calls from a control machine to back ends: orders, and queries of their state.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -18,27 +18,32 @@
 use crate::unknown_headers::UnknownHeaders;
 use crate::upstream::Upstreams;
 
-/// A back end that takes an order says so at once.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// Timeout of a call. A back end acknowledges an order at once, before it carries it out.
+const TIMEOUT: Duration = Duration::from_millis(400);
+/// Connections to one back end.
 const CONNECTIONS: usize = 2;
-const MOST_ANSWER_BYTES: usize = 1 << 20;
-/// Between two questions to a back end that limits what it takes. One that loads weights is asked several times a
-/// second otherwise, which is more than some take of all callers. A load is noticed so much later.
-const QUESTION_INTERVAL_UNDER_LIMIT: Duration = Duration::from_secs(2);
-
-/// Connections to back ends, and until when some of them want no calls of this machine.
+/// Limit of the body of an answer.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// Interval between queries to a back end that limits its rate of requests. Without a limit, a back end that loads
+/// weights is queried several times a second, which exceeds what some accept from all callers together. The end of a
+/// load is detected later by up to this interval.
+const QUERY_INTERVAL_UNDER_LIMIT: Duration = Duration::from_secs(2);
+
+/// Connections to back ends, and the back ends that must not be called for a while.
 pub(super) struct BackEnds {
     upstreams: Upstreams,
+    /// The end of the backoff that a back end requested.
     backoff_until: RefCell<HashMap<InstanceId, Timestamp>>,
-    /// Of those that limit what they take: until when they are asked nothing.
-    no_question_until: RefCell<HashMap<InstanceId, Timestamp>>,
+    /// The time of the next allowed query, for back ends that limit their rate of requests.
+    no_query_until: RefCell<HashMap<InstanceId, Timestamp>>,
     unknown_headers: UnknownHeaders,
 }
 
+/// The answer of a back end or store to a call.
 pub(super) struct CallAnswer {
     pub status: StatusCode,
     pub body: Bytes,
-    /// What the back end takes from all callers.
+    /// The rate of requests that the back end accepts from all callers together, if it is limited.
     pub limit: Option<RequestRate>,
 }
 
@@ -47,13 +52,13 @@
         Self {
             upstreams,
             backoff_until: RefCell::default(),
-            no_question_until: RefCell::default(),
+            no_query_until: RefCell::default(),
             unknown_headers: UnknownHeaders::default(),
         }
     }
 
-    /// Calls a back end, or a store, which expects no instance. One that asked this machine for no calls gets none:
-    /// as if it had not answered.
+    /// Calls a back end, or a store; `expect` adds the expected instance, which stores do not use. `None` when there is no
+    /// answer, or when the back end has requested a backoff, in which case nothing is sent.
     pub async fn call(
         &self,
         control: &Control,
@@ -64,26 +69,26 @@
     ) -> Option<CallAnswer> {
         let connecting = self
             .upstreams
-            .connect(instance, address, CONNECTIONS, PATIENCE);
+            .connect(instance, address, CONNECTIONS, TIMEOUT);
         let mut connection = connecting.await.ok()?;
         if self.backs_off(control.clock.now(), instance) {
-            connection.give_back(control.clock.now());
+            connection.release(control.clock.now());
             return None;
         }
         let request = request(control, expect.then_some(instance), address, call)?;
         let response = connection.send(request).await.ok()?;
         let status = response.status();
         let headers = response.headers();
-        let knows_of = |name: &HeaderName| control.dialect.knows_of(name);
+        let is_known_header = |name: &HeaderName| control.dialect.is_known_header(name);
         self.unknown_headers
-            .note(knows_of, &control.metrics, instance, headers);
+            .record(is_known_header, &control.metrics, instance, headers);
         let notice = control.dialect.notice(status, headers);
         if let Some(retry_after) = notice.retry_after {
-            self.note_backoff(control, instance, retry_after);
+            self.record_backoff(control, instance, retry_after);
         }
-        let body = Limited::new(response.into_body(), MOST_ANSWER_BYTES);
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
         let body = body.collect().await.ok()?.to_bytes();
-        connection.give_back(control.clock.now());
+        connection.release(control.clock.now());
         let limit = notice.limit;
         Some(CallAnswer {
             status,
@@ -92,21 +97,21 @@
         })
     }
 
-    /// False while a back end that limits what it takes was asked a moment ago.
-    fn may_ask(&self, now: Timestamp, instance: &InstanceId) -> bool {
-        let until = self.no_question_until.borrow().get(instance).copied();
+    /// False for a back end that limits its rate of requests and was queried less than the interval ago.
+    fn may_query(&self, now: Timestamp, instance: &InstanceId) -> bool {
+        let until = self.no_query_until.borrow().get(instance).copied();
         until.is_none_or(|until| until <= now)
     }
 
-    fn note_limit(&self, control: &Control, instance: &InstanceId, limit: RequestRate) {
+    fn record_limit(&self, control: &Control, instance: &InstanceId, limit: RequestRate) {
         let now = control.clock.now();
-        let mut no_question_until = self.no_question_until.borrow_mut();
-        no_question_until.retain(|_, until| *until > now);
-        let until = now.plus(QUESTION_INTERVAL_UNDER_LIMIT);
-        no_question_until.insert(instance.clone(), until);
+        let mut no_query_until = self.no_query_until.borrow_mut();
+        no_query_until.retain(|_, until| *until > now);
+        let until = now.plus(QUERY_INTERVAL_UNDER_LIMIT);
+        no_query_until.insert(instance.clone(), until);
         control.metrics.count_notice("limit");
         tracing::info!(event = "back_end_limit", %instance, requests_per_second = %limit,
-            "control: a back end limits what it takes from all callers");
+            "control: a back end set a limit on the rate of requests from all callers");
     }
 
     fn backs_off(&self, now: Timestamp, instance: &InstanceId) -> bool {
@@ -114,14 +119,14 @@
         until.is_some_and(|until| until > now)
     }
 
-    fn note_backoff(&self, control: &Control, instance: &InstanceId, retry_after: Duration) {
+    fn record_backoff(&self, control: &Control, instance: &InstanceId, retry_after: Duration) {
         let now = control.clock.now();
         let mut backoff_until = self.backoff_until.borrow_mut();
         backoff_until.retain(|_, until| *until > now);
         backoff_until.insert(instance.clone(), now.plus(retry_after));
         control.metrics.count_notice("backoff");
         tracing::info!(event = "back_end_backoff", %instance,
-            retry_after_ms = retry_after.as_millis() as u64, "control: a back end asks for no calls");
+            retry_after_ms = retry_after.as_millis() as u64, "control: a back end requested a backoff; making no calls to it until it is over");
     }
 }
 
@@ -148,20 +153,21 @@
     Some(request)
 }
 
-/// Gives an order; its outcome goes back to the core.
-pub(super) fn give_order(control: &Rc<Control>, order: Order) {
+/// Sends an order to a back end and reports the outcome to the core.
+pub(super) fn send_order(control: &Rc<Control>, order: Order) {
     let control = Rc::clone(control);
     tokio::task::spawn_local(async move {
         let call = control.dialect.order(&order);
-        let calling = control
-            .back_ends
-            .call(&control, &order.instance, &order.address, call, true);
-        let answer = timeout(PATIENCE, calling).await.ok().flatten();
+        let call_future =
+            control
+                .back_ends
+                .call(&control, &order.instance, &order.address, call, true);
+        let answer = timeout(TIMEOUT, call_future).await.ok().flatten();
         let outcome = answer.as_ref().map_or(OrderOutcome::Unknown, outcome_of);
         tracing::info!(event = "order", instance = %order.instance, model = %order.model,
             version = order.version, fencing_token = order.fencing_token,
             expected_orders = order.expected_orders, outcome = ?outcome,
-            "control: an order was given");
+            "control: sent an order to a back end");
         control.metrics.count_decision("order");
         control.with_core(|core, now| {
             core.on_order_outcome(now, &order.instance, order.id, outcome);
@@ -180,22 +186,22 @@
     }
 }
 
-/// Asks a back end what it holds; the answer goes back to the core.
-pub(super) fn ask(control: &Rc<Control>, instance: InstanceId, address: String) {
+/// Queries a back end for its state and passes the report to the core, or `None` without a valid report.
+pub(super) fn query_report(control: &Rc<Control>, instance: InstanceId, address: String) {
     let control = Rc::clone(control);
     tokio::task::spawn_local(async move {
-        let may_ask = control.back_ends.may_ask(control.clock.now(), &instance);
+        let may_query = control.back_ends.may_query(control.clock.now(), &instance);
         let call = control.dialect.report_call();
-        let calling = control
+        let call_future = control
             .back_ends
             .call(&control, &instance, &address, call, true);
-        let answer = if may_ask {
-            timeout(PATIENCE, calling).await.ok().flatten()
+        let answer = if may_query {
+            timeout(TIMEOUT, call_future).await.ok().flatten()
         } else {
             None
         };
         if let Some(limit) = answer.as_ref().and_then(|answer| answer.limit) {
-            control.back_ends.note_limit(&control, &instance, limit);
+            control.back_ends.record_limit(&control, &instance, limit);
         }
         let report: Option<BackEndReport> = answer
             .filter(|answer| answer.status == StatusCode::OK)
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control daemon: a replica of the state, its links, and its HTTP interface.
+//! The control daemon: a replica of the state, its links to other processes, and its HTTP interface.
 
 mod api;
 mod applied;
@@ -9,7 +9,7 @@
 mod peers;
 mod quarantine;
 mod store;
-mod traffic_line;
+mod traffic_log;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -42,22 +42,24 @@
 use crate::{run_on_event_loop, DaemonError};
 
 use back_ends::BackEnds;
-use configuration::KnownConfiguration;
+use configuration::CachedConfiguration;
 use connections::ConnectionLimits;
 use peers::Peers;
 
+/// How long a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Connections to the metrics listener.
 const MAX_METRICS_CONNECTIONS: usize = 32;
-/// Between two tries to open a folder whose disk failed.
-const REOPEN_AFTER: Duration = Duration::from_millis(500);
-/// Between handing leadership over and the end of the process.
-const HAND_OVER: Duration = Duration::from_millis(400);
+/// Delay before each attempt to open the data folder again after its disk failed.
+const REOPEN_DELAY: Duration = Duration::from_millis(500);
+/// Time between the start of the leadership transfer and the end of the process.
+const LEADERSHIP_TRANSFER: Duration = Duration::from_millis(400);
 
 type Core = ControlCore<FileDirectory>;
 
-/// What the tasks of a control machine share.
+/// State that the tasks of a control machine share.
 pub(crate) struct Control {
-    /// `None` while the disk fails.
+    /// The replica; `None` while its disk fails.
     core: RefCell<Option<Core>>,
     dialect: Rc<dyn Dialect>,
     settings: ControlSettings,
@@ -66,15 +68,19 @@
     traffic: Rc<LinkTraffic>,
     peers: Peers,
     back_ends: BackEnds,
+    /// The links to connected routers.
     routers: RefCell<HashMap<ConnectionId, Sender>>,
+    /// Calls that wait for a reply of the core.
     waiting: RefCell<HashMap<Ticket, oneshot::Sender<Reply>>>,
     next_ticket: Cell<u64>,
+    /// Notified after each operation on the core, whose effects must be stored and sent.
     flush: Notify,
+    /// The role at the last tick; `None` before the first one with an open replica.
     role: Cell<Option<Role>>,
-    configuration: RefCell<KnownConfiguration>,
+    configuration: RefCell<CachedConfiguration>,
 }
 
-/// Runs a control machine until it is told to stop.
+/// Runs a control machine until the process receives a stop signal.
 pub fn run(settings: ControlSettings, dialect: Rc<dyn Dialect>) -> Result<(), DaemonError> {
     run_on_event_loop(run_on_loop(settings, dialect))
 }
@@ -89,12 +95,12 @@
         Ok(core) => Some(core),
         Err(error) => {
             tracing::error!(event = "folder_failed", %error,
-                "control: the folder cannot be opened");
+                "control: cannot open the data folder");
             None
         }
     };
     let metrics = Metrics::new();
-    let traffic = LinkTraffic::counted_by(metrics.link_bytes.clone());
+    let traffic = LinkTraffic::with_counters(metrics.link_bytes.clone());
     let traffic = Rc::new(traffic);
     let control = Rc::new(Control {
         core: RefCell::new(core),
@@ -113,21 +119,27 @@
         settings,
     });
     listen(&control)?;
-    tokio::task::spawn_local(flush_when_asked(Rc::clone(&control)));
+    tokio::task::spawn_local(flush_on_request(Rc::clone(&control)));
     tokio::task::spawn_local(tick(Rc::clone(&control)));
-    tokio::task::spawn_local(traffic_line::tell(Rc::clone(&control)));
+    tokio::task::spawn_local(traffic_log::log_periodically(Rc::clone(&control)));
     tokio::task::spawn_local(store::follow_all(Rc::clone(&control)));
     tracing::info!(event = "started", role = "control", node = %control.settings.node,
         listen = %control.settings.listen, bootstrap = control.settings.bootstrap,
-        "control: started");
+        "control: accepting calls");
     while signals.next().await == SignalRequest::Reload {
-        tracing::info!(event = "reloaded", "control: settings read again");
+        tracing::info!(
+            event = "reloaded",
+            "control: received a reload signal; seeds read again"
+        );
         control.reload_seeds();
     }
-    tracing::info!(event = "stopping", "control: stopping");
+    tracing::info!(
+        event = "stopping",
+        "control: received a stop signal; transferring leadership"
+    );
     control.with_core(|core, _| core.step_down());
-    tokio::time::sleep(HAND_OVER).await;
-    tracing::info!(event = "stopped", "control: stopped");
+    tokio::time::sleep(LEADERSHIP_TRANSFER).await;
+    tracing::info!(event = "stopped", "control: stopped serving");
     Ok(())
 }
 
@@ -142,12 +154,12 @@
         max_connections: MAX_METRICS_CONNECTIONS,
         when_full: WhenFull::Close,
     };
-    for (what, address, max_connections) in addresses {
+    for (purpose, address, max_connections) in addresses {
         let params = ServerParams {
             max_connections,
             ..params
         };
-        let listener = sockets::open(what, address)?;
+        let listener = sockets::open(purpose, address)?;
         let shared = Rc::clone(control);
         let answering = server::serve(listener, params, move |request| {
             api::serve(Rc::clone(&shared), request)
@@ -159,7 +171,7 @@
         let shared = Rc::clone(control);
         let answering = server::serve(listener, params, move |request: Request<Incoming>| {
             let shared = Rc::clone(&shared);
-            async move { Ok::<_, NoAnswer>(for_operators(&shared, &request).await) }
+            async move { Ok::<_, NoAnswer>(serve_operators(&shared, &request).await) }
         });
         tokio::task::spawn_local(answering);
     }
@@ -169,14 +181,18 @@
     Ok(())
 }
 
-/// What people on call ask of a control machine: its quarantine, or else its figures.
-async fn for_operators(control: &Rc<Control>, request: &Request<Incoming>) -> Response<AnswerBody> {
+/// Serves operators at the metrics address: calls about the quarantine, and metrics for any other request.
+async fn serve_operators(
+    control: &Rc<Control>,
+    request: &Request<Incoming>,
+) -> Response<AnswerBody> {
     match quarantine::call_of(request.method(), request.uri().path()) {
         Some(call) => quarantine::serve(control, call).await,
         None => control.metrics.answer(request),
     }
 }
 
+/// Drives the core's timers, and opens the replica again after a disk failure.
 async fn tick(control: Rc<Control>) {
     let mut ticks = interval(control.settings.params.tick);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -185,13 +201,13 @@
         if control.core.borrow().is_none() {
             control.reopen().await;
         }
-        control.note_configuration();
+        control.refresh_configuration();
         control.with_core(Core::on_tick);
-        control.note_role();
+        control.record_role();
     }
 }
 
-async fn flush_when_asked(control: Rc<Control>) {
+async fn flush_on_request(control: Rc<Control>) {
     loop {
         control.flush.notified().await;
         control.flush_now();
@@ -199,17 +215,17 @@
 }
 
 impl Control {
-    /// Lets the core take something in; what follows is sent when the loop gets to it, so that
-    /// all that gathers until then shares one sync of the disk. `None` while the disk fails.
-    fn with_core<R>(&self, take_in: impl FnOnce(&mut Core, Timestamp) -> R) -> Option<R> {
+    /// Runs an operation on the core and schedules a flush of its effects. All operations until the event loop runs the
+    /// flush share one sync of the disk. `None` while the disk fails.
+    fn with_core<R>(&self, operation: impl FnOnce(&mut Core, Timestamp) -> R) -> Option<R> {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
-        let result = take_in(core.as_mut()?, now);
+        let result = operation(core.as_mut()?, now);
         self.flush.notify_one();
         Some(result)
     }
 
-    /// Asks the core something and waits for its reply.
+    /// Submits a request to the core and waits for its reply; `Unavailable` while the disk fails.
     async fn ask(&self, question: impl FnOnce(&mut Core, Timestamp, Ticket)) -> Reply {
         let ticket = Ticket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
@@ -230,14 +246,14 @@
             Some(core) => core.flush(&mut |effect| effects.push(effect)),
         };
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         if let Err(error) = flushed {
             self.on_disk_failure(&error);
         }
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::ToControl(address, message) => self.peers.send(address, &message),
             Effect::ToRouter(connection, message) => {
@@ -264,22 +280,24 @@
                     event = "work_suspected",
                     work = format_args!("{fingerprint:#}"),
                     ends = crashes,
-                    "control: another back end ended under work"
+                    "control: another back end crashed while serving requests with this fingerprint"
                 );
             }
             Effect::NewsRefused => {
                 self.metrics.count_decision("news_refused");
                 tracing::warn!(
                     event = "news_refused",
-                    "control: another machine sent what is not passed on to routers"
+                    "control: refused a message from another control machine that must not be forwarded to routers"
                 );
             }
-            Effect::Order(order) => back_ends::give_order(self, order),
-            Effect::RequestReport { instance, address } => back_ends::ask(self, instance, address),
+            Effect::Order(order) => back_ends::send_order(self, order),
+            Effect::RequestReport { instance, address } => {
+                back_ends::query_report(self, instance, address)
+            }
         }
     }
 
-    /// Sends a message to those of the routers whose messages are laid out so.
+    /// Sends a message to those of the given routers that use this layout.
     fn send_to_all(&self, connections: &[ConnectionId], message: &Message, wire: RouterWire) {
         let routers = self.routers.borrow();
         let senders = connections.iter().filter_map(|link| routers.get(link));
@@ -295,24 +313,27 @@
         }
     }
 
-    /// Nothing may be promised any more until the folder was read again.
+    /// Drops the replica: it must confirm nothing until the data folder has been read again. Pending calls fail.
     fn on_disk_failure(&self, error: &ReplicaError) {
-        tracing::error!(event = "disk_lost", %error, "control: the disk fails");
+        tracing::error!(event = "disk_lost", %error, "control: the disk failed; the replica stops until the data folder can be read again");
         *self.core.borrow_mut() = None;
         self.waiting.borrow_mut().clear();
     }
 
     async fn reopen(&self) {
-        tokio::time::sleep(REOPEN_AFTER).await;
+        tokio::time::sleep(REOPEN_DELAY).await;
         match folder::open(&self.settings) {
             Ok(core) => {
-                tracing::info!(event = "disk_regained", "control: the disk works again");
+                tracing::info!(
+                    event = "disk_regained",
+                    "control: the disk works again; the replica was opened"
+                );
                 *self.core.borrow_mut() = Some(core);
-                *self.configuration.borrow_mut() = KnownConfiguration::default();
+                *self.configuration.borrow_mut() = CachedConfiguration::default();
             }
             Err(error) => {
                 tracing::error!(event = "folder_failed", %error,
-                    "control: the folder cannot be opened")
+                    "control: cannot open the data folder")
             }
         }
     }
@@ -322,7 +343,7 @@
         self.with_core(|core, _| core.set_seeds(seeds));
     }
 
-    fn note_role(&self) {
+    fn record_role(&self) {
         let core = self.core.borrow();
         let Some(core) = core.as_ref() else {
             return;
@@ -332,7 +353,7 @@
         if self.role.replace(role) != role {
             tracing::info!(event = "role_changed", role = ?core.role(), term = core.term(),
                 revision = core.state().revision(), members = core.controls().len(),
-                "control: the role changed");
+                "control: the replica's role changed");
         }
     }
 
--- a/crates/gateway/src/control/store.rs
+++ b/crates/gateway/src/control/store.rs
@@ -1,5 +1,5 @@
-//! Follows the stores of cached prompts while this machine leads: their events as they come, and
-//! now and then their lists, for some events never come.
+//! Tracks the contents of the stores of cached prompts while this machine is the leader: polls their events, and reads
+//! their lists periodically, because some events are never sent.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,24 +15,29 @@
 use super::Control;
 use crate::dialect::{OutboundCall, StoreEvents};
 
-/// How long a question may wait for events.
-const WAIT: Duration = Duration::from_millis(700);
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Between two questions, so that events come in batches.
-const PAUSE: Duration = Duration::from_millis(60);
-/// Between two looks at which stores there are, and after one that did not answer.
-const IDLE: Duration = Duration::from_millis(200);
+/// How long a store may hold a query until there are events.
+const POLL_WAIT: Duration = Duration::from_millis(700);
+/// Timeout of a query.
+const TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay between queries, so that events arrive in batches.
+const POLL_INTERVAL: Duration = Duration::from_millis(60);
+/// Interval between checks of which stores exist, and delay after a query that failed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which a store's list is read again.
 const LIST_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Where in a store's events this machine is.
+/// The position of this machine in a store's events.
 #[derive(Clone, Copy, Debug)]
 struct Position {
+    /// Changes when the store restarts empty.
     epoch: u64,
+    /// From where the next query continues.
     next: u64,
-    listed: Timestamp,
+    /// When the list was read last.
+    listed_at: Timestamp,
 }
 
-/// While this machine leads, keeps one follower for each store that the configuration names.
+/// Runs a follower task for each store that the configuration lists, while this machine is the leader.
 pub(super) async fn follow_all(control: Rc<Control>) {
     let mut followers: BTreeMap<String, JoinHandle<()>> = BTreeMap::new();
     loop {
@@ -42,12 +47,12 @@
             Vec::new()
         };
         followers.retain(|address, follower| {
-            let keep = wanted.contains(address);
-            if !keep {
+            let is_wanted = wanted.contains(address);
+            if !is_wanted {
                 follower.abort();
-                tell(&control, address, StoreUpdate::Unreachable);
+                report(&control, address, StoreUpdate::Unreachable);
             }
-            keep
+            is_wanted
         });
         for address in wanted {
             followers.entry(address.clone()).or_insert_with(|| {
@@ -55,92 +60,95 @@
                 tokio::task::spawn_local(follower)
             });
         }
-        sleep(IDLE).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
+/// Follows one store, and reports it as lost while it does not respond.
 async fn follow(control: Rc<Control>, address: String) {
     let mut position: Option<Position> = None;
     loop {
-        let followed = match position {
-            Some(position) => go_on(&control, &address, position).await,
-            None => start(&control, &address).await,
+        let new_position = match position {
+            Some(position) => poll(&control, &address, position).await,
+            None => resync(&control, &address).await,
         };
-        if followed.is_none() && position.is_some() {
-            tracing::info!(event = "store_lost", %address, "control: a store does not answer");
-        } else if followed.is_some() && position.is_none() {
-            tracing::info!(event = "store_found", %address, "control: a store answers");
+        if new_position.is_none() && position.is_some() {
+            tracing::info!(event = "store_lost", %address, "control: a store stopped responding");
+        } else if new_position.is_some() && position.is_none() {
+            tracing::info!(event = "store_found", %address, "control: a store responds; following its events");
         }
-        if followed.is_none() {
-            tell(&control, &address, StoreUpdate::Unreachable);
-            sleep(IDLE).await;
+        if new_position.is_none() {
+            report(&control, &address, StoreUpdate::Unreachable);
+            sleep(CHECK_INTERVAL).await;
         }
-        position = followed;
-        sleep(PAUSE).await;
+        position = new_position;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Events first, then the list: what changes between the two is told again by the next events.
-async fn start(control: &Control, address: &str) -> Option<Position> {
-    let events = ask_events(control, address, 0, Duration::ZERO).await?;
-    let list = ask_list(control, address).await?;
-    tell(control, address, StoreUpdate::Contents(list));
+/// Reads the position of the events before the list: changes between the two queries are repeated by the next events.
+async fn resync(control: &Control, address: &str) -> Option<Position> {
+    let events = query_events(control, address, 0, Duration::ZERO).await?;
+    let list = query_list(control, address).await?;
+    report(control, address, StoreUpdate::Contents(list));
     Some(Position {
         epoch: events.epoch,
         next: events.next,
-        listed: control.clock.now(),
+        listed_at: control.clock.now(),
     })
 }
 
-async fn go_on(control: &Control, address: &str, mut position: Position) -> Option<Position> {
-    let events = ask_events(control, address, position.next, WAIT).await?;
+/// Queries the next events and reports the changes; reads the list again when it is due or events were lost.
+async fn poll(control: &Control, address: &str, mut position: Position) -> Option<Position> {
+    let events = query_events(control, address, position.next, POLL_WAIT).await?;
     let now = control.clock.now();
-    let outdated = events.lost
+    let needs_resync = events.lost
         || events.epoch != position.epoch
-        || now.since(position.listed) >= LIST_INTERVAL;
-    if outdated {
-        return start(control, address).await;
+        || now.since(position.listed_at) >= LIST_INTERVAL;
+    if needs_resync {
+        return resync(control, address).await;
     }
     position.next = events.next;
-    let (came, went): (Vec<_>, Vec<_>) = events.events.into_iter().partition(|event| event.came);
-    if !came.is_empty() || !went.is_empty() {
-        tell(
+    let (added_events, removed_events): (Vec<_>, Vec<_>) =
+        events.events.into_iter().partition(|event| event.is_added);
+    if !added_events.is_empty() || !removed_events.is_empty() {
+        report(
             control,
             address,
             StoreUpdate::Changed {
-                added: came.into_iter().map(|event| event.key).collect(),
-                removed: went.into_iter().map(|event| event.key).collect(),
+                added: added_events.into_iter().map(|event| event.key).collect(),
+                removed: removed_events.into_iter().map(|event| event.key).collect(),
             },
         );
     }
     Some(position)
 }
 
-async fn ask_events(
+async fn query_events(
     control: &Control,
     address: &str,
     since: u64,
     wait: Duration,
 ) -> Option<StoreEvents> {
     let call = control.dialect.store_events_call(since, wait);
-    let body = ask(control, address, call).await?;
+    let body = query(control, address, call).await?;
     control.dialect.store_events(&body).ok()
 }
 
-async fn ask_list(control: &Control, address: &str) -> Option<Vec<StoredKey>> {
+async fn query_list(control: &Control, address: &str) -> Option<Vec<StoredKey>> {
     let call = control.dialect.store_list_call();
-    let body = ask(control, address, call).await?;
+    let body = query(control, address, call).await?;
     control.dialect.store_list(&body).ok()
 }
 
-async fn ask(control: &Control, address: &str, call: OutboundCall) -> Option<bytes::Bytes> {
+async fn query(control: &Control, address: &str, call: OutboundCall) -> Option<bytes::Bytes> {
     let name = InstanceId::new(address);
-    let calling = control.back_ends.call(control, &name, address, call, false);
-    let answer = timeout(PATIENCE, calling).await.ok().flatten()?;
+    let call_future = control.back_ends.call(control, &name, address, call, false);
+    let answer = timeout(TIMEOUT, call_future).await.ok().flatten()?;
     (answer.status == StatusCode::OK).then_some(answer.body)
 }
 
-fn tell(control: &Control, address: &str, news: StoreUpdate) {
+fn report(control: &Control, address: &str, news: StoreUpdate) {
     let store = StoreId::at(address);
     control.with_core(|core, now| core.on_store_update(now, store, news));
 }
--- /dev/null
+++ b/crates/gateway/src/router/crash_detection.rs
@@ -0,0 +1,139 @@
+//! Determines why connections to a back end broke: because the back end crashed, or for another reason.
+//!
+//! A request may crash each back end that runs it. The crash also breaks off all other requests that run there, so a
+//! broken connection alone does not identify the cause: a reset connection, a load of weights that cuts streams and a
+//! lost network link look the same. The router therefore opens a new connection to the back end's address, which is
+//! refused when the process has crashed.
+
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use drumshore_core::Timestamp;
+use drumshore_gateway_core::{InstanceId, WorkId};
+
+use super::Router;
+use crate::sockets;
+
+/// A reachable machine accepts or refuses a connection within a network round trip, 2.8 ms between the users' zones. One
+/// that does not respond within this time is isolated or has no power.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// A request that a back end may have been running when its connection broke.
+#[derive(Clone, Debug)]
+pub(super) struct BrokenRun {
+    /// The request's identifier.
+    pub id: String,
+    /// The request's fingerprint; `None` before the key for fingerprints is known.
+    pub fingerprint: Option<WorkId>,
+    /// When it was sent.
+    pub sent_at: Timestamp,
+}
+
+/// The result of probing a back end's address after connections to it broke.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Finding {
+    /// It refuses connections and had not announced a stop: the process has crashed.
+    Crashed,
+    /// It refuses connections, and was no longer serving before: the process has stopped as announced.
+    StoppedAsAnnounced,
+    /// It accepts connections: the process is running.
+    Alive,
+    /// The connection attempt timed out or failed without being refused.
+    Unresponsive,
+}
+
+impl Finding {
+    fn as_str(self) -> &'static str {
+        match self {
+            Self::Crashed => "ended",
+            Self::StoppedAsAnnounced => "left",
+            Self::Alive => "alive",
+            Self::Unresponsive => "silent",
+        }
+    }
+}
+
+/// Broken runs by back end, while the back end is being probed.
+#[derive(Default)]
+pub(super) struct PendingProbes(RefCell<HashMap<InstanceId, Vec<BrokenRun>>>);
+
+impl PendingProbes {
+    /// Adds a broken run; true when no probe of its back end is in progress yet.
+    fn add(&self, instance: &InstanceId, run: BrokenRun) -> bool {
+        let mut open = self.0.borrow_mut();
+        let runs = open.entry(instance.clone()).or_default();
+        runs.push(run);
+        runs.len() == 1
+    }
+
+    fn take(&self, instance: &InstanceId) -> Vec<BrokenRun> {
+        self.0.borrow_mut().remove(instance).unwrap_or_default()
+    }
+}
+
+/// Finds out why a run broke. Runs that break at a back end while it is being probed share that probe.
+pub(super) fn probe(router: &Rc<Router>, instance: &InstanceId, address: &str, run: BrokenRun) {
+    if router.pending_probes.add(instance, run) {
+        let (router, instance) = (Rc::clone(router), instance.clone());
+        let address = address.to_owned();
+        tokio::task::spawn_local(async move {
+            let finding = probe_address(&router, &instance, &address).await;
+            apply_finding(&router, &instance, finding);
+        });
+    }
+}
+
+async fn probe_address(router: &Router, instance: &InstanceId, address: &str) -> Finding {
+    // Read before connecting: control machines remove a back end from the state soon after its process has ended.
+    let is_serving = router
+        .core
+        .borrow()
+        .is_serving(router.clock.now(), instance);
+    let Ok(address) = address.parse::<SocketAddr>() else {
+        return Finding::Unresponsive;
+    };
+    match sockets::connect(address, CONNECT_TIMEOUT).await {
+        Ok(_) => Finding::Alive,
+        Err(error) if error.kind() != io::ErrorKind::ConnectionRefused => Finding::Unresponsive,
+        Err(_) if is_serving => Finding::Crashed,
+        Err(_) => Finding::StoppedAsAnnounced,
+    }
+}
+
+fn apply_finding(router: &Rc<Router>, instance: &InstanceId, finding: Finding) {
+    let runs = router.pending_probes.take(instance);
+    let found = finding.as_str();
+    router.metrics.count_back_end_broken(found);
+    tracing::info!(event = "back_end_examined", %instance, finding = found, runs = runs.len(),
+        "router: probed a back end whose connections broke");
+    for run in &runs {
+        tracing::info!(event = "run_broken", id = %run.id, work = run.fingerprint.map(tracing::field::display),
+            %instance, finding = found, "router: the connection to a back end broke during a request");
+    }
+    if finding == Finding::Crashed {
+        report_crash(router, instance, &runs);
+    }
+}
+
+/// Records a crash and reports it to all control machines: the next router that receives a request with the same
+/// fingerprint may be another one.
+fn report_crash(router: &Router, instance: &InstanceId, runs: &[BrokenRun]) {
+    let with_fingerprint = |run: &BrokenRun| {
+        run.fingerprint
+            .map(|fingerprint| (fingerprint, run.sent_at))
+    };
+    let fingerprints: Vec<(WorkId, Timestamp)> = runs.iter().filter_map(with_fingerprint).collect();
+    let now = router.clock.now();
+    let mut core = router.core.borrow_mut();
+    for (fingerprint, ends) in core.on_back_end_crashed(now, instance, &fingerprints) {
+        tracing::info!(event = "work_suspected", work = %fingerprint, ends, %instance, by = "this router",
+            "router: a back end crashed while serving requests with this fingerprint");
+    }
+    drop(core);
+    router.upstreams.close_idle(instance);
+    router.crash_reports_changed.notify_waiters();
+}
--- a/crates/gateway/src/router/mod.rs
+++ b/crates/gateway/src/router/mod.rs
@@ -1,7 +1,9 @@
-//! The router daemon: callers on one side, back ends on the other, control machines beside it.
+//! The router daemon: forwards callers' requests to back ends and keeps its view of the replicated state current over
+//! links to control machines.
 
 mod attempt;
-mod back_end_ends;
+mod control_links;
+mod crash_detection;
 mod events;
 mod first_view;
 mod forward;
@@ -12,7 +14,6 @@
 mod reports;
 mod resume;
 mod timeliness;
-mod updates;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,7 +30,7 @@
 use crate::clock::Clock;
 use crate::dialect::Dialect;
 use crate::metrics::Metrics;
-use crate::server::{self, NoAnswer, Places, ServerParams, WhenFull};
+use crate::server::{self, ConnectionSlots, NoAnswer, ServerParams, WhenFull};
 use crate::settings::RouterSettings;
 use crate::signals::{Request as SignalRequest, Signals};
 use crate::sockets;
@@ -39,23 +40,26 @@
 
 pub(crate) use relay::Relay;
 
-use back_end_ends::Examinations;
+use crash_detection::PendingProbes;
 use first_view::FirstView;
 
+/// Interval at which idle connections to back ends are closed and the gauge of the view's age is set.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
-/// A connection may rest this long; longer than any configuration lets callers rest.
+/// How long a connection may be idle; longer than any configuration lets callers keep an idle connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(16);
+/// Connections of callers.
 const MAX_CONNECTIONS: usize = 1_500;
+/// Connections to each of the readiness and metrics listeners.
 const MAX_PLATFORM_CONNECTIONS: usize = 32;
-/// Before the process is killed.
+/// The process exits this long before the end of the grace period, when it would be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
-/// Streams may last longer than a stop does; later than this into it none begins.
-const STREAMS_BEGIN_WITHIN: Duration = Duration::from_millis(2_800);
-/// Another request that begins later than this before the end would be cut.
-const ANSWER_NEEDS: Duration = Duration::from_millis(1_200);
-const STOP_CHECK: Duration = Duration::from_millis(100);
+/// Streams may outlast the grace period; none is started later than this after the stop signal.
+const LATEST_STREAM_START: Duration = Duration::from_millis(2_800);
+/// A request other than a stream needs this long before the process exits; a later one would be cut off.
+const MIN_ANSWER_TIME: Duration = Duration::from_millis(1_200);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the tasks of a router share.
+/// State that the tasks of a router share.
 pub(crate) struct Router {
     core: RefCell<RouterCore>,
     dialect: Rc<dyn Dialect>,
@@ -63,24 +67,24 @@
     clock: Clock,
     settings: RouterSettings,
     metrics: Rc<Metrics>,
-    /// When this process began to stop.
+    /// When this process received the stop signal.
     stopping: Cell<Option<Timestamp>>,
-    /// Requests between their head and the end of their answer.
+    /// Requests whose head was received and whose answer has not ended.
     open_requests: Cell<usize>,
-    /// Wakes the links to control machines when the router's own status changed.
+    /// Notifies the links to control machines that the router's own status changed.
     status_changed: Notify,
-    /// For requests that come before the view is confirmed.
+    /// Lets requests wait that arrive before the view is confirmed for the first time.
     first_view: FirstView,
-    /// Room for connections of callers.
-    caller_places: Places,
-    /// Back ends whose connections broke.
-    examinations: Examinations,
-    /// Wakes the links to control machines when there are reports of work.
-    work_reported: Notify,
+    /// Slots for callers' connections.
+    caller_slots: ConnectionSlots,
+    /// Back ends that are probed because connections to them broke.
+    pending_probes: PendingProbes,
+    /// Notifies the links to control machines that there are new reports of crashes.
+    crash_reports_changed: Notify,
     unknown_headers: UnknownHeaders,
 }
 
-/// Runs a router until it is told to stop.
+/// Runs a router until the process receives a stop signal.
 pub fn run(settings: RouterSettings, dialect: Rc<dyn Dialect>) -> Result<(), DaemonError> {
     run_on_event_loop(run_on_loop(settings, dialect))
 }
@@ -102,20 +106,20 @@
         open_requests: Cell::new(0),
         status_changed: Notify::new(),
         first_view: FirstView::default(),
-        caller_places: Places::new(MAX_CONNECTIONS),
-        examinations: Examinations::default(),
-        work_reported: Notify::new(),
+        caller_slots: ConnectionSlots::new(MAX_CONNECTIONS),
+        pending_probes: PendingProbes::default(),
+        crash_reports_changed: Notify::new(),
         unknown_headers: UnknownHeaders::default(),
         settings,
     });
     listen(&router)?;
-    updates::start(&router);
+    control_links::start(&router);
     tokio::task::spawn_local(prune(Rc::clone(&router)));
     tracing::info!(event = "started", role = "router", node = %router.settings.node,
-        listen = %router.settings.listen, "router: started");
+        listen = %router.settings.listen, "router: accepting requests");
     while signals.next().await == SignalRequest::Reload {
         tracing::info!(event = "reloaded", seeds = ?(router.settings.seeds)(),
-            "router: settings read again");
+            "router: received a reload signal; seeds read again");
     }
     stop(&router).await;
     Ok(())
@@ -129,8 +133,8 @@
         when_full: WhenFull::Wait,
     };
     let shared = Rc::clone(router);
-    let places = router.caller_places.clone();
-    let forwarding = server::serve_within(callers, params, places, move |request| {
+    let slots = router.caller_slots.clone();
+    let forwarding = server::serve_with_slots(callers, params, slots, move |request| {
         forward::serve(Rc::clone(&shared), request)
     });
     tokio::task::spawn_local(forwarding);
@@ -159,8 +163,8 @@
 
 fn readiness(router: &Router) -> Response<AnswerBody> {
     let configured = router.core.borrow().configuration_version() > 0;
-    // A router whose room is taken accepts nobody until a connection ends: it must not be called ready.
-    let has_room = !router.caller_places.are_taken();
+    // A router without free connection slots accepts no caller until a connection ends, so it is not ready.
+    let has_room = !router.caller_slots.all_taken();
     if configured && has_room && router.stopping.get().is_none() {
         answer::plain(StatusCode::OK, "")
     } else {
@@ -179,44 +183,45 @@
 }
 
 impl Router {
-    /// True when a request would not end before this process does.
-    fn stops_before(&self, kind: RequestKind) -> bool {
-        let Some(begun) = self.stopping.get() else {
+    /// True when the process is stopping and would probably exit before such a request is answered.
+    fn stops_too_soon_for(&self, kind: RequestKind) -> bool {
+        let Some(stop_started) = self.stopping.get() else {
             return false;
         };
-        let passed = self.clock.now().since(begun);
+        let elapsed = self.clock.now().since(stop_started);
         if kind.is_stream() {
-            return passed > STREAMS_BEGIN_WITHIN;
+            return elapsed > LATEST_STREAM_START;
         }
-        let last = self.settings.grace.saturating_sub(EXIT_MARGIN);
-        passed + ANSWER_NEEDS > last
+        let stop_limit = self.settings.grace.saturating_sub(EXIT_MARGIN);
+        elapsed + MIN_ANSWER_TIME > stop_limit
     }
 }
 
-/// Callers learn from the directory and from each answer to go elsewhere; the process ends when
-/// they have had the time to, and no request is open.
+/// Stops the router. The directory no longer lists it, and each answer closes its connection, so that callers move to
+/// other routers. The process ends once cached directory answers have expired and no request is open, at the latest
+/// when the grace period is nearly over.
 async fn stop(router: &Rc<Router>) {
-    let begun = router.clock.now();
-    router.stopping.set(Some(begun));
+    let stop_started = router.clock.now();
+    router.stopping.set(Some(stop_started));
     router.status_changed.notify_waiters();
     tracing::info!(
         event = "stopping",
         open_requests = router.open_requests.get(),
-        "router: stopping"
+        "router: received a stop signal; draining open requests"
     );
-    let last = router.settings.grace.saturating_sub(EXIT_MARGIN);
+    let stop_limit = router.settings.grace.saturating_sub(EXIT_MARGIN);
     loop {
-        tokio::time::sleep(STOP_CHECK).await;
-        let passed = router.clock.now().since(begun);
-        let left_alone =
-            passed >= router.settings.directory_memory && router.open_requests.get() == 0;
-        if passed >= last || left_alone {
+        tokio::time::sleep(STOP_CHECK_INTERVAL).await;
+        let elapsed = router.clock.now().since(stop_started);
+        let is_drained =
+            elapsed >= router.settings.directory_max_age && router.open_requests.get() == 0;
+        if elapsed >= stop_limit || is_drained {
             break;
         }
     }
     tracing::info!(
         event = "stopped",
         open_requests = router.open_requests.get(),
-        "router: stopped"
+        "router: stopped serving"
     );
 }
--- a/crates/gateway/src/upstream.rs
+++ b/crates/gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends: kept, few, and one request at a time on each.
+//! Pools of connections to back ends: limited in number, reused, one request at a time on each.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,57 +22,63 @@
 use crate::clock::Clock;
 use crate::sockets;
 
-const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
-/// A connection whose peer does not say how long it may rest is closed after this long.
-const DEFAULT_REST: Duration = Duration::from_secs(10);
-/// Safety before the time that the peer says.
-const REST_MARGIN: Duration = Duration::from_millis(600);
-/// Idle connections kept to one back end.
-const MOST_IDLE: usize = 16;
+/// How long opening a connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Idle time after which a connection is closed when the peer does not state a limit.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Safety margin: an idle connection is no longer used this long before its idle limit.
+const IDLE_MARGIN: Duration = Duration::from_millis(600);
+/// Idle connections kept per back end.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 const BUFFER_BYTES: usize = 32 << 10;
 
-/// Why there is no connection. Nothing was sent.
+/// Why no connection is available; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum NoConnection {
     /// The back end cannot be reached.
-    #[error("unreachable: {0}")]
+    #[error("back end is unreachable: {0}")]
     Unreachable(#[from] io::Error),
-    /// All connections that this process may have are in use.
-    #[error("no free connection")]
+    /// All connections that this process may open to the back end are in use.
+    #[error("no free connection to the back end")]
     NoneFree,
 }
 
-/// Why there is no answer.
+/// Why there is no answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum SendError {
-    /// The request did not leave this process.
-    #[error("not sent")]
+    /// No part of the request was sent.
+    #[error("request was not sent")]
     NotSent,
-    /// It left, at least in part.
-    #[error("connection broke")]
+    /// The connection broke after at least a part of the request was sent.
+    #[error("connection broke after part of the request was sent")]
     Broken,
 }
 
+/// An idle connection.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
     expires: Timestamp,
 }
 
+/// The connections to one back end.
 #[derive(Debug, Default)]
 struct Pool {
+    /// Connections that are open or being opened, idle ones included.
     open: Cell<usize>,
     idle: RefCell<Vec<Idle>>,
+    /// Notified when a connection is released or closed.
     freed: Notify,
 }
 
-/// A connection; it is closed when dropped.
+/// A connection to a back end; closed when dropped.
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     pool: Rc<Pool>,
-    rest: Duration,
+    /// How long the peer keeps the connection open while it is idle.
+    idle_timeout: Duration,
 }
 
 impl Drop for Connection {
@@ -94,15 +100,15 @@
             Some(_) => SendError::NotSent,
             None => SendError::Broken,
         })?;
-        self.rest = keep_alive(&response).unwrap_or(DEFAULT_REST);
+        self.idle_timeout = keep_alive(&response).unwrap_or(DEFAULT_IDLE_TIMEOUT);
         Ok(response)
     }
 
-    /// Keeps the connection for another request, once its answer was read whole.
-    pub fn give_back(self, now: Timestamp) {
+    /// Returns the connection to its pool, after its answer has been read to the end.
+    pub fn release(self, now: Timestamp) {
         let pool = Rc::clone(&self.pool);
-        if !self.sender.is_closed() && pool.idle.borrow().len() < MOST_IDLE {
-            let expires = now.plus(self.rest.saturating_sub(REST_MARGIN));
+        if !self.sender.is_closed() && pool.idle.borrow().len() < MAX_IDLE_CONNECTIONS {
+            let expires = now.plus(self.idle_timeout.saturating_sub(IDLE_MARGIN));
             pool.idle.borrow_mut().push(Idle {
                 connection: self,
                 expires,
@@ -112,7 +118,7 @@
     }
 }
 
-/// All connections to back ends.
+/// The connections to all back ends.
 pub(crate) struct Upstreams {
     pools: RefCell<HashMap<InstanceId, Rc<Pool>>>,
     clock: Clock,
@@ -126,14 +132,14 @@
         }
     }
 
-    /// A connection that is ready for a request, of at most `most`; waits for one to be freed
-    /// for `patience`.
+    /// Returns a connection that is ready for a request. Opens one while there are fewer than `max_connections` to the
+    /// back end, else waits for a free one. Takes at most `time_limit` plus [`CONNECT_TIMEOUT`].
     pub async fn connect(
         &self,
         instance: &InstanceId,
         address: &str,
-        most: usize,
-        patience: Duration,
+        max_connections: usize,
+        time_limit: Duration,
     ) -> Result<Connection, NoConnection> {
         let pool = self.pool(instance);
         let waiting = async {
@@ -141,25 +147,25 @@
                 if let Some(connection) = self.take_idle(&pool) {
                     return Ok(connection);
                 }
-                if pool.open.get() < most {
+                if pool.open.get() < max_connections {
                     return open(address, &pool).await;
                 }
                 pool.freed.notified().await;
             }
         };
-        let waited = timeout(patience + CONNECT_PATIENCE, waiting).await;
+        let waited = timeout(time_limit + CONNECT_TIMEOUT, waiting).await;
         waited.unwrap_or(Err(NoConnection::NoneFree))
     }
 
-    /// Closes the connections to a back end that rest: it has fallen silent, and a request on one
-    /// of them would be lost, where a new connection that does not come about costs nothing.
+    /// Closes the idle connections to a back end that has become unresponsive: a request sent on one of them would be
+    /// lost, whereas a failed attempt to open a new connection loses nothing.
     pub fn close_idle(&self, instance: &InstanceId) {
         let pool = self.pools.borrow().get(instance).cloned();
         let idle = pool.map(|pool| std::mem::take(&mut *pool.idle.borrow_mut()));
         drop(idle);
     }
 
-    /// Closes connections that rested long enough, and forgets back ends without any.
+    /// Closes connections that have been idle too long, and removes the pools of back ends without connections.
     pub fn prune(&self) {
         let now = self.clock.now();
         self.pools.borrow_mut().retain(|_, pool| {
@@ -176,7 +182,7 @@
         Rc::clone(pools.entry(instance.clone()).or_default())
     }
 
-    /// The connection that rested least.
+    /// Takes the connection that was used last; closes those found expired or closed on the way.
     fn take_idle(&self, pool: &Pool) -> Option<Connection> {
         let now = self.clock.now();
         let mut stale = Vec::new();
@@ -203,8 +209,8 @@
     let address: SocketAddr = address
         .parse()
         .map_err(|_| io::Error::from(io::ErrorKind::InvalidInput))?;
-    let place = Place::take(pool);
-    let stream = sockets::connect(address, CONNECT_PATIENCE).await?;
+    let slot = OpeningSlot::take(pool);
+    let stream = sockets::connect(address, CONNECT_TIMEOUT).await?;
     let handshake = http1::Builder::new()
         .max_buf_size(BUFFER_BYTES)
         .handshake(TokioIo::new(stream));
@@ -215,26 +221,26 @@
     Ok(Connection {
         sender,
         task: task.abort_handle(),
-        pool: place.keep(),
-        rest: DEFAULT_REST,
+        pool: slot.into_pool(),
+        idle_timeout: DEFAULT_IDLE_TIMEOUT,
     })
 }
 
-/// Counts a connection while it is being opened.
-struct Place(Option<Rc<Pool>>);
+/// Counts a connection while it is being opened; gives the slot back when opening fails.
+struct OpeningSlot(Option<Rc<Pool>>);
 
-impl Place {
+impl OpeningSlot {
     fn take(pool: &Rc<Pool>) -> Self {
         pool.open.set(pool.open.get() + 1);
         Self(Some(Rc::clone(pool)))
     }
 
-    fn keep(mut self) -> Rc<Pool> {
-        self.0.take().expect("a place is kept once")
+    fn into_pool(mut self) -> Rc<Pool> {
+        self.0.take().expect("a slot is converted only once")
     }
 }
 
-impl Drop for Place {
+impl Drop for OpeningSlot {
     fn drop(&mut self) {
         if let Some(pool) = self.0.take() {
             pool.open.set(pool.open.get().saturating_sub(1));
@@ -243,7 +249,7 @@
     }
 }
 
-/// How long the peer lets the connection rest, in whole seconds.
+/// How long the peer keeps an idle connection open, as its `keep-alive` header states in whole seconds.
 fn keep_alive(response: &Response<Incoming>) -> Option<Duration> {
     let value = response.headers().get("keep-alive")?.to_str().ok()?;
     let parameter = value
