--- a/crates/gateway-core/src/command.rs
+++ b/crates/gateway-core/src/command.rs
@@ -5,7 +5,7 @@
 use binrw::{binrw, BinRead, BinWrite};
 use drumshore_wire::{Blob, List, Text};
 
-use crate::{LoadedModel, WorkId, WorkKey};
+use crate::{FingerprintKey, LoadedModel, RequestFingerprint};
 
 /// Tells a replica which of its callers waits for a committed command.
 #[binrw]
@@ -120,21 +120,21 @@
     },
     /// The key under which work is identified; only the first one counts.
     #[brw(magic(8u8))]
-    SetWorkKey {
+    SetFingerprintKey {
         /// The key.
-        key: WorkKey,
+        key: FingerprintKey,
     },
     /// Work that no back end is to be given.
     #[brw(magic(9u8))]
     Quarantine {
         /// The work.
-        work: WorkId,
+        work: RequestFingerprint,
     },
     /// Work that may be tried again.
     #[brw(magic(10u8))]
     Release {
         /// The work.
-        work: WorkId,
+        work: RequestFingerprint,
     },
 }
 
--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -34,7 +34,10 @@
 use drumshore_core::Timestamp;
 use drumshore_wire::Blob;
 
-use crate::{Command, InstanceId, LoadPhase, Message, Proposal, ReplicatedState, WorkId, WorkKey};
+use crate::{
+    Command, FingerprintKey, InstanceId, LoadPhase, Message, Proposal, ReplicatedState,
+    RequestFingerprint,
+};
 
 pub use instances::Heartbeat;
 pub use members::{address_of, bootstrap_id};
@@ -96,9 +99,9 @@
         command: Command,
     },
     /// Another back end ended under work, for logs.
-    WorkSuspected {
+    FingerprintSuspected {
         /// The work.
-        work: WorkId,
+        work: RequestFingerprint,
         /// Moments at which back ends ended under it.
         ends: u32,
     },
@@ -144,7 +147,7 @@
     suspected_work: SuspectedWork,
     tenant_accounts: TenantAccounts,
     /// Proposed when the state has none.
-    drawn_work_key: WorkKey,
+    drawn_work_key: FingerprintKey,
     work_key_proposed_at: Option<Timestamp>,
     /// When weights were named, by revision; those from before this start count from the start.
     named_at: BTreeMap<u64, Timestamp>,
@@ -201,7 +204,7 @@
             refusing: Refusing::default(),
             suspected_work: SuspectedWork::default(),
             tenant_accounts: TenantAccounts::default(),
-            drawn_work_key: WorkKey::draw(seed),
+            drawn_work_key: FingerprintKey::draw(seed),
             work_key_proposed_at: None,
             named_at: BTreeMap::new(),
             heard: Heard::default(),
@@ -413,10 +416,10 @@
     fn propose_work_key(&mut self) {
         let proposed_at = self.work_key_proposed_at;
         let is_pending = proposed_at.is_some_and(|at| self.now.since(at) < self.params.patience);
-        if self.state.work_key().is_none() && !is_pending {
+        if self.state.fingerprint_key().is_none() && !is_pending {
             self.work_key_proposed_at = Some(self.now);
             let key = self.drawn_work_key.clone();
-            self.propose(None, Command::SetWorkKey { key });
+            self.propose(None, Command::SetFingerprintKey { key });
         }
     }
 
--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -15,10 +15,12 @@
 
 use super::{ConnectionId, ControlCore, Effect};
 use crate::quarantine::{
-    EndLedger, EndReport, ENDS_FOR_QUARANTINE, ENDS_FOR_SUSPICION, QUARANTINE_FOR, TRIALS_AFTER,
-    TRIALS_SPREAD,
+    CrashLedger, CrashReport, CRASHES_FOR_QUARANTINE, CRASHES_FOR_SUSPICION, QUARANTINE_FOR,
+    TRIALS_AFTER, TRIALS_SPREAD,
+};
+use crate::{
+    Command, FingerprintEvent, FingerprintReport, FingerprintSuspicion, Message, RequestFingerprint,
 };
-use crate::{Command, Message, WorkEvent, WorkId, WorkReport, WorkSuspicion};
 
 /// Bytes a second that this may cost one router, of 14 KB/s for all control traffic; up to five
 /// machines tell each router.
@@ -31,14 +33,14 @@
 /// What one control machine knows of work that ends back ends.
 #[derive(Debug, Default)]
 pub(super) struct SuspectedWork {
-    ledger: EndLedger,
+    ledger: CrashLedger,
     /// What routers were told last.
-    told: BTreeMap<WorkId, u8>,
+    told: BTreeMap<RequestFingerprint, u8>,
     /// Works whose standing routers are still to be told, with their ends.
-    untold: BTreeMap<WorkId, u8>,
+    untold: BTreeMap<RequestFingerprint, u8>,
     /// When old ends were forgotten last.
     expired_at: Timestamp,
-    quarantined: BTreeMap<WorkId, Verdict>,
+    quarantined: BTreeMap<RequestFingerprint, Verdict>,
 }
 
 /// A verdict as one control machine knows it.
@@ -56,7 +58,7 @@
     }
 
     /// True once for each trial, when its time has come.
-    fn trial_is_due(&mut self, now: Timestamp, work: WorkId) -> bool {
+    fn trial_is_due(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
         let spread = TRIALS_SPREAD.mul_f64(work.draw());
         let next = TRIALS_AFTER.get(self.trials);
         let is_due = next.is_some_and(|after| now.since(self.at) >= *after + spread);
@@ -67,9 +69,13 @@
 
 impl SuspectedWork {
     /// Notes what routers are to be told of a work, when that has changed.
-    fn note_standing(&mut self, work: WorkId) {
+    fn note_standing(&mut self, work: RequestFingerprint) {
         let ends = self.ledger.ends(work);
-        let ends = if ends < ENDS_FOR_SUSPICION { 0 } else { ends };
+        let ends = if ends < CRASHES_FOR_SUSPICION {
+            0
+        } else {
+            ends
+        };
         let ends = u8::try_from(ends).unwrap_or(u8::MAX);
         if self.told.get(&work).copied().unwrap_or_default() == ends {
             self.untold.remove(&work);
@@ -79,8 +85,8 @@
     }
 
     /// The next works to tell, those with the most ends first.
-    fn take_untold(&mut self, most: usize) -> Vec<WorkSuspicion> {
-        let mut due: Vec<(u8, WorkId)> =
+    fn take_untold(&mut self, most: usize) -> Vec<FingerprintSuspicion> {
+        let mut due: Vec<(u8, RequestFingerprint)> =
             self.untold.iter().map(|item| (*item.1, *item.0)).collect();
         due.sort_unstable_by(|one, other| other.cmp(one));
         due.truncate(most);
@@ -93,75 +99,76 @@
             }
         }
         due.into_iter()
-            .map(|(ends, work)| WorkSuspicion { work, ends })
+            .map(|(ends, work)| FingerprintSuspicion { work, ends })
             .collect()
     }
 }
 
 impl<D: Directory> ControlCore<D> {
     /// Takes in what a router saw.
-    pub(super) fn on_work_reports(&mut self, reports: &[WorkReport]) {
+    pub(super) fn on_work_reports(&mut self, reports: &[FingerprintReport]) {
         for report in reports {
             match report.event {
-                WorkEvent::BackEndEnded { back_end, held_ms } => {
-                    let end = EndReport {
+                FingerprintEvent::BackEndCrashed { back_end, held_ms } => {
+                    let end = CrashReport {
                         back_end,
                         age: Duration::from_millis(u64::from(report.age_ms)),
                         held: Duration::from_millis(u64::from(held_ms)),
                     };
                     self.on_end_reported(report.work, end);
                 }
-                WorkEvent::Completed => self.on_work_completed(report.work),
+                FingerprintEvent::Completed => self.on_work_completed(report.work),
             }
         }
     }
 
-    fn on_end_reported(&mut self, work: WorkId, end: EndReport) {
+    fn on_end_reported(&mut self, work: RequestFingerprint, end: CrashReport) {
         let suspected = &mut self.suspected_work;
         if !suspected.ledger.note_end(self.now, work, end) {
             return;
         }
         suspected.note_standing(work);
         let ends = suspected.ledger.ends(work);
-        if ends >= ENDS_FOR_SUSPICION {
-            self.effects.push(Effect::WorkSuspected { work, ends });
+        if ends >= CRASHES_FOR_SUSPICION {
+            self.effects
+                .push(Effect::FingerprintSuspected { work, ends });
         }
         if self.state.is_quarantined(work) {
             self.relieve_others(work);
-        } else if ends >= ENDS_FOR_QUARANTINE {
+        } else if ends >= CRASHES_FOR_QUARANTINE {
             self.propose(None, Command::Quarantine { work });
         }
     }
 
     /// What quarantined work ended no longer speaks against the requests that were beside it.
-    fn relieve_others(&mut self, culprit: WorkId) {
+    fn relieve_others(&mut self, culprit: RequestFingerprint) {
         for relieved in self.suspected_work.ledger.explain(culprit) {
             self.suspected_work.note_standing(relieved);
         }
     }
 
     /// Work that ran to its end does not end whatever runs it.
-    fn on_work_completed(&mut self, work: WorkId) {
+    fn on_work_completed(&mut self, work: RequestFingerprint) {
         self.forget_suspicion(work);
         if self.state.is_quarantined(work) {
             self.propose(None, Command::Release { work });
         }
     }
 
-    fn forget_suspicion(&mut self, work: WorkId) {
+    fn forget_suspicion(&mut self, work: RequestFingerprint) {
         self.suspected_work.ledger.clear(work);
         self.suspected_work.note_standing(work);
     }
 
     /// The log quarantined work.
-    pub(super) fn on_quarantined(&mut self, work: WorkId) {
+    pub(super) fn on_quarantined(&mut self, work: RequestFingerprint) {
         let verdict = Verdict::new(self.now);
         self.suspected_work.quarantined.insert(work, verdict);
         self.relieve_others(work);
     }
 
     /// The log released work: it is as if it had never come.
-    pub(super) fn on_released(&mut self, work: WorkId) {
+    pub(super) fn on_released(&mut self, work: RequestFingerprint) {
         self.suspected_work.quarantined.remove(&work);
         self.forget_suspicion(work);
     }
@@ -193,11 +200,11 @@
     }
 
     /// One router may give the work to a back end once.
-    fn permit_trial(&mut self, work: WorkId) {
+    fn permit_trial(&mut self, work: RequestFingerprint) {
         let connections = self.routers.connections();
         let drawn = (work.draw() * connections.len() as f64) as usize;
         if let Some(connection) = connections.get(drawn) {
-            let message = Message::TryWork(work);
+            let message = Message::PermitTrial(work);
             self.effects.push(Effect::ToRouter(*connection, message));
         }
     }
@@ -210,7 +217,7 @@
         }
         suspected.expired_at = now;
         suspected.ledger.expire(now);
-        let told: Vec<WorkId> = suspected.told.keys().copied().collect();
+        let told: Vec<RequestFingerprint> = suspected.told.keys().copied().collect();
         for work in told {
             suspected.note_standing(work);
         }
@@ -223,10 +230,10 @@
             return;
         }
         let budget = BYTES_PER_SECOND * self.params.tick.as_secs_f64();
-        let most = (budget / WorkSuspicion::BYTES as f64).max(1.0) as usize;
+        let most = (budget / FingerprintSuspicion::BYTES as f64).max(1.0) as usize;
         let told = self.suspected_work.take_untold(most);
         for connection in self.routers.connections() {
-            let message = Message::WorkSuspicions(List::new(told.clone()));
+            let message = Message::FingerprintSuspicions(List::new(told.clone()));
             self.effects.push(Effect::ToRouter(connection, message));
         }
     }
@@ -234,15 +241,15 @@
     /// A router that links knows nothing yet.
     pub(super) fn tell_suspicions(&mut self, connection: ConnectionId) {
         let told = self.suspected_work.told.iter();
-        let known = told.map(|(work, ends)| WorkSuspicion {
+        let known = told.map(|(work, ends)| FingerprintSuspicion {
             work: *work,
             ends: *ends,
         });
-        let mut known: Vec<WorkSuspicion> = known.collect();
+        let mut known: Vec<FingerprintSuspicion> = known.collect();
         known.sort_unstable_by_key(|suspicion| Reverse(suspicion.ends));
         known.truncate(MOST_TOLD_AT_LINK);
         if !known.is_empty() {
-            let message = Message::WorkSuspicions(List::new(known));
+            let message = Message::FingerprintSuspicions(List::new(known));
             self.effects.push(Effect::ToRouter(connection, message));
         }
     }
--- a/crates/gateway-core/src/control/routers.rs
+++ b/crates/gateway-core/src/control/routers.rs
@@ -113,7 +113,7 @@
             Message::Suspects(keys) => self.on_suspects(connection, &keys.items),
             Message::Refusing(keys) => self.on_refusing(connection, &keys.items),
             Message::Holders(entries) => self.on_holders(&entries.items),
-            Message::WorkReports(reports) => self.on_work_reports(&reports.items),
+            Message::FingerprintReports(reports) => self.on_work_reports(&reports.items),
             Message::Usage(entries) => self.on_usage(connection, &entries.items),
             Message::Follow(following) => self.on_follow(connection, following),
             Message::Fetch { since, begun } => {
--- a/crates/gateway-core/src/work.rs
+++ b/crates/gateway-core/src/fingerprint.rs
@@ -21,9 +21,9 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, PartialEq, Eq)]
-pub struct WorkKey([u8; KEY_BYTES]);
+pub struct FingerprintKey([u8; KEY_BYTES]);
 
-impl fmt::Debug for WorkKey {
+impl fmt::Debug for FingerprintKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("WorkKey(..)")
     }
@@ -31,7 +31,7 @@
 
 /// What a back end is asked to run, and for whom.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Work<'a> {
+pub struct FingerprintInput<'a> {
     /// The method.
     pub method: &'a str,
     /// The host, without port.
@@ -44,17 +44,17 @@
     pub body: &'a [u8],
 }
 
-/// Stands for the work of a request. Equal for the same work under the same [`WorkKey`].
+/// Stands for the work of a request. Equal for the same work under the same [`FingerprintKey`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WorkId([u8; ID_BYTES]);
+pub struct RequestFingerprint([u8; ID_BYTES]);
 
 /// The start of an identifier, as logs show it, by which an operator names work.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WorkIdPrefix(String);
+pub struct FingerprintPrefix(String);
 
-impl WorkIdPrefix {
+impl FingerprintPrefix {
     /// Reads as many hex digits as logs show, or more; `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -63,12 +63,12 @@
     }
 
     /// Whether the work's identifier begins so.
-    pub fn matches(&self, work: WorkId) -> bool {
+    pub fn matches(&self, work: RequestFingerprint) -> bool {
         format!("{work:#}").starts_with(&self.0)
     }
 }
 
-impl WorkKey {
+impl FingerprintKey {
     /// A key that is drawn from `seed`, which must be random and stay within the process.
     pub fn draw(seed: u64) -> Self {
         let mut key = [0; KEY_BYTES];
@@ -77,7 +77,7 @@
     }
 
     /// Identifies work.
-    pub fn identify(&self, work: &Work<'_>) -> WorkId {
+    pub fn identify(&self, work: &FingerprintInput<'_>) -> RequestFingerprint {
         let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(&self.0).expect("any key length fits");
         let fields = [work.method, work.host, work.target, work.tenant];
         for field in fields.map(str::as_bytes).into_iter().chain([work.body]) {
@@ -88,11 +88,11 @@
         let digest = mac.finalize().into_bytes();
         let mut id = [0; ID_BYTES];
         id.copy_from_slice(&digest[..ID_BYTES]);
-        WorkId(id)
+        RequestFingerprint(id)
     }
 }
 
-impl WorkId {
+impl RequestFingerprint {
     /// A part of one, evenly spread over works.
     pub fn draw(self) -> f64 {
         f64::from(self.0[0]) / 256.0
@@ -100,7 +100,7 @@
 }
 
 /// The first [`SHOWN_BYTES`] in hex; all of it in the alternate form.
-impl fmt::Display for WorkId {
+impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let shown = if formatter.alternate() {
             ID_BYTES
@@ -113,5 +113,5 @@
 }
 
 #[cfg(test)]
-#[path = "work_tests.rs"]
+#[path = "fingerprint_tests.rs"]
 mod tests;
--- a/crates/gateway-core/src/work_tests.rs
+++ b/crates/gateway-core/src/fingerprint_tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-const WORK: Work<'static> = Work {
+const WORK: FingerprintInput<'static> = FingerprintInput {
     method: "POST",
     host: "a.example",
     target: "/x/one?part=2",
@@ -14,52 +14,55 @@
 
 #[test]
 fn the_same_work_has_the_same_identifier() {
-    let (key, same) = (WorkKey::draw(7), WorkKey::draw(7));
+    let (key, same) = (FingerprintKey::draw(7), FingerprintKey::draw(7));
     assert_eq!(key.identify(&WORK), same.identify(&WORK));
 }
 
 #[rstest]
-#[case::method(Work { method: "GET", ..WORK })]
-#[case::host(Work { host: "b.example", ..WORK })]
-#[case::target(Work { target: "/x/one?part=3", ..WORK })]
-#[case::caller(Work { tenant: "t2", ..WORK })]
-#[case::body(Work { body: b"another body", ..WORK })]
-#[case::moved_border(Work { target: "/x/one?part=2t", tenant: "1", ..WORK })]
-fn other_work_has_another(#[case] other: Work<'_>) {
-    let key = WorkKey::draw(7);
+#[case::method(FingerprintInput { method: "GET", ..WORK })]
+#[case::host(FingerprintInput { host: "b.example", ..WORK })]
+#[case::target(FingerprintInput { target: "/x/one?part=3", ..WORK })]
+#[case::caller(FingerprintInput { tenant: "t2", ..WORK })]
+#[case::body(FingerprintInput { body: b"another body", ..WORK })]
+#[case::moved_border(FingerprintInput { target: "/x/one?part=2t", tenant: "1", ..WORK })]
+fn other_work_has_another(#[case] other: FingerprintInput<'_>) {
+    let key = FingerprintKey::draw(7);
     assert_ne!(key.identify(&WORK), key.identify(&other));
 }
 
 #[test]
 fn nobody_without_the_key_can_make_one() {
     assert_ne!(
-        WorkKey::draw(7).identify(&WORK),
-        WorkKey::draw(8).identify(&WORK)
+        FingerprintKey::draw(7).identify(&WORK),
+        FingerprintKey::draw(8).identify(&WORK)
     );
 }
 
 #[test]
 fn logs_show_neither_key_nor_whole_identifier() {
-    let key = WorkKey::draw(7);
+    let key = FingerprintKey::draw(7);
     assert_eq!(format!("{key:?}"), "WorkKey(..)");
     assert_eq!(key.identify(&WORK).to_string().len(), 2 * SHOWN_BYTES);
 }
 
 #[test]
 fn an_operator_names_work_as_logs_show_it() {
-    let key = WorkKey::draw(7);
-    let (work, other) = (key.identify(&WORK), key.identify(&Work::default()));
+    let key = FingerprintKey::draw(7);
+    let (work, other) = (
+        key.identify(&WORK),
+        key.identify(&FingerprintInput::default()),
+    );
     for shown in [
         format!("{work}"),
         format!("{work:#}"),
         format!("{work}").to_uppercase(),
     ] {
-        let prefix = WorkIdPrefix::parse(&shown).unwrap();
+        let prefix = FingerprintPrefix::parse(&shown).unwrap();
         assert!(prefix.matches(work) && !prefix.matches(other));
     }
     let cut = &format!("{work}")[1..];
-    assert_eq!(WorkIdPrefix::parse(cut), None);
-    assert_eq!(WorkIdPrefix::parse("ends back ends"), None);
+    assert_eq!(FingerprintPrefix::parse(cut), None);
+    assert_eq!(FingerprintPrefix::parse("ends back ends"), None);
 }
 
 /// What identifying costs on the path; prints the figures that docs/design/quarantine.md gives.
@@ -67,12 +70,12 @@
 #[ignore = "prints figures"]
 fn figures_of_identifying() {
     const ROUNDS: u32 = 2_000;
-    let key = WorkKey::draw(7);
+    let key = FingerprintKey::draw(7);
     for bytes in [600, 1_700, 18_000, 110_000] {
         let body = vec![7; bytes];
         let begun = std::time::Instant::now();
         for _ in 0..ROUNDS {
-            std::hint::black_box(key.identify(&Work {
+            std::hint::black_box(key.identify(&FingerprintInput {
                 body: &body,
                 ..WORK
             }));
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -15,6 +15,7 @@
 mod command;
 mod control;
 mod document;
+mod fingerprint;
 mod ids;
 pub mod limits;
 mod message;
@@ -24,7 +25,6 @@
 mod router_wire;
 mod state;
 mod view_links;
-mod work;
 
 pub use command::{Command, LoadPhase, Proposal, ProposalId};
 pub use control::{
@@ -35,11 +35,12 @@
     CacheStore, Document, InvalidDocument, Limits, ModelPool, Pool, RequestKind, Route, Share,
     Tenant,
 };
+pub use fingerprint::{FingerprintInput, FingerprintKey, FingerprintPrefix, RequestFingerprint};
 pub use ids::{InstanceId, ModelName, PoolName, TenantName};
 pub use message::{
-    AccountLevel, Announcement, BackEndKey, Changes, Following, HolderEntry, LoadEntry, Message,
-    Quarantine, RouterStatus, StoreId, StoredKey, TenantKey, UsageEntry, WeightsNotice, WorkEvent,
-    WorkReport, WorkSuspicion,
+    AccountLevel, Announcement, BackEndKey, Changes, FingerprintEvent, FingerprintReport,
+    FingerprintSuspicion, Following, HolderEntry, LoadEntry, Message, Quarantine, RouterStatus,
+    StoreId, StoredKey, TenantKey, UsageEntry, WeightsNotice,
 };
 pub use notice::{BackEndNotice, RequestRate};
 pub use router::{
@@ -50,4 +51,3 @@
 pub use router_wire::RouterWire;
 pub use state::{InstanceRecord, Lifecycle, LoadedModel, NamedWeights, Position, ReplicatedState};
 pub use view_links::{Progress, Step, ViewLinks};
-pub use work::{Work, WorkId, WorkIdPrefix, WorkKey};
--- a/crates/gateway-core/src/message.rs
+++ b/crates/gateway-core/src/message.rs
@@ -7,7 +7,7 @@
 use drumshore_consensus::ReplicaId;
 use drumshore_wire::{Blob, List, Text};
 
-use crate::{InstanceRecord, TenantName, WorkId, WorkKey};
+use crate::{FingerprintKey, InstanceRecord, RequestFingerprint, TenantName};
 
 /// What a router tells about itself.
 #[binrw]
@@ -95,7 +95,7 @@
     /// Back ends that have gone.
     pub removed: List<Text>,
     /// 0 or 1 key under which work is identified.
-    pub work_key: List<WorkKey>,
+    pub fingerprint_key: List<FingerprintKey>,
     /// 0 or 1 list of all work that is quarantined.
     pub quarantine: List<Quarantine>,
 }
@@ -106,17 +106,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Quarantine {
     /// The work.
-    pub works: List<WorkId>,
+    pub works: List<RequestFingerprint>,
 }
 
 /// What became of work at a back end.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorkEvent {
+pub enum FingerprintEvent {
     /// The back end ended while it had the work in hand.
     #[brw(magic(1u8))]
-    BackEndEnded {
+    BackEndCrashed {
         /// Stands for the incarnation; see [`LoadEntry::key_of`].
         back_end: u32,
         /// Milliseconds for which it had had the work.
@@ -131,27 +131,27 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WorkReport {
+pub struct FingerprintReport {
     /// The work.
-    pub work: WorkId,
+    pub work: RequestFingerprint,
     /// Milliseconds since then.
     pub age_ms: u32,
     /// What happened.
-    pub event: WorkEvent,
+    pub event: FingerprintEvent,
 }
 
 /// How many back ends have ended under work, over all routers.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WorkSuspicion {
+pub struct FingerprintSuspicion {
     /// The work.
-    pub work: WorkId,
+    pub work: RequestFingerprint,
     /// Moments at which some ended; 0 when nothing speaks against it any more.
     pub ends: u8,
 }
 
-impl WorkSuspicion {
+impl FingerprintSuspicion {
     /// Its size in a message.
     pub const BYTES: usize = 17;
 }
@@ -433,16 +433,16 @@
     AccountLevels(List<AccountLevel>),
     /// From a router to all control machines: what it saw of work that back ends ended under.
     #[brw(magic(19u8))]
-    WorkReports(List<WorkReport>),
+    FingerprintReports(List<FingerprintReport>),
     /// From any control machine: work that is suspected, or no longer is.
     #[brw(magic(20u8))]
-    WorkSuspicions(List<WorkSuspicion>),
+    FingerprintSuspicions(List<FingerprintSuspicion>),
     /// From a control machine on its link to another one, and back: the link carries bytes.
     #[brw(magic(21u8))]
     KeepAlive,
     /// From the leader: the next request that carries this quarantined work may run.
     #[brw(magic(22u8))]
-    TryWork(WorkId),
+    PermitTrial(RequestFingerprint),
     /// From a control machine on a router's link: the zone that it is in.
     #[brw(magic(23u8))]
     ControlZone(Text),
--- a/crates/gateway-core/src/quarantine/completions.rs
+++ b/crates/gateway-core/src/quarantine/completions.rs
@@ -5,7 +5,7 @@
 
 use drumshore_core::Timestamp;
 
-use crate::WorkId;
+use crate::RequestFingerprint;
 
 /// A run to the end speaks for its work for this long, and at most twice as long. Work that many requests
 /// share is in hand at every back end that one of another kind ends, and would be taken for the cause.
@@ -20,14 +20,14 @@
 /// Works that ran to their end, in two generations.
 #[derive(Debug, Default)]
 pub(crate) struct Completions {
-    newer: HashSet<WorkId>,
-    older: HashSet<WorkId>,
+    newer: HashSet<RequestFingerprint>,
+    older: HashSet<RequestFingerprint>,
     begun: Timestamp,
 }
 
 impl Completions {
     /// Work ran to its end.
-    pub fn note(&mut self, now: Timestamp, work: WorkId) {
+    pub fn note(&mut self, now: Timestamp, work: RequestFingerprint) {
         self.age(now);
         if self.newer.len() < MOST_WORKS {
             self.newer.insert(work);
@@ -35,7 +35,7 @@
     }
 
     /// True when the work ran to its end a moment ago.
-    pub fn contains(&mut self, now: Timestamp, work: WorkId) -> bool {
+    pub fn contains(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
         self.age(now);
         self.newer.contains(&work) || self.older.contains(&work)
     }
--- a/crates/gateway-core/src/quarantine/ledger.rs
+++ b/crates/gateway-core/src/quarantine/ledger.rs
@@ -5,8 +5,8 @@
 
 use drumshore_core::Timestamp;
 
-use super::{ENDS_FOR_QUARANTINE, REMEMBER_ENDS_FOR};
-use crate::WorkId;
+use super::{CRASHES_FOR_QUARANTINE, REMEMBER_CRASHES_FOR};
+use crate::RequestFingerprint;
 
 /// Back ends that end within this time ended together, unless one got the work after the other had ended:
 /// a loss of power ends many at once, and the same work may be in hand at several of them. Routers see one
@@ -41,7 +41,7 @@
 
 /// A back end that ended while it had work in hand.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EndReport {
+pub(crate) struct CrashReport {
     /// The incarnation, as [`crate::LoadEntry::key_of`] names it.
     pub back_end: u32,
     /// How long ago it ended.
@@ -52,15 +52,20 @@
 
 /// Ends of back ends by the work that they had in hand, as far as nothing else explains them.
 #[derive(Debug, Default)]
-pub(crate) struct EndLedger {
-    works: HashMap<WorkId, Vec<End>>,
+pub(crate) struct CrashLedger {
+    works: HashMap<RequestFingerprint, Vec<End>>,
     /// Back ends that quarantined work ended: whatever else they had in hand is innocent of it.
     explained: VecDeque<u32>,
 }
 
-impl EndLedger {
+impl CrashLedger {
     /// A back end ended while it had the work in hand. True when that was not known.
-    pub fn note_end(&mut self, now: Timestamp, work: WorkId, report: EndReport) -> bool {
+    pub fn note_end(
+        &mut self,
+        now: Timestamp,
+        work: RequestFingerprint,
+        report: CrashReport,
+    ) -> bool {
         let back_end = report.back_end;
         if self.explained.contains(&back_end) {
             return false;
@@ -85,7 +90,7 @@
     }
 
     /// How many moments there are at which back ends ended under the work.
-    pub fn ends(&self, work: WorkId) -> u32 {
+    pub fn ends(&self, work: RequestFingerprint) -> u32 {
         let ends = self.works.get(&work).map_or(&[][..], Vec::as_slice);
         let mut moments = 0;
         let mut moment: Option<&End> = None;
@@ -99,13 +104,13 @@
     }
 
     /// Forgets all that speaks against a work. True when something did.
-    pub fn clear(&mut self, work: WorkId) -> bool {
+    pub fn clear(&mut self, work: RequestFingerprint) -> bool {
         self.works.remove(&work).is_some()
     }
 
     /// Work that was quarantined explains the ends under it: they no longer count against the requests
     /// that were beside it. Returns the works of which nothing is left, or less than before.
-    pub fn explain(&mut self, culprit: WorkId) -> Vec<WorkId> {
+    pub fn explain(&mut self, culprit: RequestFingerprint) -> Vec<RequestFingerprint> {
         let ends = self.works.get(&culprit).cloned().unwrap_or_default();
         let ended: BTreeSet<u32> = ends.iter().map(|end| end.back_end).collect();
         let mut relieved = Vec::new();
@@ -131,7 +136,7 @@
     /// Forgets what is too old to matter.
     pub fn expire(&mut self, now: Timestamp) {
         self.works.retain(|_, ends| {
-            ends.retain(|end| micros(now) - end.at < REMEMBER_ENDS_FOR.as_micros() as i64);
+            ends.retain(|end| micros(now) - end.at < REMEMBER_CRASHES_FOR.as_micros() as i64);
             !ends.is_empty()
         });
     }
@@ -140,10 +145,11 @@
     /// has to end a back end for each moment, and work that ended several stays.
     fn make_room(&mut self, now: Timestamp) {
         self.expire(now);
-        let mut by_value: Vec<(u32, i64, WorkId)> = Vec::with_capacity(self.works.len());
+        let mut by_value: Vec<(u32, i64, RequestFingerprint)> =
+            Vec::with_capacity(self.works.len());
         for (work, ends) in &self.works {
             let last = ends.last().map(|end| end.at).unwrap_or_default();
-            let rank = self.ends(*work).min(ENDS_FOR_QUARANTINE);
+            let rank = self.ends(*work).min(CRASHES_FOR_QUARANTINE);
             by_value.push((rank, last, *work));
         }
         by_value.sort_unstable();
--- a/crates/gateway-core/src/quarantine/ledger_tests.rs
+++ b/crates/gateway-core/src/quarantine/ledger_tests.rs
@@ -5,23 +5,23 @@
 use rstest::rstest;
 
 use super::*;
-use crate::{Work, WorkKey};
+use crate::{FingerprintInput, FingerprintKey};
 
 fn at(ms: u64) -> Timestamp {
     Timestamp(1 + ms * 1_000)
 }
 
-fn work(number: u32) -> WorkId {
+fn work(number: u32) -> RequestFingerprint {
     let body = number.to_le_bytes();
-    WorkKey::draw(1).identify(&Work {
+    FingerprintKey::draw(1).identify(&FingerprintInput {
         body: &body,
-        ..Work::default()
+        ..FingerprintInput::default()
     })
 }
 
 /// A back end that had had the work for a second when it ended.
-fn ended(back_end: u32, age_ms: u64) -> EndReport {
-    EndReport {
+fn ended(back_end: u32, age_ms: u64) -> CrashReport {
+    CrashReport {
         back_end,
         age: Duration::from_millis(age_ms),
         held: Duration::from_secs(1),
@@ -30,7 +30,7 @@
 
 #[test]
 fn each_back_end_counts_once_and_each_moment_once() {
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     assert!(ledger.note_end(at(0), work(1), ended(10, 0)));
     assert!(
         !ledger.note_end(at(5), work(1), ended(10, 0)),
@@ -49,10 +49,10 @@
 /// A call that sends the work on within 42 ms has run it twice, one after the other.
 #[test]
 fn a_back_end_that_got_the_work_after_the_first_had_ended_is_another_moment() {
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     ledger.note_end(at(1_000), work(1), ended(1, 0));
     let held = Duration::from_millis(41);
-    let second = EndReport {
+    let second = CrashReport {
         held,
         ..ended(2, 0)
     };
@@ -62,7 +62,7 @@
 
 #[test]
 fn reports_that_come_late_count_at_the_time_of_the_end() {
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     for (ended_at, back_end) in [(900, 1), (100, 2), (500, 3)] {
         ledger.note_end(at(2_000), work(1), ended(back_end, 2_000 - ended_at));
     }
@@ -72,7 +72,7 @@
 /// A control machine that has just started hears of ends before its start.
 #[test]
 fn ends_before_the_start_are_told_apart() {
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     for (age_s, back_end) in [(9, 1), (7, 2), (5, 3)] {
         ledger.note_end(at(10), work(1), ended(back_end, age_s * 1_000));
     }
@@ -81,7 +81,7 @@
 
 #[test]
 fn requests_beside_the_culprit_are_innocent_once_it_is_known() {
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     for (moment, back_end) in [(0, 1), (1_000, 2), (2_000, 3)] {
         ledger.note_end(at(moment), work(1), ended(back_end, 0));
     }
@@ -104,7 +104,7 @@
     );
 }
 
-fn sorted<const N: usize>(mut works: [WorkId; N]) -> Vec<WorkId> {
+fn sorted<const N: usize>(mut works: [RequestFingerprint; N]) -> Vec<RequestFingerprint> {
     works.sort_unstable();
     works.to_vec()
 }
@@ -112,7 +112,7 @@
 /// A verdict is applied again with each further end under it; what it explained before stays known.
 #[test]
 fn ends_are_explained_once() {
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     ledger.note_end(at(0), work(1), ended(1, 0));
     for _ in 0..2 * MOST_EXPLAINED {
         ledger.explain(work(1));
@@ -122,18 +122,18 @@
 
 #[test]
 fn a_run_to_the_end_clears_and_time_forgets() {
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     ledger.note_end(at(0), work(1), ended(1, 0));
     assert!(ledger.clear(work(1)));
     assert!(!ledger.clear(work(1)));
     ledger.note_end(at(0), work(2), ended(1, 0));
-    ledger.expire(at(0).plus(REMEMBER_ENDS_FOR));
+    ledger.expire(at(0).plus(REMEMBER_CRASHES_FOR));
     assert_eq!(ledger.ends(work(2)), 0);
 }
 
 #[test]
 fn a_full_table_keeps_the_work_that_ended_most() {
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     for (moment, back_end) in [(0, 1), (1_000, 2)] {
         ledger.note_end(at(moment), work(0), ended(back_end, 0));
     }
@@ -152,7 +152,7 @@
     const BACK_ENDS: u32 = 100;
     const SLOTS: u32 = 16;
     let mut random = StdRng::seed_from_u64(seed);
-    let mut ledger = EndLedger::default();
+    let mut ledger = CrashLedger::default();
     let mut home: Vec<u32> = (0..BACK_ENDS * SLOTS)
         .map(|number| number / SLOTS)
         .collect();
@@ -178,7 +178,7 @@
 /// When a quarter of a pool ends at once, and again 2 s later, no innocent request is quarantined.
 #[rstest]
 fn a_quarter_of_a_pool_that_ends_twice_condemns_nobody(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    assert_eq!(ends_by_chance(seed, 2, 0.25, ENDS_FOR_QUARANTINE), 0.0);
+    assert_eq!(ends_by_chance(seed, 2, 0.25, CRASHES_FOR_QUARANTINE), 0.0);
 }
 
 /// What other bounds would do; prints the figures that docs/design/quarantine.md gives.
--- a/crates/gateway-core/src/quarantine/mod.rs
+++ b/crates/gateway-core/src/quarantine/mod.rs
@@ -9,7 +9,7 @@
 mod ledger;
 
 pub(crate) use completions::{Completions, COMPLETION_COUNTS_FOR};
-pub(crate) use ledger::{EndLedger, EndReport};
+pub(crate) use ledger::{CrashLedger, CrashReport};
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 /// one crash at a time, but refuses work that was at two back ends of a pool that lost a quarter of them
 /// twice: 58.8 of 1,000 requests in hand at such a pool, with three none (simulated, mean of ten seeds,
 /// `ends_by_chance`).
-pub(crate) const ENDS_FOR_QUARANTINE: u32 = 3;
+pub(crate) const CRASHES_FOR_QUARANTINE: u32 = 3;
 
 /// Work under which so many have ended is suspected: it runs without copies, goes to the back end that
 /// has the least to lose, and is not sent on within a call.
-pub(crate) const ENDS_FOR_SUSPICION: u32 = 2;
+pub(crate) const CRASHES_FOR_SUSPICION: u32 = 2;
 
 /// One run of quarantined work is permitted at one router each so long after the verdict. Work that many
 /// requests share and that has never run well yet may be condemned beside the culprit; nothing else tells
@@ -42,4 +42,4 @@
 pub(crate) const QUARANTINE_FOR: Duration = Duration::from_secs(600);
 
 /// Ends are remembered as long: work that comes more rarely costs a back end each time.
-pub(crate) const REMEMBER_ENDS_FOR: Duration = QUARANTINE_FOR;
+pub(crate) const REMEMBER_CRASHES_FOR: Duration = QUARANTINE_FOR;
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -37,9 +37,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    AccountLevel, BackEndNotice, Changes, Document, HolderEntry, InstanceId, InvalidDocument,
-    Lifecycle, LoadEntry, Position, RequestRate, Route, StoreId, StoredKey, Tenant, UsageEntry,
-    Work, WorkId,
+    AccountLevel, BackEndNotice, Changes, Document, FingerprintInput, HolderEntry, InstanceId,
+    InvalidDocument, Lifecycle, LoadEntry, Position, RequestFingerprint, RequestRate, Route,
+    StoreId, StoredKey, Tenant, UsageEntry,
 };
 
 pub use accounts::{Charge, OverLimit};
@@ -257,8 +257,8 @@
     }
 
     /// Identifies the work of a request; `None` before the key is known.
-    pub fn identify(&self, work: &Work<'_>) -> Option<WorkId> {
-        self.view.work_key().map(|key| key.identify(work))
+    pub fn identify(&self, work: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
+        self.view.fingerprint_key().map(|key| key.identify(work))
     }
 
     /// An admitted request ran nowhere: its tenant's limit is as before.
--- a/crates/gateway-core/src/router/request.rs
+++ b/crates/gateway-core/src/router/request.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{Charge, OverLimit};
-use crate::{InstanceId, ModelName, PoolName, Route, Tenant, WorkId};
+use crate::{InstanceId, ModelName, PoolName, RequestFingerprint, Route, Tenant};
 
 /// A part of a prompt that other requests may share.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -104,7 +104,7 @@
     /// Attempts that arrived at one of them, also when it turned the request away.
     pub arrived: u32,
     /// What the request carries.
-    pub work: Option<WorkId>,
+    pub work: Option<RequestFingerprint>,
     /// Moments at which back ends had ended under it before this call.
     pub ends_before_call: u32,
     /// Attempts of this call that broke when they may have run.
--- a/crates/gateway-core/src/router/suspected_work.rs
+++ b/crates/gateway-core/src/router/suspected_work.rs
@@ -8,10 +8,13 @@
 
 use super::{ChoiceError, EarlierAttempts, RouterCore};
 use crate::quarantine::{
-    Completions, EndLedger, EndReport, COMPLETION_COUNTS_FOR, ENDS_FOR_QUARANTINE,
-    ENDS_FOR_SUSPICION, PERMIT_HOLDS_FOR, REMEMBER_ENDS_FOR,
+    Completions, CrashLedger, CrashReport, COMPLETION_COUNTS_FOR, CRASHES_FOR_QUARANTINE,
+    CRASHES_FOR_SUSPICION, PERMIT_HOLDS_FOR, REMEMBER_CRASHES_FOR,
+};
+use crate::{
+    Changes, FingerprintEvent, FingerprintReport, FingerprintSuspicion, InstanceId, LoadEntry,
+    RequestFingerprint,
 };
-use crate::{Changes, InstanceId, LoadEntry, WorkEvent, WorkId, WorkReport, WorkSuspicion};
 
 /// Reports that are kept for control machines that link later; each is sent to all of them.
 const MOST_REPORTS: usize = 512;
@@ -22,9 +25,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     at: Timestamp,
-    work: WorkId,
+    work: RequestFingerprint,
     /// `None` once it no longer counts.
-    event: Option<WorkEvent>,
+    event: Option<FingerprintEvent>,
 }
 
 impl Seen {
@@ -32,8 +35,8 @@
     /// nothing against ends since.
     fn counts(&self, now: Timestamp) -> bool {
         let counts_for = match self.event {
-            Some(WorkEvent::BackEndEnded { .. }) => REMEMBER_ENDS_FOR,
-            Some(WorkEvent::Completed) => COMPLETION_COUNTS_FOR,
+            Some(FingerprintEvent::BackEndCrashed { .. }) => REMEMBER_CRASHES_FOR,
+            Some(FingerprintEvent::Completed) => COMPLETION_COUNTS_FOR,
             None => return false,
         };
         now.since(self.at) < counts_for
@@ -43,14 +46,14 @@
 /// What a router knows of work that ends back ends.
 #[derive(Debug, Default)]
 pub(super) struct SuspectedWork {
-    own: EndLedger,
+    own: CrashLedger,
     completions: Completions,
     /// Ends over all routers, as control machines told.
-    told: HashMap<WorkId, u8>,
+    told: HashMap<RequestFingerprint, u8>,
     /// What the log says.
-    quarantined: HashSet<WorkId>,
+    quarantined: HashSet<RequestFingerprint>,
     /// Quarantined work of which one run is permitted, and since when.
-    permits: HashMap<WorkId, Timestamp>,
+    permits: HashMap<RequestFingerprint, Timestamp>,
     reports: VecDeque<Seen>,
     /// Reports that are no longer kept.
     dropped_reports: u64,
@@ -58,22 +61,22 @@
 
 impl SuspectedWork {
     /// Moments at which back ends ended under the work, as far as this router knows.
-    fn ends(&self, work: WorkId) -> u32 {
+    fn ends(&self, work: RequestFingerprint) -> u32 {
         let told = self.told.get(&work).copied().unwrap_or_default();
         self.own.ends(work).max(u32::from(told))
     }
 
-    fn is_quarantined(&self, work: WorkId) -> bool {
-        self.quarantined.contains(&work) || self.ends(work) >= ENDS_FOR_QUARANTINE
+    fn is_quarantined(&self, work: RequestFingerprint) -> bool {
+        self.quarantined.contains(&work) || self.ends(work) >= CRASHES_FOR_QUARANTINE
     }
 
     /// Uses up a permit for one run of quarantined work.
-    fn take_permit(&mut self, now: Timestamp, work: WorkId) -> bool {
+    fn take_permit(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
         let permitted_at = self.permits.remove(&work);
         permitted_at.is_some_and(|at| now.since(at) < PERMIT_HOLDS_FOR)
     }
 
-    fn report(&mut self, at: Timestamp, work: WorkId, event: WorkEvent) {
+    fn report(&mut self, at: Timestamp, work: RequestFingerprint, event: FingerprintEvent) {
         let event = Some(event);
         self.reports.push_back(Seen { at, work, event });
         while self.reports.len() > MOST_REPORTS {
@@ -84,16 +87,16 @@
 
     /// Reports that the work ran well here a moment ago, which the router that saw back ends end under it
     /// did not know. True when it did.
-    fn contradict(&mut self, now: Timestamp, work: WorkId) -> bool {
+    fn contradict(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
         let ran_well = self.completions.contains(now, work);
         if ran_well {
             self.forget(work);
-            self.report(now, work, WorkEvent::Completed);
+            self.report(now, work, FingerprintEvent::Completed);
         }
         ran_well
     }
 
-    fn forget(&mut self, work: WorkId) -> bool {
+    fn forget(&mut self, work: RequestFingerprint) -> bool {
         let was_told = self.told.remove(&work).is_some();
         // A control machine that links later must not hear of it.
         let reports = self.reports.iter_mut().filter(|seen| seen.work == work);
@@ -108,13 +111,15 @@
             return;
         }
         let works = listed.into_iter().flat_map(|listed| &listed.works.items);
-        let listed: HashSet<WorkId> = works.copied().collect();
+        let listed: HashSet<RequestFingerprint> = works.copied().collect();
         let before = std::mem::replace(&mut self.quarantined, listed);
-        let released: Vec<WorkId> = before.difference(&self.quarantined).copied().collect();
+        let released: Vec<RequestFingerprint> =
+            before.difference(&self.quarantined).copied().collect();
         for work in released {
             self.forget(work);
         }
-        let added: Vec<WorkId> = self.quarantined.difference(&before).copied().collect();
+        let added: Vec<RequestFingerprint> =
+            self.quarantined.difference(&before).copied().collect();
         for work in added {
             self.contradict(now, work);
         }
@@ -123,7 +128,7 @@
 
 impl RouterCore {
     /// Moments at which back ends ended under the work, as far as this router knows.
-    pub fn ends_under(&self, work: WorkId) -> u32 {
+    pub fn ends_under(&self, work: RequestFingerprint) -> u32 {
         self.suspected_work.ends(work)
     }
 
@@ -146,22 +151,22 @@
         }
         let ends = self.suspected_work.ends(work);
         let ends = ends.max(earlier.ends_before_call + earlier.broken);
-        if earlier.broken > 0 && ends >= ENDS_FOR_SUSPICION {
+        if earlier.broken > 0 && ends >= CRASHES_FOR_SUSPICION {
             return Err(ChoiceError::Suspected);
         }
         Ok(())
     }
 
     /// Work under which so many back ends ended that the next one is to have little to lose.
-    pub(super) fn is_suspected(&self, work: Option<WorkId>) -> bool {
+    pub(super) fn is_suspected(&self, work: Option<RequestFingerprint>) -> bool {
         work.is_some_and(|work| {
             let suspected = &self.suspected_work;
-            suspected.is_quarantined(work) || suspected.ends(work) >= ENDS_FOR_SUSPICION
+            suspected.is_quarantined(work) || suspected.ends(work) >= CRASHES_FOR_SUSPICION
         })
     }
 
     /// The leader permits one run of quarantined work here.
-    pub fn on_trial_permitted(&mut self, now: Timestamp, work: WorkId) {
+    pub fn on_trial_permitted(&mut self, now: Timestamp, work: RequestFingerprint) {
         let permits = &mut self.suspected_work.permits;
         permits.retain(|_, at| now.since(*at) < PERMIT_HOLDS_FOR);
         permits.insert(work, now);
@@ -173,27 +178,31 @@
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        works: &[(WorkId, Timestamp)],
-    ) -> Vec<(WorkId, u32)> {
+        works: &[(RequestFingerprint, Timestamp)],
+    ) -> Vec<(RequestFingerprint, u32)> {
         let back_end = LoadEntry::key_of(instance.as_str());
         self.endpoints.on_ended(now, instance);
         self.suspect(back_end);
         let suspected = &mut self.suspected_work;
-        let works: BTreeMap<WorkId, Timestamp> = works.iter().copied().collect();
+        let works: BTreeMap<RequestFingerprint, Timestamp> = works.iter().copied().collect();
         let mut new = Vec::new();
         for (work, begun) in works {
             if suspected.completions.contains(now, work) {
                 continue;
             }
             let held = now.since(begun);
-            let end = EndReport {
+            let end = CrashReport {
                 back_end,
                 age: Duration::ZERO,
                 held,
             };
             if suspected.own.note_end(now, work, end) {
                 let held_ms = u32::try_from(held.as_millis()).unwrap_or(u32::MAX);
-                suspected.report(now, work, WorkEvent::BackEndEnded { back_end, held_ms });
+                suspected.report(
+                    now,
+                    work,
+                    FingerprintEvent::BackEndCrashed { back_end, held_ms },
+                );
                 new.push((work, suspected.ends(work)));
             }
         }
@@ -201,21 +210,21 @@
     }
 
     /// Work ran to its end, so it does not end whatever runs it. True when something spoke against it.
-    pub fn on_work_completed(&mut self, now: Timestamp, work: WorkId) -> bool {
+    pub fn on_work_completed(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
         let suspected = &mut self.suspected_work;
         suspected.completions.note(now, work);
         let was_suspected = suspected.forget(work) || suspected.quarantined.contains(&work);
         if was_suspected {
-            suspected.report(now, work, WorkEvent::Completed);
+            suspected.report(now, work, FingerprintEvent::Completed);
         }
         was_suspected
     }
 
     /// Takes in what a control machine added up. Reports only add up, so the most that any of them says
     /// counts, until one says that nothing is left, or the work has just run well here.
-    pub fn on_work_suspicions(&mut self, now: Timestamp, suspicions: &[WorkSuspicion]) {
+    pub fn on_work_suspicions(&mut self, now: Timestamp, suspicions: &[FingerprintSuspicion]) {
         let suspected = &mut self.suspected_work;
-        for WorkSuspicion { work, ends } in suspicions {
+        for FingerprintSuspicion { work, ends } in suspicions {
             if *ends == 0 {
                 suspected.forget(*work);
             } else if suspected.contradict(now, *work) {
@@ -228,7 +237,7 @@
     }
 
     /// What this router saw of work since `cursor`, which moves on. A new link begins at 0.
-    pub fn work_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<WorkReport> {
+    pub fn work_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<FingerprintReport> {
         let suspected = &self.suspected_work;
         let skipped = cursor.saturating_sub(suspected.dropped_reports) as usize;
         *cursor = suspected.dropped_reports + suspected.reports.len() as u64;
@@ -236,7 +245,7 @@
         fresh
             .filter(|seen| seen.counts(now))
             .filter_map(|seen| {
-                Some(WorkReport {
+                Some(FingerprintReport {
                     work: seen.work,
                     age_ms: u32::try_from(now.since(seen.at).as_millis()).unwrap_or(u32::MAX),
                     event: seen.event?,
--- a/crates/gateway-core/src/router/tests/suspected_work.rs
+++ b/crates/gateway-core/src/router/tests/suspected_work.rs
@@ -1,16 +1,19 @@
 //! Tests of work that ends back ends.
 
 use super::*;
-use crate::{Quarantine, Work, WorkEvent, WorkId, WorkKey, WorkSuspicion};
+use crate::{
+    FingerprintEvent, FingerprintInput, FingerprintKey, FingerprintSuspicion, Quarantine,
+    RequestFingerprint,
+};
 
-fn work(body: &str) -> WorkId {
-    WorkKey::draw(1).identify(&Work {
+fn work(body: &str) -> RequestFingerprint {
+    FingerprintKey::draw(1).identify(&FingerprintInput {
         body: body.as_bytes(),
-        ..Work::default()
+        ..FingerprintInput::default()
     })
 }
 
-fn first_of(work: WorkId) -> EarlierAttempts<'static> {
+fn first_of(work: RequestFingerprint) -> EarlierAttempts<'static> {
     EarlierAttempts {
         work: Some(work),
         ..EarlierAttempts::default()
@@ -18,7 +21,7 @@
 }
 
 /// Back ends of both pools that have ended under the work, a second apart.
-fn end_under(router: &mut RouterCore, work: WorkId, names: &[&str]) {
+fn end_under(router: &mut RouterCore, work: RequestFingerprint, names: &[&str]) {
     for (number, name) in names.iter().enumerate() {
         let now = at(1_000 * (1 + number as u64));
         router.on_back_end_ended(now, &InstanceId::new(name), &[(work, now)]);
@@ -48,7 +51,7 @@
     let mut router = router();
     if told {
         let work = work("a");
-        router.on_work_suspicions(at(1), &[WorkSuspicion { work, ends: 3 }]);
+        router.on_work_suspicions(at(1), &[FingerprintSuspicion { work, ends: 3 }]);
     } else {
         update(&mut router, at(1), with_quarantine(10, 11, &[work("a")]));
     }
@@ -56,7 +59,7 @@
     assert_eq!(refused, Err(ChoiceError::Quarantined));
 }
 
-fn with_quarantine(since: u64, revision: u64, works: &[WorkId]) -> Changes {
+fn with_quarantine(since: u64, revision: u64, works: &[RequestFingerprint]) -> Changes {
     let works = List::new(works.to_vec());
     Changes {
         quarantine: List::new(vec![Quarantine { works }]),
@@ -127,7 +130,7 @@
             in_flight: 2,
         });
     router.set_others_loads(true, &loads.collect::<Vec<_>>());
-    let suspicion = WorkSuspicion {
+    let suspicion = FingerprintSuspicion {
         work: work("a"),
         ends: 2,
     };
@@ -167,8 +170,8 @@
     assert!(router.on_work_completed(at(3_100), work("a")));
     assert!(choose(&mut router, first_of(work("a"))).is_ok());
     let reports = router.work_reports_since(at(3_200), &mut 3);
-    let events: Vec<WorkEvent> = reports.iter().map(|report| report.event).collect();
-    assert_eq!(events, [WorkEvent::Completed]);
+    let events: Vec<FingerprintEvent> = reports.iter().map(|report| report.event).collect();
+    assert_eq!(events, [FingerprintEvent::Completed]);
 }
 
 /// A permit is for one run, at the back end with the least to lose, and not for ever.
@@ -241,17 +244,17 @@
     let mut cursor = 0;
     if suspicion {
         let work = work("common");
-        router.on_work_suspicions(at(1_000), &[WorkSuspicion { work, ends: 3 }]);
+        router.on_work_suspicions(at(1_000), &[FingerprintSuspicion { work, ends: 3 }]);
     } else {
         let quarantined = with_quarantine(10, 11, &[work("common"), work("ending")]);
         update(&mut router, at(1_000), quarantined);
     }
     let reports = router.work_reports_since(at(1_000), &mut cursor);
-    let events: Vec<(WorkId, WorkEvent)> = reports
+    let events: Vec<(RequestFingerprint, FingerprintEvent)> = reports
         .iter()
         .map(|report| (report.work, report.event))
         .collect();
-    assert_eq!(events, [(work("common"), WorkEvent::Completed)]);
+    assert_eq!(events, [(work("common"), FingerprintEvent::Completed)]);
     assert_eq!(
         choose(&mut router, first_of(work("common"))).is_ok(),
         suspicion
--- a/crates/gateway-core/src/router/view.rs
+++ b/crates/gateway-core/src/router/view.rs
@@ -6,7 +6,9 @@
 
 use drumshore_core::Timestamp;
 
-use crate::{Changes, Document, InstanceRecord, InvalidDocument, Position, Route, Tenant, WorkKey};
+use crate::{
+    Changes, Document, FingerprintKey, InstanceRecord, InvalidDocument, Position, Route, Tenant,
+};
 
 /// Why changes are not taken in.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -51,7 +53,7 @@
     tenants: HashMap<String, Rc<Tenant>>,
     instances: BTreeMap<String, Rc<InstanceRecord>>,
     named: HashMap<String, Vec<Named>>,
-    work_key: Option<WorkKey>,
+    fingerprint_key: Option<FingerprintKey>,
 }
 
 impl View {
@@ -91,8 +93,8 @@
         self.instances.get(instance)
     }
 
-    pub fn work_key(&self) -> Option<&WorkKey> {
-        self.work_key.as_ref()
+    pub fn fingerprint_key(&self) -> Option<&FingerprintKey> {
+        self.fingerprint_key.as_ref()
     }
 
     /// The route of the host with the longest prefix that begins the path.
@@ -157,8 +159,8 @@
             let name = record.instance.as_str().to_owned();
             self.instances.insert(name, Rc::new(record.clone()));
         }
-        if let Some(key) = changes.work_key.items.first() {
-            self.work_key = Some(key.clone());
+        if let Some(key) = changes.fingerprint_key.items.first() {
+            self.fingerprint_key = Some(key.clone());
         }
         self.note_weights(now, changes);
         self.revision = changes.revision;
--- a/crates/gateway-core/src/router_wire.rs
+++ b/crates/gateway-core/src/router_wire.rs
@@ -9,7 +9,9 @@
 use binrw::{binrw, BinRead, BinWrite};
 use drumshore_wire::{Blob, List, Text};
 
-use crate::{Changes, InstanceRecord, Message, Quarantine, RouterStatus, WeightsNotice, WorkKey};
+use crate::{
+    Changes, FingerprintKey, InstanceRecord, Message, Quarantine, RouterStatus, WeightsNotice,
+};
 
 /// The layouts that are used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -43,7 +45,7 @@
         weights: List<WeightsNotice>,
         instances: List<InstanceRecord>,
         removed: List<Text>,
-        work_key: List<WorkKey>,
+        fingerprint_key: List<FingerprintKey>,
         quarantine: List<Quarantine>,
     },
 }
@@ -128,7 +130,7 @@
             weights,
             instances,
             removed,
-            work_key,
+            fingerprint_key,
             quarantine,
         } => Some(Message::Changes(Changes {
             since,
@@ -138,7 +140,7 @@
             weights,
             instances,
             removed,
-            work_key,
+            fingerprint_key,
             quarantine,
         })),
     }
@@ -153,7 +155,7 @@
         weights,
         instances,
         removed,
-        work_key,
+        fingerprint_key,
         quarantine,
     } = changes.clone();
     EarlierMessage::Changes {
@@ -163,7 +165,7 @@
         weights,
         instances,
         removed,
-        work_key,
+        fingerprint_key,
         quarantine,
     }
 }
--- a/crates/gateway-core/src/state.rs
+++ b/crates/gateway-core/src/state.rs
@@ -8,7 +8,7 @@
 use binrw::binrw;
 use drumshore_wire::{Blob, List, Text};
 
-use crate::{Command, LoadPhase, WorkId, WorkKey};
+use crate::{Command, FingerprintKey, LoadPhase, RequestFingerprint};
 
 pub use changes::Position;
 
@@ -113,8 +113,8 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug)]
-struct StoredWorkKey {
-    key: WorkKey,
+struct StoredFingerprintKey {
+    key: FingerprintKey,
     revision: u64,
 }
 
@@ -137,9 +137,9 @@
     instances: BTreeMap<String, InstanceRecord>,
     removals: BTreeMap<String, Removed>,
     changed: ChangeIndex,
-    work_key: Option<StoredWorkKey>,
+    fingerprint_key: Option<StoredFingerprintKey>,
     /// Work that no back end is given, by the position that said so.
-    quarantined: BTreeMap<WorkId, u64>,
+    quarantined: BTreeMap<RequestFingerprint, u64>,
     quarantine_revision: u64,
 }
 
@@ -187,17 +187,17 @@
     }
 
     /// The key under which work is identified; `None` before the first leader has drawn one.
-    pub fn work_key(&self) -> Option<&WorkKey> {
-        self.work_key.as_ref().map(|stored| &stored.key)
+    pub fn fingerprint_key(&self) -> Option<&FingerprintKey> {
+        self.fingerprint_key.as_ref().map(|stored| &stored.key)
     }
 
     /// Work that no back end is given.
-    pub fn quarantined(&self) -> impl Iterator<Item = WorkId> + '_ {
+    pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> + '_ {
         self.quarantined.keys().copied()
     }
 
     /// True while no back end is given the work.
-    pub fn is_quarantined(&self, work: WorkId) -> bool {
+    pub fn is_quarantined(&self, work: RequestFingerprint) -> bool {
         self.quarantined.contains_key(&work)
     }
 
@@ -216,7 +216,7 @@
                 version,
                 phase,
             } => self.load(position, instance, model, *version, *phase),
-            Command::SetWorkKey { key } => self.set_work_key(position, key),
+            Command::SetFingerprintKey { key } => self.set_fingerprint_key(position, key),
             Command::Quarantine { work } => self.quarantine(position, *work),
             Command::Release { work } => self.release(position, *work),
         };
@@ -353,18 +353,18 @@
     }
 
     /// Work that was identified under one key is not found under another, so the first one stays.
-    fn set_work_key(&mut self, position: u64, key: &WorkKey) -> bool {
-        if self.work_key.is_some() {
+    fn set_fingerprint_key(&mut self, position: u64, key: &FingerprintKey) -> bool {
+        if self.fingerprint_key.is_some() {
             return false;
         }
-        self.work_key = Some(StoredWorkKey {
+        self.fingerprint_key = Some(StoredFingerprintKey {
             key: key.clone(),
             revision: position,
         });
         true
     }
 
-    fn quarantine(&mut self, position: u64, work: WorkId) -> bool {
+    fn quarantine(&mut self, position: u64, work: RequestFingerprint) -> bool {
         if self.is_quarantined(work) {
             return false;
         }
@@ -379,7 +379,7 @@
         true
     }
 
-    fn release(&mut self, position: u64, work: WorkId) -> bool {
+    fn release(&mut self, position: u64, work: RequestFingerprint) -> bool {
         let was_quarantined = self.quarantined.remove(&work).is_some();
         if was_quarantined {
             self.quarantine_revision = position;
--- a/crates/gateway-core/src/state/changes.rs
+++ b/crates/gateway-core/src/state/changes.rs
@@ -129,8 +129,8 @@
             version: named.version,
             age_ms: age_ms(named),
         };
-        let work_key = self.work_key.iter();
-        let work_key = work_key.filter(|item| range.contains(&item.revision));
+        let fingerprint_key = self.fingerprint_key.iter();
+        let fingerprint_key = fingerprint_key.filter(|item| range.contains(&item.revision));
         let has_quarantine = range.contains(&self.quarantine_revision);
         let quarantine = has_quarantine.then(|| Quarantine {
             works: List::new(self.quarantined().collect()),
@@ -143,7 +143,7 @@
             weights: List::new(weights.map(notice).collect()),
             instances: List::new(instances),
             removed: List::new(removed),
-            work_key: List::new(work_key.map(|item| item.key.clone()).collect()),
+            fingerprint_key: List::new(fingerprint_key.map(|item| item.key.clone()).collect()),
             quarantine: List::new(quarantine.into_iter().collect()),
         }
     }
--- a/crates/gateway-core/src/state/image.rs
+++ b/crates/gateway-core/src/state/image.rs
@@ -8,9 +8,10 @@
 
 use super::changes::ChangeIndex;
 use super::{
-    InstanceRecord, NamedWeights, Removed, ReplicatedState, StoredConfiguration, StoredWorkKey,
+    InstanceRecord, NamedWeights, Removed, ReplicatedState, StoredConfiguration,
+    StoredFingerprintKey,
 };
-use crate::WorkId;
+use crate::RequestFingerprint;
 
 #[binrw]
 #[brw(little)]
@@ -26,7 +27,7 @@
 #[brw(little)]
 #[derive(Clone, Copy, Debug)]
 struct Quarantined {
-    work: WorkId,
+    work: RequestFingerprint,
     position: u64,
 }
 
@@ -41,7 +42,7 @@
     instances: List<InstanceRecord>,
     removals: List<Removal>,
     /// 0 or 1.
-    work_key: List<StoredWorkKey>,
+    fingerprint_key: List<StoredFingerprintKey>,
     quarantine_revision: u64,
     quarantined: List<Quarantined>,
 }
@@ -65,7 +66,7 @@
             weights: List::new(self.weights().cloned().collect()),
             instances: List::new(self.instances.values().cloned().collect()),
             removals: List::new(removals.collect()),
-            work_key: List::new(self.work_key.iter().cloned().collect()),
+            fingerprint_key: List::new(self.fingerprint_key.iter().cloned().collect()),
             quarantine_revision: self.quarantine_revision,
             quarantined: List::new(quarantined.collect()),
         };
@@ -104,7 +105,7 @@
             weights,
             instances,
             removals,
-            work_key: image.work_key.items.into_iter().next(),
+            fingerprint_key: image.fingerprint_key.items.into_iter().next(),
             quarantined: (image.quarantined.items.iter())
                 .map(|item| (item.work, item.position))
                 .collect(),
--- a/crates/gateway-core/tests/cluster/mod.rs
+++ b/crates/gateway-core/tests/cluster/mod.rs
@@ -269,7 +269,7 @@
             }),
             Effect::Ask { instance, .. } => self.asked.push((at, instance)),
             Effect::NewsRefused => self.news_refused += 1,
-            Effect::Applied { .. } | Effect::WorkSuspected { .. } => {}
+            Effect::Applied { .. } | Effect::FingerprintSuspected { .. } => {}
         }
     }
 
--- a/crates/gateway-core/tests/control/quarantine.rs
+++ b/crates/gateway-core/tests/control/quarantine.rs
@@ -1,7 +1,8 @@
 //! Work that ends back ends: which machines know of it, and for how long.
 
 use drumshore_gateway_core::{
-    Command, Work, WorkEvent, WorkId, WorkKey, WorkReport, WorkSuspicion,
+    Command, FingerprintEvent, FingerprintInput, FingerprintKey, FingerprintReport,
+    FingerprintSuspicion, RequestFingerprint,
 };
 
 use super::*;
@@ -13,18 +14,18 @@
 /// How long work stays quarantined.
 const QUARANTINE: Duration = Duration::from_secs(600);
 
-fn work(number: u8) -> WorkId {
-    WorkKey::draw(1).identify(&Work {
+fn work(number: u8) -> RequestFingerprint {
+    FingerprintKey::draw(1).identify(&FingerprintInput {
         body: &[number],
-        ..Work::default()
+        ..FingerprintInput::default()
     })
 }
 
-fn ended(work: WorkId, back_end: u32, age: Duration) -> WorkReport {
-    WorkReport {
+fn ended(work: RequestFingerprint, back_end: u32, age: Duration) -> FingerprintReport {
+    FingerprintReport {
         work,
         age_ms: age.as_millis() as u32,
-        event: WorkEvent::BackEndEnded {
+        event: FingerprintEvent::BackEndCrashed {
             back_end,
             held_ms: 50,
         },
@@ -32,14 +33,14 @@
 }
 
 /// Three back ends that ended a second apart, the last one now.
-fn three_ends(work: WorkId) -> Vec<WorkReport> {
+fn three_ends(work: RequestFingerprint) -> Vec<FingerprintReport> {
     let ends = (1..=3).map(|number| ended(work, number, SECOND * (3 - number)));
     ends.collect()
 }
 
-fn report(cluster: &mut Cluster, machine: Ipv4Addr, reports: &[WorkReport]) {
+fn report(cluster: &mut Cluster, machine: Ipv4Addr, reports: &[FingerprintReport]) {
     let now = cluster.now;
-    let message = Message::WorkReports(List::new(reports.to_vec()));
+    let message = Message::FingerprintReports(List::new(reports.to_vec()));
     cluster.core(machine).on_router(now, LINK, message);
     cluster.settle();
 }
@@ -53,16 +54,21 @@
 }
 
 /// What a router was told of the work last, over a link to a machine.
-fn told(cluster: &Cluster, machine: Ipv4Addr, link: ConnectionId, work: WorkId) -> Option<u8> {
+fn told(
+    cluster: &Cluster,
+    machine: Ipv4Addr,
+    link: ConnectionId,
+    work: RequestFingerprint,
+) -> Option<u8> {
     let to_it = cluster.to_routers.iter().rev();
     let mut to_it = to_it.filter(|(from, to, _)| *from == machine && *to == link);
     to_it.find_map(|(.., message)| match message {
-        Message::WorkSuspicions(list) => suspected(&list.items, work),
+        Message::FingerprintSuspicions(list) => suspected(&list.items, work),
         _ => None,
     })
 }
 
-fn suspected(suspicions: &[WorkSuspicion], work: WorkId) -> Option<u8> {
+fn suspected(suspicions: &[FingerprintSuspicion], work: RequestFingerprint) -> Option<u8> {
     let mut suspicions = suspicions.iter();
     let found = suspicions.find(|suspicion| suspicion.work == work);
     found.map(|suspicion| suspicion.ends)
@@ -90,7 +96,7 @@
         "one end says nothing"
     );
     let now = cluster.now;
-    let second = Message::WorkReports(List::new(vec![ended(work(1), 2, Duration::ZERO)]));
+    let second = Message::FingerprintReports(List::new(vec![ended(work(1), 2, Duration::ZERO)]));
     cluster.core(leader).on_router(now, OTHER_LINK, second);
     cluster.run(Duration::from_millis(200));
     assert_eq!(told(&cluster, leader, LINK, work(1)), Some(2));
@@ -209,10 +215,10 @@
     cluster.run(SECOND);
     assert!(is_quarantined_at(&mut cluster, leader));
     if completed {
-        let report_of_end = WorkReport {
+        let report_of_end = FingerprintReport {
             work: work(1),
             age_ms: 0,
-            event: WorkEvent::Completed,
+            event: FingerprintEvent::Completed,
         };
         report(&mut cluster, leader, &[report_of_end]);
     }
@@ -227,7 +233,7 @@
 /// Permits for one run, by the router's link.
 fn permits(cluster: &Cluster) -> Vec<ConnectionId> {
     let sent = cluster.to_routers.iter();
-    let permits = sent.filter(|(.., message)| *message == Message::TryWork(work(1)));
+    let permits = sent.filter(|(.., message)| *message == Message::PermitTrial(work(1)));
     permits.map(|(_, connection, _)| *connection).collect()
 }
 
@@ -301,14 +307,14 @@
     let mut cluster = linked(1);
     let leader = cluster.leader().unwrap();
     let works = (0..10_000_u32).map(|number| {
-        WorkKey::draw(2).identify(&Work {
+        FingerprintKey::draw(2).identify(&FingerprintInput {
             body: &number.to_le_bytes(),
-            ..Work::default()
+            ..FingerprintInput::default()
         })
     });
     let reports = works
         .flat_map(|work| [1, 2].map(|back_end| ended(work, back_end, SECOND * (2 - back_end))));
-    let reports: Vec<WorkReport> = reports.collect();
+    let reports: Vec<FingerprintReport> = reports.collect();
     report(&mut cluster, leader, &reports);
     cluster.to_routers.clear();
     cluster.run(10 * SECOND);
@@ -316,7 +322,7 @@
         .to_routers
         .iter()
         .map(|(.., message)| match message {
-            Message::WorkSuspicions(list) => list.items.len() * WorkSuspicion::BYTES,
+            Message::FingerprintSuspicions(list) => list.items.len() * FingerprintSuspicion::BYTES,
             _ => 0,
         });
     let told: usize = told.sum();
@@ -347,9 +353,9 @@
     let mut cluster = linked(1);
     let leader = cluster.leader().unwrap();
     for number in 0..1_100_u32 {
-        let work = WorkKey::draw(3).identify(&Work {
+        let work = FingerprintKey::draw(3).identify(&FingerprintInput {
             body: &number.to_le_bytes(),
-            ..Work::default()
+            ..FingerprintInput::default()
         });
         cluster.submit(leader, Command::Quarantine { work });
     }
--- a/crates/gateway-core/tests/state.rs
+++ b/crates/gateway-core/tests/state.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use drumshore_gateway_core::{
-    Command, Document, InvalidDocument, Lifecycle, LoadPhase, LoadedModel, Pool, PoolName,
-    Proposal, ProposalId, ReplicatedState, RequestKind, Route, Share, Tenant, TenantName, Work,
-    WorkKey,
+    Command, Document, FingerprintInput, FingerprintKey, InvalidDocument, Lifecycle, LoadPhase,
+    LoadedModel, Pool, PoolName, Proposal, ProposalId, ReplicatedState, RequestKind, Route, Share,
+    Tenant, TenantName,
 };
 use drumshore_wire::{Blob, List, Text};
 use rstest::rstest;
@@ -213,17 +213,20 @@
 #[test]
 fn the_first_key_for_work_stays_and_survives_a_snapshot() {
     let mut state = filled();
-    let (first, second) = (WorkKey::draw(1), WorkKey::draw(2));
+    let (first, second) = (FingerprintKey::draw(1), FingerprintKey::draw(2));
     let before = state.revision();
-    assert!(state.apply(before + 1, &Command::SetWorkKey { key: first.clone() }));
-    assert!(!state.apply(before + 2, &Command::SetWorkKey { key: second }));
+    assert!(state.apply(
+        before + 1,
+        &Command::SetFingerprintKey { key: first.clone() }
+    ));
+    assert!(!state.apply(before + 2, &Command::SetFingerprintKey { key: second }));
     let restored = ReplicatedState::decode(&state.encode()).unwrap();
-    assert_eq!(restored.work_key(), Some(&first));
-    let told = restored.changes_since(before, |_| 0).work_key.items;
+    assert_eq!(restored.fingerprint_key(), Some(&first));
+    let told = restored.changes_since(before, |_| 0).fingerprint_key.items;
     assert_eq!(told, std::slice::from_ref(&first));
     assert!(restored
         .changes_since(before + 1, |_| 0)
-        .work_key
+        .fingerprint_key
         .items
         .is_empty());
 }
@@ -232,7 +235,7 @@
 /// their bytes may read as.
 #[test]
 fn bytes_that_go_on_behind_a_command_are_none() {
-    let work = WorkKey::draw(1).identify(&Work::default());
+    let work = FingerprintKey::draw(1).identify(&FingerprintInput::default());
     let proposal = Proposal {
         id: ProposalId::default(),
         command: Command::Quarantine { work },
--- a/crates/gateway-core/tests/wire_layout.rs
+++ b/crates/gateway-core/tests/wire_layout.rs
@@ -9,17 +9,18 @@
 
 use drumshore_consensus::ReplicaId;
 use drumshore_gateway_core::{
-    AccountLevel, Announcement, BackEndKey, Changes, Command, Following, HolderEntry,
+    AccountLevel, Announcement, BackEndKey, Changes, Command, FingerprintEvent, FingerprintInput,
+    FingerprintKey, FingerprintReport, FingerprintSuspicion, Following, HolderEntry,
     InstanceRecord, Lifecycle, LoadEntry, LoadPhase, LoadedModel, Message, Proposal, ProposalId,
-    Quarantine, ReplicatedState, RouterStatus, StoreId, StoredKey, TenantKey, TenantName,
-    UsageEntry, WeightsNotice, Work, WorkEvent, WorkId, WorkKey, WorkReport, WorkSuspicion,
+    Quarantine, ReplicatedState, RequestFingerprint, RouterStatus, StoreId, StoredKey, TenantKey,
+    TenantName, UsageEntry, WeightsNotice,
 };
 use drumshore_wire::{Blob, List, Text};
 
 const LANDED: &str = include_str!("wire_layout.txt");
 
-fn work() -> WorkId {
-    WorkKey::draw(1).identify(&Work::default())
+fn work() -> RequestFingerprint {
+    FingerprintKey::draw(1).identify(&FingerprintInput::default())
 }
 
 fn tenant() -> TenantKey {
@@ -61,7 +62,7 @@
         }]),
         instances: List::new(vec![record()]),
         removed: List::new(vec![Text::new("i-2")]),
-        work_key: List::new(vec![WorkKey::draw(1)]),
+        fingerprint_key: List::new(vec![FingerprintKey::draw(1)]),
         quarantine: List::new(vec![Quarantine {
             works: List::new(vec![work()]),
         }]),
@@ -78,18 +79,18 @@
 
 fn messages() -> Vec<(&'static str, Message)> {
     let reports = vec![
-        WorkReport {
+        FingerprintReport {
             work: work(),
             age_ms: 11,
-            event: WorkEvent::BackEndEnded {
+            event: FingerprintEvent::BackEndCrashed {
                 back_end: 12,
                 held_ms: 13,
             },
         },
-        WorkReport {
+        FingerprintReport {
             work: work(),
             age_ms: 14,
-            event: WorkEvent::Completed,
+            event: FingerprintEvent::Completed,
         },
     ];
     vec![
@@ -161,16 +162,19 @@
             "account_levels",
             Message::AccountLevels(List::new(vec![AccountLevel::new(tenant(), -23.0, 0.5)])),
         ),
-        ("work_reports", Message::WorkReports(List::new(reports))),
+        (
+            "work_reports",
+            Message::FingerprintReports(List::new(reports)),
+        ),
         (
             "work_suspicions",
-            Message::WorkSuspicions(List::new(vec![WorkSuspicion {
+            Message::FingerprintSuspicions(List::new(vec![FingerprintSuspicion {
                 work: work(),
                 ends: 2,
             }])),
         ),
         ("keep_alive", Message::KeepAlive),
-        ("try_work", Message::TryWork(work())),
+        ("try_work", Message::PermitTrial(work())),
         ("control_zone", Message::ControlZone(Text::new("zone"))),
         ("follow", Message::Follow(Following::ChangesAndNews)),
         ("news", Message::News(Blob::new(vec![24]))),
@@ -235,8 +239,8 @@
         ),
         (
             "set_work_key",
-            Command::SetWorkKey {
-                key: WorkKey::draw(1),
+            Command::SetFingerprintKey {
+                key: FingerprintKey::draw(1),
             },
         ),
         ("quarantine", Command::Quarantine { work: work() }),
--- a/crates/gateway/src/control/applied.rs
+++ b/crates/gateway/src/control/applied.rs
@@ -65,7 +65,7 @@
                 "control: new weights are named"
             );
         }
-        Command::SetWorkKey { .. } => {
+        Command::SetFingerprintKey { .. } => {
             tracing::info!(
                 event = "work_key_set",
                 position,
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -256,7 +256,7 @@
                 }
             }
             Effect::Applied { position, command } => applied::log(position, &command),
-            Effect::WorkSuspected { work, ends } => {
+            Effect::FingerprintSuspected { work, ends } => {
                 tracing::info!(
                     event = "work_suspected",
                     work = format_args!("{work:#}"),
--- a/crates/gateway/src/control/quarantine.rs
+++ b/crates/gateway/src/control/quarantine.rs
@@ -5,7 +5,7 @@
 
 use std::fmt::Write;
 
-use drumshore_gateway_core::{Command, WorkId, WorkIdPrefix};
+use drumshore_gateway_core::{Command, FingerprintPrefix, RequestFingerprint};
 use hyper::{Method, Response, StatusCode};
 
 use super::{api, Control};
@@ -20,7 +20,7 @@
     /// Which work is quarantined.
     List,
     /// Work is to be released; `None` when the name cannot be one.
-    Release(Option<WorkIdPrefix>),
+    Release(Option<FingerprintPrefix>),
 }
 
 /// The call that a request is; `None` when it is about something else.
@@ -28,7 +28,9 @@
     let named = path.strip_prefix(PATH)?;
     match (method, named.strip_prefix('/')) {
         (&Method::GET, None) if named.is_empty() => Some(QuarantineCall::List),
-        (&Method::DELETE, Some(name)) => Some(QuarantineCall::Release(WorkIdPrefix::parse(name))),
+        (&Method::DELETE, Some(name)) => {
+            Some(QuarantineCall::Release(FingerprintPrefix::parse(name)))
+        }
         _ => None,
     }
 }
@@ -42,7 +44,7 @@
     }
 }
 
-fn quarantined(control: &Control) -> Option<Vec<WorkId>> {
+fn quarantined(control: &Control) -> Option<Vec<RequestFingerprint>> {
     let core = control.core.borrow();
     Some(core.as_ref()?.state().quarantined().collect())
 }
@@ -59,7 +61,7 @@
     answer::typed(CONTENT_TYPE, text)
 }
 
-async fn release(control: &Control, prefix: &WorkIdPrefix) -> Response<AnswerBody> {
+async fn release(control: &Control, prefix: &FingerprintPrefix) -> Response<AnswerBody> {
     let Some(mut works) = quarantined(control) else {
         return answer::plain(StatusCode::SERVICE_UNAVAILABLE, "");
     };
--- a/crates/gateway/src/control/quarantine_tests.rs
+++ b/crates/gateway/src/control/quarantine_tests.rs
@@ -22,7 +22,7 @@
 #[case::as_logs_show_it(
     Method::DELETE,
     "/quarantine/0123456789ab",
-    Some(QuarantineCall::Release(WorkIdPrefix::parse("0123456789ab")))
+    Some(QuarantineCall::Release(FingerprintPrefix::parse("0123456789ab")))
 )]
 fn a_call_is_read(
     #[case] method: Method,
--- a/crates/gateway/src/router/back_end_ends.rs
+++ b/crates/gateway/src/router/back_end_ends.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use drumshore_core::Timestamp;
-use drumshore_gateway_core::{InstanceId, WorkId};
+use drumshore_gateway_core::{InstanceId, RequestFingerprint};
 
 use super::Router;
 use crate::sockets;
@@ -28,7 +28,7 @@
     /// The request's identifier.
     pub id: String,
     /// What it carries; `None` before the key that identifies work is known.
-    pub work: Option<WorkId>,
+    pub work: Option<RequestFingerprint>,
     /// When it was sent.
     pub begun: Timestamp,
 }
@@ -122,7 +122,7 @@
 /// All control machines hear of it, for the next router that gets the same work knows nothing of this one.
 fn note_ended(router: &Router, instance: &InstanceId, runs: &[BrokenRun]) {
     let with_work = |run: &BrokenRun| run.work.map(|work| (work, run.begun));
-    let works: Vec<(WorkId, Timestamp)> = runs.iter().filter_map(with_work).collect();
+    let works: Vec<(RequestFingerprint, Timestamp)> = runs.iter().filter_map(with_work).collect();
     let now = router.clock.now();
     let mut core = router.core.borrow_mut();
     for (work, ends) in core.on_back_end_ended(now, instance, &works) {
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use drumshore_core::{Execution, Timestamp};
 use drumshore_gateway_core::{
-    Admission, Choice, Prompt, Refusal, RequestHead, RequestKind, Work, WorkId,
+    Admission, Choice, FingerprintInput, Prompt, Refusal, RequestFingerprint, RequestHead,
+    RequestKind,
 };
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
@@ -42,7 +43,7 @@
     pub parts: Parts,
     pub body: Bytes,
     /// Stands for what the request carries; `None` before the key for that is known.
-    pub work: Option<WorkId>,
+    pub work: Option<RequestFingerprint>,
     /// Moments at which back ends had ended under it before this call.
     pub ends_before_call: u32,
 }
@@ -203,10 +204,15 @@
     })
 }
 
-fn identify(router: &Router, parts: &Parts, admission: &Admission, body: &Bytes) -> Option<WorkId> {
+fn identify(
+    router: &Router,
+    parts: &Parts,
+    admission: &Admission,
+    body: &Bytes,
+) -> Option<RequestFingerprint> {
     let target = parts.uri.path_and_query();
     let tenant = admission.tenant.as_ref();
-    router.core.borrow().identify(&Work {
+    router.core.borrow().identify(&FingerprintInput {
         method: parts.method.as_str(),
         host: &admission.route.host,
         target: target.map_or("", |target| target.as_str()),
--- a/crates/gateway/src/router/relay.rs
+++ b/crates/gateway/src/router/relay.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use drumshore_core::{Execution, Timestamp};
-use drumshore_gateway_core::{Choice, Outcome, WorkId};
+use drumshore_gateway_core::{Choice, Outcome, RequestFingerprint};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::Sleep;
 use tracing::field::DisplayValue;
@@ -307,7 +307,7 @@
         }
     }
 
-    fn shown_work(&self) -> Option<DisplayValue<WorkId>> {
+    fn shown_work(&self) -> Option<DisplayValue<RequestFingerprint>> {
         self.open_attempt.run.work.map(tracing::field::display)
     }
 
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -93,7 +93,7 @@
     loop {
         let now = router.clock.now();
         let reports = router.core.borrow().work_reports_since(now, &mut cursor);
-        if !reports.is_empty() && !sender.send(&Message::WorkReports(List::new(reports))) {
+        if !reports.is_empty() && !sender.send(&Message::FingerprintReports(List::new(reports))) {
             return "closed";
         }
         router.work_reported.notified().await;
--- a/crates/gateway/src/router/updates.rs
+++ b/crates/gateway/src/router/updates.rs
@@ -8,7 +8,7 @@
 
 use drumshore_core::Timestamp;
 use drumshore_gateway_core::{
-    Changes, Message, Progress, ReportedLoads, RouterWire, Step, ViewLinks, WorkSuspicion,
+    Changes, FingerprintSuspicion, Message, Progress, ReportedLoads, RouterWire, Step, ViewLinks,
 };
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
@@ -315,10 +315,10 @@
                 "router: back ends turn other routers' requests away"
             );
         }
-        Message::WorkSuspicions(suspicions) => {
+        Message::FingerprintSuspicions(suspicions) => {
             on_work_suspicions(router, address, &suspicions.items);
         }
-        Message::TryWork(work) => {
+        Message::PermitTrial(work) => {
             let now = router.clock.now();
             router.core.borrow_mut().on_trial_permitted(now, work);
             tracing::info!(event = "work_trial", %work, by = %address,
@@ -348,11 +348,11 @@
     }
 }
 
-fn on_work_suspicions(router: &Router, address: Ipv4Addr, suspicions: &[WorkSuspicion]) {
+fn on_work_suspicions(router: &Router, address: Ipv4Addr, suspicions: &[FingerprintSuspicion]) {
     let now = router.clock.now();
     router.core.borrow_mut().on_work_suspicions(now, suspicions);
     router.work_reported.notify_waiters();
-    for WorkSuspicion { work, ends } in suspicions {
+    for FingerprintSuspicion { work, ends } in suspicions {
         tracing::info!(event = "work_suspected", %work, ends, by = %address,
             "router: a control machine suspects work");
     }
