--- a/crates/gateway-core/src/command.rs
+++ b/crates/gateway-core/src/command.rs
@@ -128,13 +128,13 @@
     #[brw(magic(9u8))]
     Quarantine {
         /// The work.
-        work: RequestFingerprint,
+        fingerprint: RequestFingerprint,
     },
     /// Work that may be tried again.
     #[brw(magic(10u8))]
     Release {
         /// The work.
-        work: RequestFingerprint,
+        fingerprint: RequestFingerprint,
     },
 }
 
--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -101,9 +101,9 @@
     /// Another back end ended under work, for logs.
     FingerprintSuspected {
         /// The work.
-        work: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         /// Moments at which back ends ended under it.
-        ends: u32,
+        crashes: u32,
     },
     /// Another machine sent something for routers that is not passed on, for logs.
     NewsRefused,
@@ -405,8 +405,8 @@
             Command::Deregister { instance } | Command::Expire { instance } => {
                 self.heard.forget(instance.as_str());
             }
-            Command::Quarantine { work } => self.on_quarantined(*work),
-            Command::Release { work } => self.on_released(*work),
+            Command::Quarantine { fingerprint } => self.on_quarantined(*fingerprint),
+            Command::Release { fingerprint } => self.on_released(*fingerprint),
             _ => {}
         }
         self.effects.push(Effect::Applied { position, command });
--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -58,8 +58,8 @@
     }
 
     /// True once for each trial, when its time has come.
-    fn trial_is_due(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
-        let spread = TRIALS_SPREAD.mul_f64(work.draw());
+    fn trial_is_due(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
+        let spread = TRIALS_SPREAD.mul_f64(fingerprint.draw());
         let next = TRIALS_AFTER.get(self.trials);
         let is_due = next.is_some_and(|after| now.since(self.at) >= *after + spread);
         self.trials += usize::from(is_due);
@@ -69,18 +69,18 @@
 
 impl SuspectedWork {
     /// Notes what routers are to be told of a work, when that has changed.
-    fn note_standing(&mut self, work: RequestFingerprint) {
-        let ends = self.ledger.ends(work);
-        let ends = if ends < CRASHES_FOR_SUSPICION {
+    fn note_standing(&mut self, fingerprint: RequestFingerprint) {
+        let crashes = self.ledger.crashes(fingerprint);
+        let crashes = if crashes < CRASHES_FOR_SUSPICION {
             0
         } else {
-            ends
+            crashes
         };
-        let ends = u8::try_from(ends).unwrap_or(u8::MAX);
-        if self.told.get(&work).copied().unwrap_or_default() == ends {
-            self.untold.remove(&work);
+        let crashes = u8::try_from(crashes).unwrap_or(u8::MAX);
+        if self.told.get(&fingerprint).copied().unwrap_or_default() == crashes {
+            self.untold.remove(&fingerprint);
         } else {
-            self.untold.insert(work, ends);
+            self.untold.insert(fingerprint, crashes);
         }
     }
 
@@ -90,16 +90,19 @@
             self.untold.iter().map(|item| (*item.1, *item.0)).collect();
         due.sort_unstable_by(|one, other| other.cmp(one));
         due.truncate(most);
-        for (ends, work) in &due {
-            self.untold.remove(work);
-            if *ends == 0 {
-                self.told.remove(work);
+        for (crashes, fingerprint) in &due {
+            self.untold.remove(fingerprint);
+            if *crashes == 0 {
+                self.told.remove(fingerprint);
             } else {
-                self.told.insert(*work, *ends);
+                self.told.insert(*fingerprint, *crashes);
             }
         }
         due.into_iter()
-            .map(|(ends, work)| FingerprintSuspicion { work, ends })
+            .map(|(crashes, fingerprint)| FingerprintSuspicion {
+                fingerprint,
+                crashes,
+            })
             .collect()
     }
 }
@@ -115,28 +118,30 @@
                         age: Duration::from_millis(u64::from(report.age_ms)),
                         held: Duration::from_millis(u64::from(held_ms)),
                     };
-                    self.on_end_reported(report.work, end);
+                    self.on_end_reported(report.fingerprint, end);
                 }
-                FingerprintEvent::Completed => self.on_work_completed(report.work),
+                FingerprintEvent::Completed => self.on_work_completed(report.fingerprint),
             }
         }
     }
 
-    fn on_end_reported(&mut self, work: RequestFingerprint, end: CrashReport) {
+    fn on_end_reported(&mut self, fingerprint: RequestFingerprint, end: CrashReport) {
         let suspected = &mut self.suspected_work;
-        if !suspected.ledger.note_end(self.now, work, end) {
+        if !suspected.ledger.note_end(self.now, fingerprint, end) {
             return;
         }
-        suspected.note_standing(work);
-        let ends = suspected.ledger.ends(work);
-        if ends >= CRASHES_FOR_SUSPICION {
-            self.effects
-                .push(Effect::FingerprintSuspected { work, ends });
+        suspected.note_standing(fingerprint);
+        let crashes = suspected.ledger.crashes(fingerprint);
+        if crashes >= CRASHES_FOR_SUSPICION {
+            self.effects.push(Effect::FingerprintSuspected {
+                fingerprint,
+                crashes,
+            });
         }
-        if self.state.is_quarantined(work) {
-            self.relieve_others(work);
-        } else if ends >= CRASHES_FOR_QUARANTINE {
-            self.propose(None, Command::Quarantine { work });
+        if self.state.is_quarantined(fingerprint) {
+            self.relieve_others(fingerprint);
+        } else if crashes >= CRASHES_FOR_QUARANTINE {
+            self.propose(None, Command::Quarantine { fingerprint });
         }
     }
 
@@ -148,29 +153,29 @@
     }
 
     /// Work that ran to its end does not end whatever runs it.
-    fn on_work_completed(&mut self, work: RequestFingerprint) {
-        self.forget_suspicion(work);
-        if self.state.is_quarantined(work) {
-            self.propose(None, Command::Release { work });
+    fn on_work_completed(&mut self, fingerprint: RequestFingerprint) {
+        self.forget_suspicion(fingerprint);
+        if self.state.is_quarantined(fingerprint) {
+            self.propose(None, Command::Release { fingerprint });
         }
     }
 
-    fn forget_suspicion(&mut self, work: RequestFingerprint) {
-        self.suspected_work.ledger.clear(work);
-        self.suspected_work.note_standing(work);
+    fn forget_suspicion(&mut self, fingerprint: RequestFingerprint) {
+        self.suspected_work.ledger.clear(fingerprint);
+        self.suspected_work.note_standing(fingerprint);
     }
 
     /// The log quarantined work.
-    pub(super) fn on_quarantined(&mut self, work: RequestFingerprint) {
+    pub(super) fn on_quarantined(&mut self, fingerprint: RequestFingerprint) {
         let verdict = Verdict::new(self.now);
-        self.suspected_work.quarantined.insert(work, verdict);
-        self.relieve_others(work);
+        self.suspected_work.quarantined.insert(fingerprint, verdict);
+        self.relieve_others(fingerprint);
     }
 
     /// The log released work: it is as if it had never come.
-    pub(super) fn on_released(&mut self, work: RequestFingerprint) {
-        self.suspected_work.quarantined.remove(&work);
-        self.forget_suspicion(work);
+    pub(super) fn on_released(&mut self, fingerprint: RequestFingerprint) {
+        self.suspected_work.quarantined.remove(&fingerprint);
+        self.forget_suspicion(fingerprint);
     }
 
     /// Lets the time of verdicts pass. The leader permits trials, and proposes to release what has been
@@ -179,32 +184,32 @@
         let now = self.now;
         let leads = self.role() == Role::Leader;
         let (mut trials, mut released) = (Vec::new(), Vec::new());
-        for work in self.state.quarantined() {
+        for fingerprint in self.state.quarantined() {
             let verdicts = &mut self.suspected_work.quarantined;
-            let verdict = verdicts.entry(work).or_insert(Verdict::new(now));
-            if verdict.trial_is_due(now, work) && leads {
-                trials.push(work);
+            let verdict = verdicts.entry(fingerprint).or_insert(Verdict::new(now));
+            if verdict.trial_is_due(now, fingerprint) && leads {
+                trials.push(fingerprint);
             }
             if now.since(verdict.at) >= QUARANTINE_FOR && leads {
                 // Asked again when the log does not take it.
                 verdict.at = verdict.at.plus(self.params.patience);
-                released.push(work);
+                released.push(fingerprint);
             }
         }
-        for work in trials {
-            self.permit_trial(work);
+        for fingerprint in trials {
+            self.permit_trial(fingerprint);
         }
-        for work in released {
-            self.propose(None, Command::Release { work });
+        for fingerprint in released {
+            self.propose(None, Command::Release { fingerprint });
         }
     }
 
     /// One router may give the work to a back end once.
-    fn permit_trial(&mut self, work: RequestFingerprint) {
+    fn permit_trial(&mut self, fingerprint: RequestFingerprint) {
         let connections = self.routers.connections();
-        let drawn = (work.draw() * connections.len() as f64) as usize;
+        let drawn = (fingerprint.draw() * connections.len() as f64) as usize;
         if let Some(connection) = connections.get(drawn) {
-            let message = Message::PermitTrial(work);
+            let message = Message::PermitTrial(fingerprint);
             self.effects.push(Effect::ToRouter(*connection, message));
         }
     }
@@ -218,8 +223,8 @@
         suspected.expired_at = now;
         suspected.ledger.expire(now);
         let told: Vec<RequestFingerprint> = suspected.told.keys().copied().collect();
-        for work in told {
-            suspected.note_standing(work);
+        for fingerprint in told {
+            suspected.note_standing(fingerprint);
         }
     }
 
@@ -241,12 +246,12 @@
     /// A router that links knows nothing yet.
     pub(super) fn tell_suspicions(&mut self, connection: ConnectionId) {
         let told = self.suspected_work.told.iter();
-        let known = told.map(|(work, ends)| FingerprintSuspicion {
-            work: *work,
-            ends: *ends,
+        let known = told.map(|(fingerprint, crashes)| FingerprintSuspicion {
+            fingerprint: *fingerprint,
+            crashes: *crashes,
         });
         let mut known: Vec<FingerprintSuspicion> = known.collect();
-        known.sort_unstable_by_key(|suspicion| Reverse(suspicion.ends));
+        known.sort_unstable_by_key(|suspicion| Reverse(suspicion.crashes));
         known.truncate(MOST_TOLD_AT_LINK);
         if !known.is_empty() {
             let message = Message::FingerprintSuspicions(List::new(known));
--- a/crates/gateway-core/src/fingerprint.rs
+++ b/crates/gateway-core/src/fingerprint.rs
@@ -63,8 +63,8 @@
     }
 
     /// Whether the work's identifier begins so.
-    pub fn matches(&self, work: RequestFingerprint) -> bool {
-        format!("{work:#}").starts_with(&self.0)
+    pub fn matches(&self, fingerprint: RequestFingerprint) -> bool {
+        format!("{fingerprint:#}").starts_with(&self.0)
     }
 }
 
@@ -77,10 +77,19 @@
     }
 
     /// Identifies work.
-    pub fn identify(&self, work: &FingerprintInput<'_>) -> RequestFingerprint {
+    pub fn identify(&self, fingerprint: &FingerprintInput<'_>) -> RequestFingerprint {
         let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(&self.0).expect("any key length fits");
-        let fields = [work.method, work.host, work.target, work.tenant];
-        for field in fields.map(str::as_bytes).into_iter().chain([work.body]) {
+        let fields = [
+            fingerprint.method,
+            fingerprint.host,
+            fingerprint.target,
+            fingerprint.tenant,
+        ];
+        for field in fields
+            .map(str::as_bytes)
+            .into_iter()
+            .chain([fingerprint.body])
+        {
             // The length in front keeps the end of one field from being read as the next one's begin.
             mac.update(&(field.len() as u64).to_le_bytes());
             mac.update(field);
--- a/crates/gateway-core/src/fingerprint_tests.rs
+++ b/crates/gateway-core/src/fingerprint_tests.rs
@@ -48,19 +48,19 @@
 #[test]
 fn an_operator_names_work_as_logs_show_it() {
     let key = FingerprintKey::draw(7);
-    let (work, other) = (
+    let (fingerprint, other) = (
         key.identify(&WORK),
         key.identify(&FingerprintInput::default()),
     );
     for shown in [
-        format!("{work}"),
-        format!("{work:#}"),
-        format!("{work}").to_uppercase(),
+        format!("{fingerprint}"),
+        format!("{fingerprint:#}"),
+        format!("{fingerprint}").to_uppercase(),
     ] {
         let prefix = FingerprintPrefix::parse(&shown).unwrap();
-        assert!(prefix.matches(work) && !prefix.matches(other));
+        assert!(prefix.matches(fingerprint) && !prefix.matches(other));
     }
-    let cut = &format!("{work}")[1..];
+    let cut = &format!("{fingerprint}")[1..];
     assert_eq!(FingerprintPrefix::parse(cut), None);
     assert_eq!(FingerprintPrefix::parse("ends back ends"), None);
 }
--- a/crates/gateway-core/src/message.rs
+++ b/crates/gateway-core/src/message.rs
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Quarantine {
     /// The work.
-    pub works: List<RequestFingerprint>,
+    pub fingerprints: List<RequestFingerprint>,
 }
 
 /// What became of work at a back end.
@@ -133,7 +133,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FingerprintReport {
     /// The work.
-    pub work: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// Milliseconds since then.
     pub age_ms: u32,
     /// What happened.
@@ -146,9 +146,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FingerprintSuspicion {
     /// The work.
-    pub work: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     /// Moments at which some ended; 0 when nothing speaks against it any more.
-    pub ends: u8,
+    pub crashes: u8,
 }
 
 impl FingerprintSuspicion {
--- a/crates/gateway-core/src/quarantine/completions.rs
+++ b/crates/gateway-core/src/quarantine/completions.rs
@@ -27,17 +27,17 @@
 
 impl Completions {
     /// Work ran to its end.
-    pub fn note(&mut self, now: Timestamp, work: RequestFingerprint) {
+    pub fn note(&mut self, now: Timestamp, fingerprint: RequestFingerprint) {
         self.age(now);
         if self.newer.len() < MOST_WORKS {
-            self.newer.insert(work);
+            self.newer.insert(fingerprint);
         }
     }
 
     /// True when the work ran to its end a moment ago.
-    pub fn contains(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
+    pub fn contains(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
         self.age(now);
-        self.newer.contains(&work) || self.older.contains(&work)
+        self.newer.contains(&fingerprint) || self.older.contains(&fingerprint)
     }
 
     fn age(&mut self, now: Timestamp) {
--- a/crates/gateway-core/src/quarantine/ledger.rs
+++ b/crates/gateway-core/src/quarantine/ledger.rs
@@ -53,7 +53,7 @@
 /// Ends of back ends by the work that they had in hand, as far as nothing else explains them.
 #[derive(Debug, Default)]
 pub(crate) struct CrashLedger {
-    works: HashMap<RequestFingerprint, Vec<End>>,
+    fingerprints: HashMap<RequestFingerprint, Vec<End>>,
     /// Back ends that quarantined work ended: whatever else they had in hand is innocent of it.
     explained: VecDeque<u32>,
 }
@@ -63,38 +63,41 @@
     pub fn note_end(
         &mut self,
         now: Timestamp,
-        work: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         report: CrashReport,
     ) -> bool {
         let back_end = report.back_end;
         if self.explained.contains(&back_end) {
             return false;
         }
-        if self.works.len() >= MOST_WORKS && !self.works.contains_key(&work) {
+        if self.fingerprints.len() >= MOST_WORKS && !self.fingerprints.contains_key(&fingerprint) {
             self.make_room(now);
         }
-        let ends = self.works.entry(work).or_default();
-        let is_known = ends.iter().any(|end| end.back_end == back_end);
-        if is_known || ends.len() >= MOST_ENDS {
+        let crashes = self.fingerprints.entry(fingerprint).or_default();
+        let is_known = crashes.iter().any(|end| end.back_end == back_end);
+        if is_known || crashes.len() >= MOST_ENDS {
             return false;
         }
         let at = micros(now) - report.age.as_micros() as i64;
         let begun = at - report.held.as_micros() as i64;
-        ends.push(End {
+        crashes.push(End {
             back_end,
             begun,
             at,
         });
-        ends.sort_unstable_by_key(|end| end.at);
+        crashes.sort_unstable_by_key(|end| end.at);
         true
     }
 
     /// How many moments there are at which back ends ended under the work.
-    pub fn ends(&self, work: RequestFingerprint) -> u32 {
-        let ends = self.works.get(&work).map_or(&[][..], Vec::as_slice);
+    pub fn crashes(&self, fingerprint: RequestFingerprint) -> u32 {
+        let crashes = self
+            .fingerprints
+            .get(&fingerprint)
+            .map_or(&[][..], Vec::as_slice);
         let mut moments = 0;
         let mut moment: Option<&End> = None;
-        for end in ends {
+        for end in crashes {
             if !moment.is_some_and(|earlier| end.is_at_moment_of(earlier)) {
                 moment = Some(end);
                 moments += 1;
@@ -104,24 +107,28 @@
     }
 
     /// Forgets all that speaks against a work. True when something did.
-    pub fn clear(&mut self, work: RequestFingerprint) -> bool {
-        self.works.remove(&work).is_some()
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
+        self.fingerprints.remove(&fingerprint).is_some()
     }
 
     /// Work that was quarantined explains the ends under it: they no longer count against the requests
     /// that were beside it. Returns the works of which nothing is left, or less than before.
     pub fn explain(&mut self, culprit: RequestFingerprint) -> Vec<RequestFingerprint> {
-        let ends = self.works.get(&culprit).cloned().unwrap_or_default();
-        let ended: BTreeSet<u32> = ends.iter().map(|end| end.back_end).collect();
+        let crashes = self.fingerprints.get(&culprit).cloned().unwrap_or_default();
+        let ended: BTreeSet<u32> = crashes.iter().map(|end| end.back_end).collect();
         let mut relieved = Vec::new();
-        for (work, ends) in self.works.iter_mut().filter(|(work, _)| **work != culprit) {
-            let before = ends.len();
-            ends.retain(|end| !ended.contains(&end.back_end));
-            if ends.len() < before {
-                relieved.push(*work);
+        for (fingerprint, crashes) in self
+            .fingerprints
+            .iter_mut()
+            .filter(|(fingerprint, _)| **fingerprint != culprit)
+        {
+            let before = crashes.len();
+            crashes.retain(|end| !ended.contains(&end.back_end));
+            if crashes.len() < before {
+                relieved.push(*fingerprint);
             }
         }
-        self.works.retain(|_, ends| !ends.is_empty());
+        self.fingerprints.retain(|_, crashes| !crashes.is_empty());
         let new = ended
             .into_iter()
             .filter(|end| !self.explained.contains(end));
@@ -135,9 +142,9 @@
 
     /// Forgets what is too old to matter.
     pub fn expire(&mut self, now: Timestamp) {
-        self.works.retain(|_, ends| {
-            ends.retain(|end| micros(now) - end.at < REMEMBER_CRASHES_FOR.as_micros() as i64);
-            !ends.is_empty()
+        self.fingerprints.retain(|_, crashes| {
+            crashes.retain(|end| micros(now) - end.at < REMEMBER_CRASHES_FOR.as_micros() as i64);
+            !crashes.is_empty()
         });
     }
 
@@ -146,16 +153,16 @@
     fn make_room(&mut self, now: Timestamp) {
         self.expire(now);
         let mut by_value: Vec<(u32, i64, RequestFingerprint)> =
-            Vec::with_capacity(self.works.len());
-        for (work, ends) in &self.works {
-            let last = ends.last().map(|end| end.at).unwrap_or_default();
-            let rank = self.ends(*work).min(CRASHES_FOR_QUARANTINE);
-            by_value.push((rank, last, *work));
+            Vec::with_capacity(self.fingerprints.len());
+        for (fingerprint, crashes) in &self.fingerprints {
+            let last = crashes.last().map(|end| end.at).unwrap_or_default();
+            let rank = self.crashes(*fingerprint).min(CRASHES_FOR_QUARANTINE);
+            by_value.push((rank, last, *fingerprint));
         }
         by_value.sort_unstable();
         let surplus = by_value.len().saturating_sub(MOST_WORKS / 2);
-        for (.., work) in by_value.into_iter().take(surplus) {
-            self.works.remove(&work);
+        for (.., fingerprint) in by_value.into_iter().take(surplus) {
+            self.fingerprints.remove(&fingerprint);
         }
     }
 }
--- a/crates/gateway-core/src/quarantine/ledger_tests.rs
+++ b/crates/gateway-core/src/quarantine/ledger_tests.rs
@@ -11,7 +11,7 @@
     Timestamp(1 + ms * 1_000)
 }
 
-fn work(number: u32) -> RequestFingerprint {
+fn fingerprint(number: u32) -> RequestFingerprint {
     let body = number.to_le_bytes();
     FingerprintKey::draw(1).identify(&FingerprintInput {
         body: &body,
@@ -31,42 +31,42 @@
 #[test]
 fn each_back_end_counts_once_and_each_moment_once() {
     let mut ledger = CrashLedger::default();
-    assert!(ledger.note_end(at(0), work(1), ended(10, 0)));
+    assert!(ledger.note_end(at(0), fingerprint(1), ended(10, 0)));
     assert!(
-        !ledger.note_end(at(5), work(1), ended(10, 0)),
+        !ledger.note_end(at(5), fingerprint(1), ended(10, 0)),
         "seen by another router"
     );
     assert!(
-        ledger.note_end(at(9), work(1), ended(11, 0)),
+        ledger.note_end(at(9), fingerprint(1), ended(11, 0)),
         "ended together"
     );
-    assert_eq!(ledger.ends(work(1)), 1);
-    assert!(ledger.note_end(at(400), work(1), ended(12, 0)));
-    assert_eq!(ledger.ends(work(1)), 2);
-    assert_eq!(ledger.ends(work(2)), 0);
+    assert_eq!(ledger.crashes(fingerprint(1)), 1);
+    assert!(ledger.note_end(at(400), fingerprint(1), ended(12, 0)));
+    assert_eq!(ledger.crashes(fingerprint(1)), 2);
+    assert_eq!(ledger.crashes(fingerprint(2)), 0);
 }
 
 /// A call that sends the work on within 42 ms has run it twice, one after the other.
 #[test]
 fn a_back_end_that_got_the_work_after_the_first_had_ended_is_another_moment() {
     let mut ledger = CrashLedger::default();
-    ledger.note_end(at(1_000), work(1), ended(1, 0));
+    ledger.note_end(at(1_000), fingerprint(1), ended(1, 0));
     let held = Duration::from_millis(41);
     let second = CrashReport {
         held,
         ..ended(2, 0)
     };
-    ledger.note_end(at(1_042), work(1), second);
-    assert_eq!(ledger.ends(work(1)), 2);
+    ledger.note_end(at(1_042), fingerprint(1), second);
+    assert_eq!(ledger.crashes(fingerprint(1)), 2);
 }
 
 #[test]
 fn reports_that_come_late_count_at_the_time_of_the_end() {
     let mut ledger = CrashLedger::default();
     for (ended_at, back_end) in [(900, 1), (100, 2), (500, 3)] {
-        ledger.note_end(at(2_000), work(1), ended(back_end, 2_000 - ended_at));
+        ledger.note_end(at(2_000), fingerprint(1), ended(back_end, 2_000 - ended_at));
     }
-    assert_eq!(ledger.ends(work(1)), 3);
+    assert_eq!(ledger.crashes(fingerprint(1)), 3);
 }
 
 /// A control machine that has just started hears of ends before its start.
@@ -74,48 +74,51 @@
 fn ends_before_the_start_are_told_apart() {
     let mut ledger = CrashLedger::default();
     for (age_s, back_end) in [(9, 1), (7, 2), (5, 3)] {
-        ledger.note_end(at(10), work(1), ended(back_end, age_s * 1_000));
+        ledger.note_end(at(10), fingerprint(1), ended(back_end, age_s * 1_000));
     }
-    assert_eq!(ledger.ends(work(1)), 3);
+    assert_eq!(ledger.crashes(fingerprint(1)), 3);
 }
 
 #[test]
 fn requests_beside_the_culprit_are_innocent_once_it_is_known() {
     let mut ledger = CrashLedger::default();
     for (moment, back_end) in [(0, 1), (1_000, 2), (2_000, 3)] {
-        ledger.note_end(at(moment), work(1), ended(back_end, 0));
+        ledger.note_end(at(moment), fingerprint(1), ended(back_end, 0));
     }
     for (moment, back_end) in [(0, 1), (1_000, 2), (1_500, 9)] {
-        ledger.note_end(at(moment), work(2), ended(back_end, 0));
+        ledger.note_end(at(moment), fingerprint(2), ended(back_end, 0));
     }
-    ledger.note_end(at(0), work(3), ended(1, 0));
-    assert_eq!(ledger.explain(work(1)), sorted([work(2), work(3)]));
+    ledger.note_end(at(0), fingerprint(3), ended(1, 0));
+    assert_eq!(
+        ledger.explain(fingerprint(1)),
+        sorted([fingerprint(2), fingerprint(3)])
+    );
     assert_eq!(
         (
-            ledger.ends(work(1)),
-            ledger.ends(work(2)),
-            ledger.ends(work(3))
+            ledger.crashes(fingerprint(1)),
+            ledger.crashes(fingerprint(2)),
+            ledger.crashes(fingerprint(3))
         ),
         (3, 1, 0)
     );
     assert!(
-        !ledger.note_end(at(2_100), work(4), ended(3, 0)),
+        !ledger.note_end(at(2_100), fingerprint(4), ended(3, 0)),
         "a late report of it"
     );
 }
 
-fn sorted<const N: usize>(mut works: [RequestFingerprint; N]) -> Vec<RequestFingerprint> {
-    works.sort_unstable();
-    works.to_vec()
+fn sorted<const N: usize>(mut fingerprints: [RequestFingerprint; N]) -> Vec<RequestFingerprint> {
+    fingerprints.sort_unstable();
+    fingerprints.to_vec()
 }
 
 /// A verdict is applied again with each further end under it; what it explained before stays known.
 #[test]
 fn ends_are_explained_once() {
     let mut ledger = CrashLedger::default();
-    ledger.note_end(at(0), work(1), ended(1, 0));
+    ledger.note_end(at(0), fingerprint(1), ended(1, 0));
     for _ in 0..2 * MOST_EXPLAINED {
-        ledger.explain(work(1));
+        ledger.explain(fingerprint(1));
     }
     assert_eq!(ledger.explained, [1]);
 }
@@ -123,26 +126,26 @@
 #[test]
 fn a_run_to_the_end_clears_and_time_forgets() {
     let mut ledger = CrashLedger::default();
-    ledger.note_end(at(0), work(1), ended(1, 0));
-    assert!(ledger.clear(work(1)));
-    assert!(!ledger.clear(work(1)));
-    ledger.note_end(at(0), work(2), ended(1, 0));
+    ledger.note_end(at(0), fingerprint(1), ended(1, 0));
+    assert!(ledger.clear(fingerprint(1)));
+    assert!(!ledger.clear(fingerprint(1)));
+    ledger.note_end(at(0), fingerprint(2), ended(1, 0));
     ledger.expire(at(0).plus(REMEMBER_CRASHES_FOR));
-    assert_eq!(ledger.ends(work(2)), 0);
+    assert_eq!(ledger.crashes(fingerprint(2)), 0);
 }
 
 #[test]
 fn a_full_table_keeps_the_work_that_ended_most() {
     let mut ledger = CrashLedger::default();
     for (moment, back_end) in [(0, 1), (1_000, 2)] {
-        ledger.note_end(at(moment), work(0), ended(back_end, 0));
+        ledger.note_end(at(moment), fingerprint(0), ended(back_end, 0));
     }
     for number in 1..=3 * MOST_WORKS as u32 {
         let moment = 2_000 + u64::from(number);
-        ledger.note_end(at(moment), work(number), ended(100 + number, 0));
+        ledger.note_end(at(moment), fingerprint(number), ended(100 + number, 0));
     }
-    assert!(ledger.works.len() <= MOST_WORKS);
-    assert_eq!(ledger.ends(work(0)), 2);
+    assert!(ledger.fingerprints.len() <= MOST_WORKS);
+    assert_eq!(ledger.crashes(fingerprint(0)), 2);
 }
 
 /// A pool of 100 back ends with 16 requests each. `share` of them end at each of `waves` moments, 2 s
@@ -165,13 +168,15 @@
             if struck.contains(back_end) {
                 // The next incarnation is another back end.
                 let incarnation = wave * BACK_ENDS + *back_end;
-                ledger.note_end(moment, work(number as u32), ended(incarnation, 0));
+                ledger.note_end(moment, fingerprint(number as u32), ended(incarnation, 0));
                 *back_end = random.random_range(0..BACK_ENDS);
             }
         }
     }
-    let works = (0..BACK_ENDS * SLOTS).map(work);
-    let seen = works.filter(|work| ledger.ends(*work) >= least).count();
+    let fingerprints = (0..BACK_ENDS * SLOTS).map(fingerprint);
+    let seen = fingerprints
+        .filter(|fingerprint| ledger.crashes(*fingerprint) >= least)
+        .count();
     seen as f64 * 1_000.0 / f64::from(BACK_ENDS * SLOTS)
 }
 
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -257,8 +257,10 @@
     }
 
     /// Identifies the work of a request; `None` before the key is known.
-    pub fn identify(&self, work: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
-        self.view.fingerprint_key().map(|key| key.identify(work))
+    pub fn identify(&self, fingerprint: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
+        self.view
+            .fingerprint_key()
+            .map(|key| key.identify(fingerprint))
     }
 
     /// An admitted request ran nowhere: its tenant's limit is as before.
--- a/crates/gateway-core/src/router/placement.rs
+++ b/crates/gateway-core/src/router/placement.rs
@@ -38,7 +38,7 @@
             candidates.retain(|candidate| !earlier.tried.contains(candidate.id));
         }
         let usable = prefer_sound(now, candidates);
-        if self.is_suspected(earlier.work) {
+        if self.is_suspected(earlier.fingerprint) {
             return self.place_suspected(now, admission, prompt, &usable, draw);
         }
         let placed = match prompt {
--- a/crates/gateway-core/src/router/request.rs
+++ b/crates/gateway-core/src/router/request.rs
@@ -104,7 +104,7 @@
     /// Attempts that arrived at one of them, also when it turned the request away.
     pub arrived: u32,
     /// What the request carries.
-    pub work: Option<RequestFingerprint>,
+    pub fingerprint: Option<RequestFingerprint>,
     /// Moments at which back ends had ended under it before this call.
     pub ends_before_call: u32,
     /// Attempts of this call that broke when they may have run.
--- a/crates/gateway-core/src/router/suspected_work.rs
+++ b/crates/gateway-core/src/router/suspected_work.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     at: Timestamp,
-    work: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     /// `None` once it no longer counts.
     event: Option<FingerprintEvent>,
 }
@@ -61,24 +61,29 @@
 
 impl SuspectedWork {
     /// Moments at which back ends ended under the work, as far as this router knows.
-    fn ends(&self, work: RequestFingerprint) -> u32 {
-        let told = self.told.get(&work).copied().unwrap_or_default();
-        self.own.ends(work).max(u32::from(told))
+    fn crashes(&self, fingerprint: RequestFingerprint) -> u32 {
+        let told = self.told.get(&fingerprint).copied().unwrap_or_default();
+        self.own.crashes(fingerprint).max(u32::from(told))
     }
 
-    fn is_quarantined(&self, work: RequestFingerprint) -> bool {
-        self.quarantined.contains(&work) || self.ends(work) >= CRASHES_FOR_QUARANTINE
+    fn is_quarantined(&self, fingerprint: RequestFingerprint) -> bool {
+        self.quarantined.contains(&fingerprint)
+            || self.crashes(fingerprint) >= CRASHES_FOR_QUARANTINE
     }
 
     /// Uses up a permit for one run of quarantined work.
-    fn take_permit(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
-        let permitted_at = self.permits.remove(&work);
+    fn take_permit(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
+        let permitted_at = self.permits.remove(&fingerprint);
         permitted_at.is_some_and(|at| now.since(at) < PERMIT_HOLDS_FOR)
     }
 
-    fn report(&mut self, at: Timestamp, work: RequestFingerprint, event: FingerprintEvent) {
+    fn report(&mut self, at: Timestamp, fingerprint: RequestFingerprint, event: FingerprintEvent) {
         let event = Some(event);
-        self.reports.push_back(Seen { at, work, event });
+        self.reports.push_back(Seen {
+            at,
+            fingerprint,
+            event,
+        });
         while self.reports.len() > MOST_REPORTS {
             self.reports.pop_front();
             self.dropped_reports += 1;
@@ -87,21 +92,24 @@
 
     /// Reports that the work ran well here a moment ago, which the router that saw back ends end under it
     /// did not know. True when it did.
-    fn contradict(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
-        let ran_well = self.completions.contains(now, work);
+    fn contradict(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
+        let ran_well = self.completions.contains(now, fingerprint);
         if ran_well {
-            self.forget(work);
-            self.report(now, work, FingerprintEvent::Completed);
+            self.forget(fingerprint);
+            self.report(now, fingerprint, FingerprintEvent::Completed);
         }
         ran_well
     }
 
-    fn forget(&mut self, work: RequestFingerprint) -> bool {
-        let was_told = self.told.remove(&work).is_some();
+    fn forget(&mut self, fingerprint: RequestFingerprint) -> bool {
+        let was_told = self.told.remove(&fingerprint).is_some();
         // A control machine that links later must not hear of it.
-        let reports = self.reports.iter_mut().filter(|seen| seen.work == work);
+        let reports = self
+            .reports
+            .iter_mut()
+            .filter(|seen| seen.fingerprint == fingerprint);
         reports.for_each(|seen| seen.event = None);
-        self.own.clear(work) || was_told
+        self.own.clear(fingerprint) || was_told
     }
 
     /// Takes in what the log says; work that it has released is as if it had never come.
@@ -110,26 +118,28 @@
         if listed.is_none() && changes.since > 0 {
             return;
         }
-        let works = listed.into_iter().flat_map(|listed| &listed.works.items);
-        let listed: HashSet<RequestFingerprint> = works.copied().collect();
+        let fingerprints = listed
+            .into_iter()
+            .flat_map(|listed| &listed.fingerprints.items);
+        let listed: HashSet<RequestFingerprint> = fingerprints.copied().collect();
         let before = std::mem::replace(&mut self.quarantined, listed);
         let released: Vec<RequestFingerprint> =
             before.difference(&self.quarantined).copied().collect();
-        for work in released {
-            self.forget(work);
+        for fingerprint in released {
+            self.forget(fingerprint);
         }
         let added: Vec<RequestFingerprint> =
             self.quarantined.difference(&before).copied().collect();
-        for work in added {
-            self.contradict(now, work);
+        for fingerprint in added {
+            self.contradict(now, fingerprint);
         }
     }
 }
 
 impl RouterCore {
     /// Moments at which back ends ended under the work, as far as this router knows.
-    pub fn ends_under(&self, work: RequestFingerprint) -> u32 {
-        self.suspected_work.ends(work)
+    pub fn ends_under(&self, fingerprint: RequestFingerprint) -> u32 {
+        self.suspected_work.crashes(fingerprint)
     }
 
     /// Whether work may run now. A call does not send suspected work on: its caller may come back, which
@@ -139,37 +149,38 @@
         now: Timestamp,
         earlier: &EarlierAttempts<'_>,
     ) -> Result<(), ChoiceError> {
-        let Some(work) = earlier.work else {
+        let Some(fingerprint) = earlier.fingerprint else {
             return Ok(());
         };
-        if self.suspected_work.is_quarantined(work) {
+        if self.suspected_work.is_quarantined(fingerprint) {
             let is_first = earlier.tried.is_empty();
-            if is_first && self.suspected_work.take_permit(now, work) {
+            if is_first && self.suspected_work.take_permit(now, fingerprint) {
                 return Ok(());
             }
             return Err(ChoiceError::Quarantined);
         }
-        let ends = self.suspected_work.ends(work);
-        let ends = ends.max(earlier.ends_before_call + earlier.broken);
-        if earlier.broken > 0 && ends >= CRASHES_FOR_SUSPICION {
+        let crashes = self.suspected_work.crashes(fingerprint);
+        let crashes = crashes.max(earlier.ends_before_call + earlier.broken);
+        if earlier.broken > 0 && crashes >= CRASHES_FOR_SUSPICION {
             return Err(ChoiceError::Suspected);
         }
         Ok(())
     }
 
     /// Work under which so many back ends ended that the next one is to have little to lose.
-    pub(super) fn is_suspected(&self, work: Option<RequestFingerprint>) -> bool {
-        work.is_some_and(|work| {
+    pub(super) fn is_suspected(&self, fingerprint: Option<RequestFingerprint>) -> bool {
+        fingerprint.is_some_and(|fingerprint| {
             let suspected = &self.suspected_work;
-            suspected.is_quarantined(work) || suspected.ends(work) >= CRASHES_FOR_SUSPICION
+            suspected.is_quarantined(fingerprint)
+                || suspected.crashes(fingerprint) >= CRASHES_FOR_SUSPICION
         })
     }
 
     /// The leader permits one run of quarantined work here.
-    pub fn on_trial_permitted(&mut self, now: Timestamp, work: RequestFingerprint) {
+    pub fn on_trial_permitted(&mut self, now: Timestamp, fingerprint: RequestFingerprint) {
         let permits = &mut self.suspected_work.permits;
         permits.retain(|_, at| now.since(*at) < PERMIT_HOLDS_FOR);
-        permits.insert(work, now);
+        permits.insert(fingerprint, now);
     }
 
     /// A back end ended while it had these works in hand, each since a time. Returns those of which that
@@ -178,16 +189,17 @@
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        works: &[(RequestFingerprint, Timestamp)],
+        fingerprints: &[(RequestFingerprint, Timestamp)],
     ) -> Vec<(RequestFingerprint, u32)> {
         let back_end = LoadEntry::key_of(instance.as_str());
         self.endpoints.on_ended(now, instance);
         self.suspect(back_end);
         let suspected = &mut self.suspected_work;
-        let works: BTreeMap<RequestFingerprint, Timestamp> = works.iter().copied().collect();
+        let fingerprints: BTreeMap<RequestFingerprint, Timestamp> =
+            fingerprints.iter().copied().collect();
         let mut new = Vec::new();
-        for (work, begun) in works {
-            if suspected.completions.contains(now, work) {
+        for (fingerprint, begun) in fingerprints {
+            if suspected.completions.contains(now, fingerprint) {
                 continue;
             }
             let held = now.since(begun);
@@ -196,26 +208,27 @@
                 age: Duration::ZERO,
                 held,
             };
-            if suspected.own.note_end(now, work, end) {
+            if suspected.own.note_end(now, fingerprint, end) {
                 let held_ms = u32::try_from(held.as_millis()).unwrap_or(u32::MAX);
                 suspected.report(
                     now,
-                    work,
+                    fingerprint,
                     FingerprintEvent::BackEndCrashed { back_end, held_ms },
                 );
-                new.push((work, suspected.ends(work)));
+                new.push((fingerprint, suspected.crashes(fingerprint)));
             }
         }
         new
     }
 
     /// Work ran to its end, so it does not end whatever runs it. True when something spoke against it.
-    pub fn on_work_completed(&mut self, now: Timestamp, work: RequestFingerprint) -> bool {
+    pub fn on_work_completed(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
         let suspected = &mut self.suspected_work;
-        suspected.completions.note(now, work);
-        let was_suspected = suspected.forget(work) || suspected.quarantined.contains(&work);
+        suspected.completions.note(now, fingerprint);
+        let was_suspected =
+            suspected.forget(fingerprint) || suspected.quarantined.contains(&fingerprint);
         if was_suspected {
-            suspected.report(now, work, FingerprintEvent::Completed);
+            suspected.report(now, fingerprint, FingerprintEvent::Completed);
         }
         was_suspected
     }
@@ -224,14 +237,18 @@
     /// counts, until one says that nothing is left, or the work has just run well here.
     pub fn on_work_suspicions(&mut self, now: Timestamp, suspicions: &[FingerprintSuspicion]) {
         let suspected = &mut self.suspected_work;
-        for FingerprintSuspicion { work, ends } in suspicions {
-            if *ends == 0 {
-                suspected.forget(*work);
-            } else if suspected.contradict(now, *work) {
+        for FingerprintSuspicion {
+            fingerprint,
+            crashes,
+        } in suspicions
+        {
+            if *crashes == 0 {
+                suspected.forget(*fingerprint);
+            } else if suspected.contradict(now, *fingerprint) {
                 continue;
-            } else if suspected.told.len() < MOST_TOLD || suspected.told.contains_key(work) {
-                let told = suspected.told.entry(*work).or_default();
-                *told = (*told).max(*ends);
+            } else if suspected.told.len() < MOST_TOLD || suspected.told.contains_key(fingerprint) {
+                let told = suspected.told.entry(*fingerprint).or_default();
+                *told = (*told).max(*crashes);
             }
         }
     }
@@ -246,7 +263,7 @@
             .filter(|seen| seen.counts(now))
             .filter_map(|seen| {
                 Some(FingerprintReport {
-                    work: seen.work,
+                    fingerprint: seen.fingerprint,
                     age_ms: u32::try_from(now.since(seen.at).as_millis()).unwrap_or(u32::MAX),
                     event: seen.event?,
                 })
--- a/crates/gateway-core/src/router/tests/suspected_work.rs
+++ b/crates/gateway-core/src/router/tests/suspected_work.rs
@@ -6,25 +6,25 @@
     RequestFingerprint,
 };
 
-fn work(body: &str) -> RequestFingerprint {
+fn fingerprint(body: &str) -> RequestFingerprint {
     FingerprintKey::draw(1).identify(&FingerprintInput {
         body: body.as_bytes(),
         ..FingerprintInput::default()
     })
 }
 
-fn first_of(work: RequestFingerprint) -> EarlierAttempts<'static> {
+fn first_of(fingerprint: RequestFingerprint) -> EarlierAttempts<'static> {
     EarlierAttempts {
-        work: Some(work),
+        fingerprint: Some(fingerprint),
         ..EarlierAttempts::default()
     }
 }
 
 /// Back ends of both pools that have ended under the work, a second apart.
-fn end_under(router: &mut RouterCore, work: RequestFingerprint, names: &[&str]) {
+fn end_under(router: &mut RouterCore, fingerprint: RequestFingerprint, names: &[&str]) {
     for (number, name) in names.iter().enumerate() {
         let now = at(1_000 * (1 + number as u64));
-        router.on_back_end_ended(now, &InstanceId::new(name), &[(work, now)]);
+        router.on_back_end_ended(now, &InstanceId::new(name), &[(fingerprint, now)]);
     }
 }
 
@@ -36,12 +36,12 @@
 #[test]
 fn a_router_alone_stops_after_three_ends() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1", "app-2"]);
-    assert!(choose(&mut router, first_of(work("a"))).is_ok());
-    end_under(&mut router, work("a"), &["app-1", "app-2", "app-3"]);
-    let refused = choose(&mut router, first_of(work("a")));
+    end_under(&mut router, fingerprint("a"), &["app-1", "app-2"]);
+    assert!(choose(&mut router, first_of(fingerprint("a"))).is_ok());
+    end_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
+    let refused = choose(&mut router, first_of(fingerprint("a")));
     assert_eq!(refused, Err(ChoiceError::Quarantined));
-    assert!(choose(&mut router, first_of(work("b"))).is_ok());
+    assert!(choose(&mut router, first_of(fingerprint("b"))).is_ok());
 }
 
 #[rstest]
@@ -50,19 +50,29 @@
 fn a_router_that_saw_nothing_stops(#[case] told: bool) {
     let mut router = router();
     if told {
-        let work = work("a");
-        router.on_work_suspicions(at(1), &[FingerprintSuspicion { work, ends: 3 }]);
+        let fingerprint = fingerprint("a");
+        router.on_work_suspicions(
+            at(1),
+            &[FingerprintSuspicion {
+                fingerprint,
+                crashes: 3,
+            }],
+        );
     } else {
-        update(&mut router, at(1), with_quarantine(10, 11, &[work("a")]));
+        update(
+            &mut router,
+            at(1),
+            with_quarantine(10, 11, &[fingerprint("a")]),
+        );
     }
-    let refused = choose(&mut router, first_of(work("a")));
+    let refused = choose(&mut router, first_of(fingerprint("a")));
     assert_eq!(refused, Err(ChoiceError::Quarantined));
 }
 
-fn with_quarantine(since: u64, revision: u64, works: &[RequestFingerprint]) -> Changes {
-    let works = List::new(works.to_vec());
+fn with_quarantine(since: u64, revision: u64, fingerprints: &[RequestFingerprint]) -> Changes {
+    let fingerprints = List::new(fingerprints.to_vec());
     Changes {
-        quarantine: List::new(vec![Quarantine { works }]),
+        quarantine: List::new(vec![Quarantine { fingerprints }]),
         ..changes(since, revision, Vec::new())
     }
 }
@@ -70,20 +80,20 @@
 #[test]
 fn released_work_is_as_if_it_had_never_come() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1", "app-2", "app-3"]);
+    end_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
     update(
         &mut router,
         at(3_100),
-        with_quarantine(10, 11, &[work("a"), work("b")]),
+        with_quarantine(10, 11, &[fingerprint("a"), fingerprint("b")]),
     );
     update(
         &mut router,
         at(3_200),
-        with_quarantine(11, 12, &[work("b")]),
+        with_quarantine(11, 12, &[fingerprint("b")]),
     );
-    assert_eq!(router.ends_under(work("a")), 0);
-    assert!(choose(&mut router, first_of(work("a"))).is_ok());
-    assert!(choose(&mut router, first_of(work("b"))).is_err());
+    assert_eq!(router.ends_under(fingerprint("a")), 0);
+    assert!(choose(&mut router, first_of(fingerprint("a"))).is_ok());
+    assert!(choose(&mut router, first_of(fingerprint("b"))).is_err());
     let reports = router.work_reports_since(at(3_300), &mut 0);
     assert!(
         reports.is_empty(),
@@ -108,7 +118,7 @@
     let earlier = EarlierAttempts {
         tried: if broken > 0 { &tried } else { &[] },
         arrived: broken,
-        work: Some(work("a")),
+        fingerprint: Some(fingerprint("a")),
         ends_before_call,
         broken,
     };
@@ -131,14 +141,14 @@
         });
     router.set_others_loads(true, &loads.collect::<Vec<_>>());
     let suspicion = FingerprintSuspicion {
-        work: work("a"),
-        ends: 2,
+        fingerprint: fingerprint("a"),
+        crashes: 2,
     };
     router.on_work_suspicions(at(1), &[suspicion]);
     let admission = admit(&mut router, at(1), "/a/b/x");
     for session in ["s1", "s2", "s3", "s4"] {
         let prompt = prompt(session, 300);
-        let choice = router.choose(at(1), &admission, Some(&prompt), first_of(work("a")));
+        let choice = router.choose(at(1), &admission, Some(&prompt), first_of(fingerprint("a")));
         let choice = choice.unwrap();
         assert_eq!((choice.instance.as_str(), &choice.copy), ("llm-6", &None));
         router.finished(at(1), &choice.instance, at(1), Outcome::Answered);
@@ -148,11 +158,11 @@
 #[test]
 fn each_control_machine_hears_of_each_end_and_later_ones_too() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1", "app-2"]);
+    end_under(&mut router, fingerprint("a"), &["app-1", "app-2"]);
     let (mut early, mut late) = (0, 0);
     assert_eq!(router.work_reports_since(at(2_000), &mut early).len(), 2);
     assert!(router.work_reports_since(at(2_000), &mut early).is_empty());
-    end_under(&mut router, work("b"), &["app-1"]);
+    end_under(&mut router, fingerprint("b"), &["app-1"]);
     assert_eq!(router.work_reports_since(at(2_500), &mut early).len(), 1);
     let all = router.work_reports_since(at(2_500), &mut late);
     let ages: Vec<u32> = all.iter().map(|report| report.age_ms).collect();
@@ -163,12 +173,12 @@
 fn work_that_ran_to_its_end_is_cleared_everywhere() {
     let mut router = router();
     assert!(
-        !router.on_work_completed(at(1), work("b")),
+        !router.on_work_completed(at(1), fingerprint("b")),
         "nothing spoke against it"
     );
-    end_under(&mut router, work("a"), &["app-1", "app-2", "app-3"]);
-    assert!(router.on_work_completed(at(3_100), work("a")));
-    assert!(choose(&mut router, first_of(work("a"))).is_ok());
+    end_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
+    assert!(router.on_work_completed(at(3_100), fingerprint("a")));
+    assert!(choose(&mut router, first_of(fingerprint("a"))).is_ok());
     let reports = router.work_reports_since(at(3_200), &mut 3);
     let events: Vec<FingerprintEvent> = reports.iter().map(|report| report.event).collect();
     assert_eq!(events, [FingerprintEvent::Completed]);
@@ -178,15 +188,19 @@
 #[test]
 fn one_run_of_quarantined_work_may_be_permitted() {
     let mut router = router();
-    update(&mut router, at(1), with_quarantine(10, 11, &[work("a")]));
-    router.on_trial_permitted(at(3_400), work("a"));
-    assert!(choose(&mut router, first_of(work("a"))).is_ok());
-    let next = choose(&mut router, first_of(work("a")));
+    update(
+        &mut router,
+        at(1),
+        with_quarantine(10, 11, &[fingerprint("a")]),
+    );
+    router.on_trial_permitted(at(3_400), fingerprint("a"));
+    assert!(choose(&mut router, first_of(fingerprint("a"))).is_ok());
+    let next = choose(&mut router, first_of(fingerprint("a")));
     assert_eq!(next, Err(ChoiceError::Quarantined));
-    router.on_trial_permitted(at(3_500), work("a"));
-    assert!(router.is_suspected(Some(work("a"))));
+    router.on_trial_permitted(at(3_500), fingerprint("a"));
+    assert!(router.is_suspected(Some(fingerprint("a"))));
     let too_late = at(23_500);
-    let judged = router.judge_work(too_late, &first_of(work("a")));
+    let judged = router.judge_work(too_late, &first_of(fingerprint("a")));
     assert_eq!(judged, Err(ChoiceError::Quarantined));
 }
 
@@ -194,14 +208,18 @@
 #[test]
 fn a_trial_that_broke_is_not_repeated_within_its_call() {
     let mut router = router();
-    update(&mut router, at(1), with_quarantine(10, 11, &[work("a")]));
-    router.on_trial_permitted(at(3_400), work("a"));
+    update(
+        &mut router,
+        at(1),
+        with_quarantine(10, 11, &[fingerprint("a")]),
+    );
+    router.on_trial_permitted(at(3_400), fingerprint("a"));
     let tried = [InstanceId::new("app-1")];
     let earlier = EarlierAttempts {
         tried: &tried,
         arrived: 1,
         broken: 1,
-        ..first_of(work("a"))
+        ..first_of(fingerprint("a"))
     };
     assert_eq!(choose(&mut router, earlier), Err(ChoiceError::Quarantined));
 }
@@ -210,8 +228,8 @@
 #[test]
 fn an_old_run_to_the_end_is_not_reported_again() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1"]);
-    router.on_work_completed(at(2_000), work("a"));
+    end_under(&mut router, fingerprint("a"), &["app-1"]);
+    router.on_work_completed(at(2_000), fingerprint("a"));
     assert_eq!(router.work_reports_since(at(2_100), &mut 0).len(), 1);
     assert!(router.work_reports_since(at(12_100), &mut 0).is_empty());
 }
@@ -222,14 +240,17 @@
 #[test]
 fn work_that_has_just_run_to_its_end_does_not_count_as_having_ended_a_back_end() {
     let mut router = router();
-    router.on_work_completed(at(900), work("common"));
+    router.on_work_completed(at(900), fingerprint("common"));
     for name in ["app-1", "app-2", "app-3"] {
         let now = at(1_000 + 300 * u64::from(name.as_bytes()[4] - b'0'));
-        let in_hand = [(work("common"), at(950)), (work("ending"), at(950))];
+        let in_hand = [
+            (fingerprint("common"), at(950)),
+            (fingerprint("ending"), at(950)),
+        ];
         router.on_back_end_ended(now, &InstanceId::new(name), &in_hand);
     }
-    assert_eq!(router.ends_under(work("common")), 0);
-    assert_eq!(router.ends_under(work("ending")), 3);
+    assert_eq!(router.ends_under(fingerprint("common")), 0);
+    assert_eq!(router.ends_under(fingerprint("ending")), 3);
 }
 
 /// The router that saw a back end end need not be the one that has run the work well: each contradicts what
@@ -240,23 +261,32 @@
 #[case::of_a_verdict(false)]
 fn a_router_that_has_just_run_the_work_well_contradicts(#[case] suspicion: bool) {
     let mut router = router();
-    router.on_work_completed(at(900), work("common"));
+    router.on_work_completed(at(900), fingerprint("common"));
     let mut cursor = 0;
     if suspicion {
-        let work = work("common");
-        router.on_work_suspicions(at(1_000), &[FingerprintSuspicion { work, ends: 3 }]);
+        let fingerprint = fingerprint("common");
+        router.on_work_suspicions(
+            at(1_000),
+            &[FingerprintSuspicion {
+                fingerprint,
+                crashes: 3,
+            }],
+        );
     } else {
-        let quarantined = with_quarantine(10, 11, &[work("common"), work("ending")]);
+        let quarantined = with_quarantine(10, 11, &[fingerprint("common"), fingerprint("ending")]);
         update(&mut router, at(1_000), quarantined);
     }
     let reports = router.work_reports_since(at(1_000), &mut cursor);
     let events: Vec<(RequestFingerprint, FingerprintEvent)> = reports
         .iter()
-        .map(|report| (report.work, report.event))
+        .map(|report| (report.fingerprint, report.event))
         .collect();
-    assert_eq!(events, [(work("common"), FingerprintEvent::Completed)]);
     assert_eq!(
-        choose(&mut router, first_of(work("common"))).is_ok(),
+        events,
+        [(fingerprint("common"), FingerprintEvent::Completed)]
+    );
+    assert_eq!(
+        choose(&mut router, first_of(fingerprint("common"))).is_ok(),
         suspicion
     );
 }
@@ -265,17 +295,21 @@
 #[test]
 fn a_run_to_the_end_speaks_for_work_for_some_seconds_only() {
     let mut router = router();
-    router.on_work_completed(at(900), work("a"));
+    router.on_work_completed(at(900), fingerprint("a"));
     let later = at(12_000);
-    router.on_work_completed(later, work("another"));
-    router.on_back_end_ended(later, &InstanceId::new("app-1"), &[(work("a"), later)]);
-    assert_eq!(router.ends_under(work("a")), 1);
+    router.on_work_completed(later, fingerprint("another"));
+    router.on_back_end_ended(
+        later,
+        &InstanceId::new("app-1"),
+        &[(fingerprint("a"), later)],
+    );
+    assert_eq!(router.ends_under(fingerprint("a")), 1);
 }
 
 #[test]
 fn a_back_end_that_ended_is_avoided_by_all_routers() {
     let mut router = router();
-    end_under(&mut router, work("a"), &["app-1"]);
+    end_under(&mut router, fingerprint("a"), &["app-1"]);
     assert_eq!(router.take_suspects(), [LoadEntry::key_of("app-1")]);
     let admission = admit(&mut router, at(2_500), "/a/x");
     for _ in 0..20 {
--- a/crates/gateway-core/src/state.rs
+++ b/crates/gateway-core/src/state.rs
@@ -197,8 +197,8 @@
     }
 
     /// True while no back end is given the work.
-    pub fn is_quarantined(&self, work: RequestFingerprint) -> bool {
-        self.quarantined.contains_key(&work)
+    pub fn is_quarantined(&self, fingerprint: RequestFingerprint) -> bool {
+        self.quarantined.contains_key(&fingerprint)
     }
 
     /// Applies a committed command at its position. True when something changed.
@@ -217,8 +217,8 @@
                 phase,
             } => self.load(position, instance, model, *version, *phase),
             Command::SetFingerprintKey { key } => self.set_fingerprint_key(position, key),
-            Command::Quarantine { work } => self.quarantine(position, *work),
-            Command::Release { work } => self.release(position, *work),
+            Command::Quarantine { fingerprint } => self.quarantine(position, *fingerprint),
+            Command::Release { fingerprint } => self.release(position, *fingerprint),
         };
         if changed {
             self.revision = position;
@@ -364,8 +364,8 @@
         true
     }
 
-    fn quarantine(&mut self, position: u64, work: RequestFingerprint) -> bool {
-        if self.is_quarantined(work) {
+    fn quarantine(&mut self, position: u64, fingerprint: RequestFingerprint) -> bool {
+        if self.is_quarantined(fingerprint) {
             return false;
         }
         if self.quarantined.len() >= MOST_QUARANTINED {
@@ -374,13 +374,13 @@
                 self.quarantined.remove(&oldest);
             }
         }
-        self.quarantined.insert(work, position);
+        self.quarantined.insert(fingerprint, position);
         self.quarantine_revision = position;
         true
     }
 
-    fn release(&mut self, position: u64, work: RequestFingerprint) -> bool {
-        let was_quarantined = self.quarantined.remove(&work).is_some();
+    fn release(&mut self, position: u64, fingerprint: RequestFingerprint) -> bool {
+        let was_quarantined = self.quarantined.remove(&fingerprint).is_some();
         if was_quarantined {
             self.quarantine_revision = position;
         }
--- a/crates/gateway-core/src/state/changes.rs
+++ b/crates/gateway-core/src/state/changes.rs
@@ -133,7 +133,7 @@
         let fingerprint_key = fingerprint_key.filter(|item| range.contains(&item.revision));
         let has_quarantine = range.contains(&self.quarantine_revision);
         let quarantine = has_quarantine.then(|| Quarantine {
-            works: List::new(self.quarantined().collect()),
+            fingerprints: List::new(self.quarantined().collect()),
         });
         Changes {
             since,
--- a/crates/gateway-core/src/state/image.rs
+++ b/crates/gateway-core/src/state/image.rs
@@ -27,7 +27,7 @@
 #[brw(little)]
 #[derive(Clone, Copy, Debug)]
 struct Quarantined {
-    work: RequestFingerprint,
+    fingerprint: RequestFingerprint,
     position: u64,
 }
 
@@ -55,10 +55,13 @@
             revision: removed.revision,
             may_return: u8::from(removed.may_return),
         });
-        let quarantined = self.quarantined.iter().map(|(work, position)| Quarantined {
-            work: *work,
-            position: *position,
-        });
+        let quarantined = self
+            .quarantined
+            .iter()
+            .map(|(fingerprint, position)| Quarantined {
+                fingerprint: *fingerprint,
+                position: *position,
+            });
         let image = Image {
             revision: self.revision,
             forgotten: self.forgotten,
@@ -107,7 +110,7 @@
             removals,
             fingerprint_key: image.fingerprint_key.items.into_iter().next(),
             quarantined: (image.quarantined.items.iter())
-                .map(|item| (item.work, item.position))
+                .map(|item| (item.fingerprint, item.position))
                 .collect(),
             quarantine_revision: image.quarantine_revision,
         })
--- a/crates/gateway-core/tests/control/quarantine.rs
+++ b/crates/gateway-core/tests/control/quarantine.rs
@@ -14,16 +14,16 @@
 /// How long work stays quarantined.
 const QUARANTINE: Duration = Duration::from_secs(600);
 
-fn work(number: u8) -> RequestFingerprint {
+fn fingerprint(number: u8) -> RequestFingerprint {
     FingerprintKey::draw(1).identify(&FingerprintInput {
         body: &[number],
         ..FingerprintInput::default()
     })
 }
 
-fn ended(work: RequestFingerprint, back_end: u32, age: Duration) -> FingerprintReport {
+fn ended(fingerprint: RequestFingerprint, back_end: u32, age: Duration) -> FingerprintReport {
     FingerprintReport {
-        work,
+        fingerprint,
         age_ms: age.as_millis() as u32,
         event: FingerprintEvent::BackEndCrashed {
             back_end,
@@ -33,9 +33,9 @@
 }
 
 /// Three back ends that ended a second apart, the last one now.
-fn three_ends(work: RequestFingerprint) -> Vec<FingerprintReport> {
-    let ends = (1..=3).map(|number| ended(work, number, SECOND * (3 - number)));
-    ends.collect()
+fn three_ends(fingerprint: RequestFingerprint) -> Vec<FingerprintReport> {
+    let crashes = (1..=3).map(|number| ended(fingerprint, number, SECOND * (3 - number)));
+    crashes.collect()
 }
 
 fn report(cluster: &mut Cluster, machine: Ipv4Addr, reports: &[FingerprintReport]) {
@@ -58,24 +58,24 @@
     cluster: &Cluster,
     machine: Ipv4Addr,
     link: ConnectionId,
-    work: RequestFingerprint,
+    fingerprint: RequestFingerprint,
 ) -> Option<u8> {
     let to_it = cluster.to_routers.iter().rev();
     let mut to_it = to_it.filter(|(from, to, _)| *from == machine && *to == link);
     to_it.find_map(|(.., message)| match message {
-        Message::FingerprintSuspicions(list) => suspected(&list.items, work),
+        Message::FingerprintSuspicions(list) => suspected(&list.items, fingerprint),
         _ => None,
     })
 }
 
-fn suspected(suspicions: &[FingerprintSuspicion], work: RequestFingerprint) -> Option<u8> {
+fn suspected(suspicions: &[FingerprintSuspicion], fingerprint: RequestFingerprint) -> Option<u8> {
     let mut suspicions = suspicions.iter();
-    let found = suspicions.find(|suspicion| suspicion.work == work);
-    found.map(|suspicion| suspicion.ends)
+    let found = suspicions.find(|suspicion| suspicion.fingerprint == fingerprint);
+    found.map(|suspicion| suspicion.crashes)
 }
 
 fn is_quarantined_at(cluster: &mut Cluster, machine: Ipv4Addr) -> bool {
-    cluster.core(machine).state().is_quarantined(work(1))
+    cluster.core(machine).state().is_quarantined(fingerprint(1))
 }
 
 fn others_than(leader: Ipv4Addr, founders: u8) -> Vec<Ipv4Addr> {
@@ -88,20 +88,25 @@
     let mut cluster = linked(3);
     let leader = cluster.leader().unwrap();
     cluster.link_router(leader, OTHER_LINK, "10.0.1.2:80");
-    report(&mut cluster, leader, &[ended(work(1), 1, SECOND)]);
+    report(&mut cluster, leader, &[ended(fingerprint(1), 1, SECOND)]);
     cluster.run(Duration::from_millis(200));
     assert_eq!(
-        told(&cluster, leader, OTHER_LINK, work(1)),
+        told(&cluster, leader, OTHER_LINK, fingerprint(1)),
         None,
         "one end says nothing"
     );
     let now = cluster.now;
-    let second = Message::FingerprintReports(List::new(vec![ended(work(1), 2, Duration::ZERO)]));
+    let second =
+        Message::FingerprintReports(List::new(vec![ended(fingerprint(1), 2, Duration::ZERO)]));
     cluster.core(leader).on_router(now, OTHER_LINK, second);
     cluster.run(Duration::from_millis(200));
-    assert_eq!(told(&cluster, leader, LINK, work(1)), Some(2));
+    assert_eq!(told(&cluster, leader, LINK, fingerprint(1)), Some(2));
     assert!(!is_quarantined_at(&mut cluster, leader));
-    report(&mut cluster, leader, &[ended(work(1), 3, Duration::ZERO)]);
+    report(
+        &mut cluster,
+        leader,
+        &[ended(fingerprint(1), 3, Duration::ZERO)],
+    );
     cluster.run(Duration::from_millis(200));
     for number in 1..=3 {
         assert!(is_quarantined_at(&mut cluster, address(number)));
@@ -114,7 +119,7 @@
     let mut cluster = linked(3);
     let leader = cluster.leader().unwrap();
     let follower = others_than(leader, 3)[0];
-    report(&mut cluster, follower, &three_ends(work(1)));
+    report(&mut cluster, follower, &three_ends(fingerprint(1)));
     cluster.run(SECOND);
     assert!(is_quarantined_at(&mut cluster, leader));
 }
@@ -128,9 +133,9 @@
         cluster.kill(lost);
     }
     cluster.run(2 * SECOND);
-    report(&mut cluster, others[2], &three_ends(work(1)));
+    report(&mut cluster, others[2], &three_ends(fingerprint(1)));
     cluster.run(Duration::from_millis(200));
-    assert_eq!(told(&cluster, others[2], LINK, work(1)), Some(3));
+    assert_eq!(told(&cluster, others[2], LINK, fingerprint(1)), Some(3));
     assert!(!is_quarantined_at(&mut cluster, others[2]));
 }
 
@@ -139,7 +144,7 @@
     let mut cluster = linked(3);
     let leader = cluster.leader().unwrap();
     for number in 1..=3 {
-        let two = &three_ends(work(1))[..2];
+        let two = &three_ends(fingerprint(1))[..2];
         report(&mut cluster, address(number), two);
     }
     cluster.kill(leader);
@@ -148,7 +153,7 @@
     report(
         &mut cluster,
         successor,
-        &[ended(work(1), 9, Duration::ZERO)],
+        &[ended(fingerprint(1), 9, Duration::ZERO)],
     );
     cluster.run(SECOND);
     assert!(is_quarantined_at(&mut cluster, successor));
@@ -158,7 +163,7 @@
 fn a_verdict_outlasts_a_loss_of_power_everywhere_and_a_late_router_hears_it() {
     let mut cluster = linked(3);
     let leader = cluster.leader().unwrap();
-    report(&mut cluster, leader, &three_ends(work(1)));
+    report(&mut cluster, leader, &three_ends(fingerprint(1)));
     cluster.run(SECOND);
     for number in 1..=3 {
         cluster.kill(address(number));
@@ -170,17 +175,20 @@
     let leader = cluster.leader().unwrap();
     assert!(is_quarantined_at(&mut cluster, leader));
     let changes = cluster.core(leader).state().changes_since(0, |_| 0);
-    assert_eq!(changes.quarantine.items[0].works.items, [work(1)]);
+    assert_eq!(
+        changes.quarantine.items[0].fingerprints.items,
+        [fingerprint(1)]
+    );
 }
 
 #[test]
 fn a_router_that_links_later_is_told_what_is_suspected() {
     let mut cluster = linked(3);
     let leader = cluster.leader().unwrap();
-    report(&mut cluster, leader, &three_ends(work(1))[..2]);
+    report(&mut cluster, leader, &three_ends(fingerprint(1))[..2]);
     cluster.run(Duration::from_millis(200));
     cluster.link_router(leader, OTHER_LINK, "10.0.1.2:80");
-    assert_eq!(told(&cluster, leader, OTHER_LINK, work(1)), Some(2));
+    assert_eq!(told(&cluster, leader, OTHER_LINK, fingerprint(1)), Some(2));
 }
 
 /// Requests that were beside the culprit when it ended back ends are innocent of these ends.
@@ -188,18 +196,29 @@
 fn a_verdict_relieves_the_work_that_was_beside_it() {
     let mut cluster = linked(3);
     let leader = cluster.leader().unwrap();
-    let beside = [ended(work(2), 1, 2 * SECOND), ended(work(2), 2, SECOND)];
+    let beside = [
+        ended(fingerprint(2), 1, 2 * SECOND),
+        ended(fingerprint(2), 2, SECOND),
+    ];
     report(&mut cluster, leader, &beside);
     cluster.run(Duration::from_millis(200));
-    assert_eq!(told(&cluster, leader, LINK, work(2)), Some(2));
-    report(&mut cluster, leader, &three_ends(work(1)));
+    assert_eq!(told(&cluster, leader, LINK, fingerprint(2)), Some(2));
+    report(&mut cluster, leader, &three_ends(fingerprint(1)));
     cluster.run(SECOND);
-    assert_eq!(told(&cluster, leader, LINK, work(2)), Some(0));
-    report(&mut cluster, leader, &[ended(work(2), 3, Duration::ZERO)]);
-    report(&mut cluster, leader, &[ended(work(2), 7, Duration::ZERO)]);
+    assert_eq!(told(&cluster, leader, LINK, fingerprint(2)), Some(0));
+    report(
+        &mut cluster,
+        leader,
+        &[ended(fingerprint(2), 3, Duration::ZERO)],
+    );
+    report(
+        &mut cluster,
+        leader,
+        &[ended(fingerprint(2), 7, Duration::ZERO)],
+    );
     cluster.run(SECOND);
     assert_eq!(
-        told(&cluster, leader, LINK, work(2)),
+        told(&cluster, leader, LINK, fingerprint(2)),
         Some(0),
         "one end is left"
     );
@@ -211,12 +230,12 @@
 fn quarantined_work_is_released(#[case] after: Duration, #[case] completed: bool) {
     let mut cluster = linked(3);
     let leader = cluster.leader().unwrap();
-    report(&mut cluster, leader, &three_ends(work(1)));
+    report(&mut cluster, leader, &three_ends(fingerprint(1)));
     cluster.run(SECOND);
     assert!(is_quarantined_at(&mut cluster, leader));
     if completed {
         let report_of_end = FingerprintReport {
-            work: work(1),
+            fingerprint: fingerprint(1),
             age_ms: 0,
             event: FingerprintEvent::Completed,
         };
@@ -225,7 +244,7 @@
     cluster.run(after + SECOND);
     let leader = cluster.leader().unwrap();
     assert!(!is_quarantined_at(&mut cluster, leader));
-    report(&mut cluster, leader, &three_ends(work(1))[..2]);
+    report(&mut cluster, leader, &three_ends(fingerprint(1))[..2]);
     cluster.run(SECOND);
     assert!(!is_quarantined_at(&mut cluster, leader), "counted anew");
 }
@@ -233,7 +252,7 @@
 /// Permits for one run, by the router's link.
 fn permits(cluster: &Cluster) -> Vec<ConnectionId> {
     let sent = cluster.to_routers.iter();
-    let permits = sent.filter(|(.., message)| *message == Message::PermitTrial(work(1)));
+    let permits = sent.filter(|(.., message)| *message == Message::PermitTrial(fingerprint(1)));
     permits.map(|(_, connection, _)| *connection).collect()
 }
 
@@ -259,7 +278,7 @@
         cluster.link_router(address(number), OTHER_LINK, "10.0.1.2:80");
     }
     let leader = cluster.leader().unwrap();
-    report(&mut cluster, leader, &three_ends(work(1)));
+    report(&mut cluster, leader, &three_ends(fingerprint(1)));
     run_asking(&mut cluster, 9);
     assert!(is_quarantined_at(&mut cluster, leader));
     assert_eq!(permits(&cluster).len(), 0);
@@ -282,7 +301,7 @@
 fn a_change_of_leader_brings_no_further_trial() {
     let mut cluster = linked(3);
     let leader = cluster.leader().unwrap();
-    report(&mut cluster, leader, &three_ends(work(1)));
+    report(&mut cluster, leader, &three_ends(fingerprint(1)));
     for sequence in 0..16 {
         let now = cluster.now;
         for number in 1..=3 {
@@ -306,14 +325,15 @@
     const BYTES_PER_SECOND: usize = 700;
     let mut cluster = linked(1);
     let leader = cluster.leader().unwrap();
-    let works = (0..10_000_u32).map(|number| {
+    let fingerprints = (0..10_000_u32).map(|number| {
         FingerprintKey::draw(2).identify(&FingerprintInput {
             body: &number.to_le_bytes(),
             ..FingerprintInput::default()
         })
     });
-    let reports = works
-        .flat_map(|work| [1, 2].map(|back_end| ended(work, back_end, SECOND * (2 - back_end))));
+    let reports = fingerprints.flat_map(|fingerprint| {
+        [1, 2].map(|back_end| ended(fingerprint, back_end, SECOND * (2 - back_end)))
+    });
     let reports: Vec<FingerprintReport> = reports.collect();
     report(&mut cluster, leader, &reports);
     cluster.to_routers.clear();
@@ -353,11 +373,11 @@
     let mut cluster = linked(1);
     let leader = cluster.leader().unwrap();
     for number in 0..1_100_u32 {
-        let work = FingerprintKey::draw(3).identify(&FingerprintInput {
+        let fingerprint = FingerprintKey::draw(3).identify(&FingerprintInput {
             body: &number.to_le_bytes(),
             ..FingerprintInput::default()
         });
-        cluster.submit(leader, Command::Quarantine { work });
+        cluster.submit(leader, Command::Quarantine { fingerprint });
     }
     let state = cluster.core(leader).state();
     assert_eq!(state.quarantined().count(), 1_024);
--- a/crates/gateway-core/tests/state.rs
+++ b/crates/gateway-core/tests/state.rs
@@ -235,10 +235,10 @@
 /// their bytes may read as.
 #[test]
 fn bytes_that_go_on_behind_a_command_are_none() {
-    let work = FingerprintKey::draw(1).identify(&FingerprintInput::default());
+    let fingerprint = FingerprintKey::draw(1).identify(&FingerprintInput::default());
     let proposal = Proposal {
         id: ProposalId::default(),
-        command: Command::Quarantine { work },
+        command: Command::Quarantine { fingerprint },
     };
     let mut bytes = proposal.encode();
     assert_eq!(Proposal::decode(&bytes), Some(proposal));
--- a/crates/gateway-core/tests/wire_layout.rs
+++ b/crates/gateway-core/tests/wire_layout.rs
@@ -19,7 +19,7 @@
 
 const LANDED: &str = include_str!("wire_layout.txt");
 
-fn work() -> RequestFingerprint {
+fn fingerprint() -> RequestFingerprint {
     FingerprintKey::draw(1).identify(&FingerprintInput::default())
 }
 
@@ -64,7 +64,7 @@
         removed: List::new(vec![Text::new("i-2")]),
         fingerprint_key: List::new(vec![FingerprintKey::draw(1)]),
         quarantine: List::new(vec![Quarantine {
-            works: List::new(vec![work()]),
+            fingerprints: List::new(vec![fingerprint()]),
         }]),
     }
 }
@@ -80,7 +80,7 @@
 fn messages() -> Vec<(&'static str, Message)> {
     let reports = vec![
         FingerprintReport {
-            work: work(),
+            fingerprint: fingerprint(),
             age_ms: 11,
             event: FingerprintEvent::BackEndCrashed {
                 back_end: 12,
@@ -88,7 +88,7 @@
             },
         },
         FingerprintReport {
-            work: work(),
+            fingerprint: fingerprint(),
             age_ms: 14,
             event: FingerprintEvent::Completed,
         },
@@ -169,12 +169,12 @@
         (
             "work_suspicions",
             Message::FingerprintSuspicions(List::new(vec![FingerprintSuspicion {
-                work: work(),
-                ends: 2,
+                fingerprint: fingerprint(),
+                crashes: 2,
             }])),
         ),
         ("keep_alive", Message::KeepAlive),
-        ("try_work", Message::PermitTrial(work())),
+        ("try_work", Message::PermitTrial(fingerprint())),
         ("control_zone", Message::ControlZone(Text::new("zone"))),
         ("follow", Message::Follow(Following::ChangesAndNews)),
         ("news", Message::News(Blob::new(vec![24]))),
@@ -243,8 +243,18 @@
                 key: FingerprintKey::draw(1),
             },
         ),
-        ("quarantine", Command::Quarantine { work: work() }),
-        ("release", Command::Release { work: work() }),
+        (
+            "quarantine",
+            Command::Quarantine {
+                fingerprint: fingerprint(),
+            },
+        ),
+        (
+            "release",
+            Command::Release {
+                fingerprint: fingerprint(),
+            },
+        ),
     ]
 }
 
--- a/crates/gateway/src/control/applied.rs
+++ b/crates/gateway/src/control/applied.rs
@@ -72,7 +72,7 @@
                 "control: the key that identifies work is in force"
             );
         }
-        Command::Quarantine { work } => {
+        Command::Quarantine { fingerprint: work } => {
             tracing::info!(
                 event = "work_quarantined",
                 position,
@@ -80,7 +80,7 @@
                 "control: work is quarantined"
             );
         }
-        Command::Release { work } => {
+        Command::Release { fingerprint: work } => {
             tracing::info!(
                 event = "work_released",
                 position,
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -256,7 +256,10 @@
                 }
             }
             Effect::Applied { position, command } => applied::log(position, &command),
-            Effect::FingerprintSuspected { work, ends } => {
+            Effect::FingerprintSuspected {
+                fingerprint: work,
+                crashes: ends,
+            } => {
                 tracing::info!(
                     event = "work_suspected",
                     work = format_args!("{work:#}"),
--- a/crates/gateway/src/control/quarantine.rs
+++ b/crates/gateway/src/control/quarantine.rs
@@ -74,7 +74,7 @@
         };
         return answer::plain(status, "");
     };
-    let reply = api::submit(control, Command::Release { work }).await;
+    let reply = api::submit(control, Command::Release { fingerprint: work }).await;
     tracing::info!(event = "release_asked", %work, outcome = api::reply_name(&reply),
         "control: an operator releases work");
     api::acknowledge(control, reply)
--- a/crates/gateway/src/router/resume.rs
+++ b/crates/gateway/src/router/resume.rs
@@ -44,7 +44,7 @@
         EarlierAttempts {
             tried: &self.tried,
             arrived: self.sent,
-            work: call.work,
+            fingerprint: call.work,
             ends_before_call: call.ends_before_call,
             broken: self.broken,
         }
--- a/crates/gateway/src/router/updates.rs
+++ b/crates/gateway/src/router/updates.rs
@@ -352,7 +352,11 @@
     let now = router.clock.now();
     router.core.borrow_mut().on_work_suspicions(now, suspicions);
     router.work_reported.notify_waiters();
-    for FingerprintSuspicion { work, ends } in suspicions {
+    for FingerprintSuspicion {
+        fingerprint: work,
+        crashes: ends,
+    } in suspicions
+    {
         tracing::info!(event = "work_suspected", %work, ends, by = %address,
             "router: a control machine suspects work");
     }
