--- a/crates/gateway-core/src/command.rs
+++ b/crates/gateway-core/src/command.rs
@@ -94,7 +94,7 @@
     },
     /// New weights of a model.
     #[brw(magic(5u8))]
-    NameWeights {
+    SetTargetWeights {
         /// The model.
         model: Text,
         /// The version that all back ends are to hold.
--- a/crates/gateway-core/src/control/fetches.rs
+++ b/crates/gateway-core/src/control/fetches.rs
@@ -12,7 +12,7 @@
 use drumshore_core::Timestamp;
 
 use super::{ConnectionId, ControlCore, Effect};
-use crate::{Message, NamedWeights, Position};
+use crate::{Message, Position, TargetWeights};
 
 /// What a router is sent of the state at once: 50 ms on its link of 10 Mbit/s. It asks for the rest when it has
 /// taken that in, so a control machine queues at most this much for each link.
@@ -85,8 +85,8 @@
             if self.fetches.allowance <= 0.0 {
                 return;
             }
-            let age_ms = |named: &NamedWeights| self.weights_age_ms(named.revision);
-            let part = self.state.next_part(position, MOST_PART_BYTES, age_ms);
+            let age_ms = |named: &TargetWeights| self.weights_age_ms(named.revision);
+            let part = self.state.next_chunk(position, MOST_PART_BYTES, age_ms);
             if let Some(changes) = part {
                 let count = self.fetches.spend(changes.bytes(), connections.len());
                 connections.truncate(count);
--- a/crates/gateway-core/src/control/fetches_tests.rs
+++ b/crates/gateway-core/src/control/fetches_tests.rs
@@ -10,7 +10,10 @@
 }
 
 fn holding(held: u64) -> Position {
-    Position { held, begun: held }
+    Position {
+        held,
+        source_revision: held,
+    }
 }
 
 /// What so many routers that ask for parts of 64 KB are sent within a second, with a flush each millisecond.
--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -204,7 +204,7 @@
             refusing: Refusing::default(),
             suspected_work: SuspectedWork::default(),
             tenant_accounts: TenantAccounts::default(),
-            drawn_work_key: FingerprintKey::draw(seed),
+            drawn_work_key: FingerprintKey::generate(seed),
             work_key_proposed_at: None,
             named_at: BTreeMap::new(),
             heard: Heard::default(),
@@ -393,7 +393,7 @@
     fn note_applied(&mut self, position: u64, mut command: Command) {
         match &mut command {
             Command::Configure { body, .. } => body.bytes.clear(),
-            Command::NameWeights { .. } => {
+            Command::SetTargetWeights { .. } => {
                 self.named_at.insert(position, self.now);
             }
             Command::Load {
--- a/crates/gateway-core/src/control/pending_loads.rs
+++ b/crates/gateway-core/src/control/pending_loads.rs
@@ -26,7 +26,7 @@
             continue;
         }
         for loaded in &record.models.items {
-            let named = state.named_version(loaded.model.as_str());
+            let named = state.target_version(loaded.model.as_str());
             if named > loaded.version || loaded.loading != 0 {
                 loads.push(Load {
                     instance: record.instance.as_str().to_owned(),
--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -16,7 +16,7 @@
 use super::{ConnectionId, ControlCore, Effect};
 use crate::quarantine::{
     CrashLedger, CrashReport, CRASHES_FOR_QUARANTINE, CRASHES_FOR_SUSPICION, QUARANTINE_FOR,
-    TRIALS_AFTER, TRIALS_SPREAD,
+    TRIAL_DELAYS, TRIAL_SPREAD,
 };
 use crate::{
     Command, FingerprintEvent, FingerprintReport, FingerprintSuspicion, Message, RequestFingerprint,
@@ -59,8 +59,8 @@
 
     /// True once for each trial, when its time has come.
     fn trial_is_due(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
-        let spread = TRIALS_SPREAD.mul_f64(fingerprint.draw());
-        let next = TRIALS_AFTER.get(self.trials);
+        let spread = TRIAL_SPREAD.mul_f64(fingerprint.fraction());
+        let next = TRIAL_DELAYS.get(self.trials);
         let is_due = next.is_some_and(|after| now.since(self.at) >= *after + spread);
         self.trials += usize::from(is_due);
         is_due
@@ -127,7 +127,7 @@
 
     fn on_end_reported(&mut self, fingerprint: RequestFingerprint, end: CrashReport) {
         let suspected = &mut self.suspected_work;
-        if !suspected.ledger.note_end(self.now, fingerprint, end) {
+        if !suspected.ledger.record_crash(self.now, fingerprint, end) {
             return;
         }
         suspected.note_standing(fingerprint);
@@ -147,7 +147,7 @@
 
     /// What quarantined work ended no longer speaks against the requests that were beside it.
     fn relieve_others(&mut self, culprit: RequestFingerprint) {
-        for relieved in self.suspected_work.ledger.explain(culprit) {
+        for relieved in self.suspected_work.ledger.attribute_crashes_to(culprit) {
             self.suspected_work.note_standing(relieved);
         }
     }
@@ -207,7 +207,7 @@
     /// One router may give the work to a back end once.
     fn permit_trial(&mut self, fingerprint: RequestFingerprint) {
         let connections = self.routers.connections();
-        let drawn = (fingerprint.draw() * connections.len() as f64) as usize;
+        let drawn = (fingerprint.fraction() * connections.len() as f64) as usize;
         if let Some(connection) = connections.get(drawn) {
             let message = Message::PermitTrial(fingerprint);
             self.effects.push(Effect::ToRouter(*connection, message));
--- a/crates/gateway-core/src/control/routers.rs
+++ b/crates/gateway-core/src/control/routers.rs
@@ -116,8 +116,14 @@
             Message::FingerprintReports(reports) => self.on_work_reports(&reports.items),
             Message::Usage(entries) => self.on_usage(connection, &entries.items),
             Message::Follow(following) => self.on_follow(connection, following),
-            Message::Fetch { since, begun } => {
-                let position = Position { held: since, begun };
+            Message::Fetch {
+                since,
+                source_revision,
+            } => {
+                let position = Position {
+                    held: since,
+                    source_revision,
+                };
                 self.fetches.ask(connection, position);
             }
             _ => {}
--- a/crates/gateway-core/src/fingerprint.rs
+++ b/crates/gateway-core/src/fingerprint.rs
@@ -70,7 +70,7 @@
 
 impl FingerprintKey {
     /// A key that is drawn from `seed`, which must be random and stay within the process.
-    pub fn draw(seed: u64) -> Self {
+    pub fn generate(seed: u64) -> Self {
         let mut key = [0; KEY_BYTES];
         ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut key);
         Self(key)
@@ -103,7 +103,7 @@
 
 impl RequestFingerprint {
     /// A part of one, evenly spread over works.
-    pub fn draw(self) -> f64 {
+    pub fn fraction(self) -> f64 {
         f64::from(self.0[0]) / 256.0
     }
 }
--- a/crates/gateway-core/src/fingerprint_tests.rs
+++ b/crates/gateway-core/src/fingerprint_tests.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn the_same_work_has_the_same_identifier() {
-    let (key, same) = (FingerprintKey::draw(7), FingerprintKey::draw(7));
+    let (key, same) = (FingerprintKey::generate(7), FingerprintKey::generate(7));
     assert_eq!(key.identify(&WORK), same.identify(&WORK));
 }
 
@@ -26,28 +26,28 @@
 #[case::body(FingerprintInput { body: b"another body", ..WORK })]
 #[case::moved_border(FingerprintInput { target: "/x/one?part=2t", tenant: "1", ..WORK })]
 fn other_work_has_another(#[case] other: FingerprintInput<'_>) {
-    let key = FingerprintKey::draw(7);
+    let key = FingerprintKey::generate(7);
     assert_ne!(key.identify(&WORK), key.identify(&other));
 }
 
 #[test]
 fn nobody_without_the_key_can_make_one() {
     assert_ne!(
-        FingerprintKey::draw(7).identify(&WORK),
-        FingerprintKey::draw(8).identify(&WORK)
+        FingerprintKey::generate(7).identify(&WORK),
+        FingerprintKey::generate(8).identify(&WORK)
     );
 }
 
 #[test]
 fn logs_show_neither_key_nor_whole_identifier() {
-    let key = FingerprintKey::draw(7);
+    let key = FingerprintKey::generate(7);
     assert_eq!(format!("{key:?}"), "WorkKey(..)");
     assert_eq!(key.identify(&WORK).to_string().len(), 2 * SHOWN_BYTES);
 }
 
 #[test]
 fn an_operator_names_work_as_logs_show_it() {
-    let key = FingerprintKey::draw(7);
+    let key = FingerprintKey::generate(7);
     let (fingerprint, other) = (
         key.identify(&WORK),
         key.identify(&FingerprintInput::default()),
@@ -70,7 +70,7 @@
 #[ignore = "prints figures"]
 fn figures_of_identifying() {
     const ROUNDS: u32 = 2_000;
-    let key = FingerprintKey::draw(7);
+    let key = FingerprintKey::generate(7);
     for bytes in [600, 1_700, 18_000, 110_000] {
         let body = vec![7; bytes];
         let begun = std::time::Instant::now();
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -49,5 +49,5 @@
     RequestHead, RouterCore, RouterParams, RunCopy, ViewError,
 };
 pub use router_wire::RouterWire;
-pub use state::{InstanceRecord, Lifecycle, LoadedModel, NamedWeights, Position, ReplicatedState};
-pub use view_links::{Progress, Step, ViewLinks};
+pub use state::{InstanceRecord, Lifecycle, LoadedModel, Position, ReplicatedState, TargetWeights};
+pub use view_links::{LinkAction, Progress, ViewLinks};
--- a/crates/gateway-core/src/limits/part.rs
+++ b/crates/gateway-core/src/limits/limit_share.rs
@@ -12,7 +12,7 @@
 /// level covers it: were the first one at each router admitted, hundreds of routers would exceed a
 /// small limit many times over.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OwnPart {
+pub struct LimitShare {
     whole: TenantLimit,
     routers: u16,
     /// Of what all routers used of late, what this one did; `None` before the leader sent it.
@@ -20,7 +20,7 @@
     account: Account,
 }
 
-impl OwnPart {
+impl LimitShare {
     /// The part of one of so many routers, of which nothing more is known.
     pub fn new(now: Timestamp, whole: TenantLimit, routers: u16) -> Self {
         let share = None;
@@ -34,15 +34,15 @@
     }
 
     /// `share` of what all routers used of late was used by this one.
-    pub fn set_share(&mut self, now: Timestamp, share: f64) {
+    pub fn set_usage_fraction(&mut self, now: Timestamp, share: f64) {
         self.share = Some(share);
         self.resize(now);
     }
 
     /// Levels arrived without a share of this router's: it used nothing of late.
-    pub fn set_share_if_unknown(&mut self, now: Timestamp) {
+    pub fn assume_idle_if_unknown(&mut self, now: Timestamp) {
         if self.share.is_none() {
-            self.set_share(now, 0.0);
+            self.set_usage_fraction(now, 0.0);
         }
     }
 
--- a/crates/gateway-core/src/limits/mod.rs
+++ b/crates/gateway-core/src/limits/mod.rs
@@ -10,17 +10,17 @@
 //! 100 ms, two network hops), so a tenant that asks for `demand` exceeds its bucket by at most
 //! `(demand - rate) * lag` and one request for each router that admits at the same moment. The debt
 //! that this leaves is not forgiven: the excess does not grow with time. A router that hears
-//! nothing from the leader spends a fixed part of the limit, see [`OwnPart`]; the parts add up to
+//! nothing from the leader spends a fixed part of the limit, see [`LimitShare`]; the parts add up to
 //! one.
 
 mod account;
-mod part;
-mod rate_part;
+mod limit_share;
+mod rate_share;
 mod usage;
 
 pub use account::Account;
-pub use part::OwnPart;
-pub use rate_part::RatePart;
+pub use limit_share::LimitShare;
+pub use rate_share::RateShare;
 pub use usage::RecentUsage;
 
 /// What a limit counts.
--- a/crates/gateway-core/src/limits/rate_part.rs
+++ b/crates/gateway-core/src/limits/rate_share.rs
@@ -40,7 +40,7 @@
 
 /// One router's part of a rate.
 #[derive(Clone, Debug)]
-pub struct RatePart {
+pub struct RateShare {
     /// Requests a second of all routers, as it was named.
     named: f64,
     share: Share,
@@ -96,7 +96,7 @@
     root * root
 }
 
-impl RatePart {
+impl RateShare {
     /// The part of one of so many routers, which has just learned of the rate. Its bucket is filled to a level that is
     /// drawn: all routers may learn of the rate at once.
     pub fn new(now: Timestamp, named: f64, routers: u16, seed: u64) -> Self {
@@ -195,5 +195,5 @@
 }
 
 #[cfg(test)]
-#[path = "rate_part_tests.rs"]
+#[path = "rate_share_tests.rs"]
 mod tests;
--- a/crates/gateway-core/src/limits/rate_part_tests.rs
+++ b/crates/gateway-core/src/limits/rate_share_tests.rs
@@ -9,7 +9,7 @@
 }
 
 /// When requests are sent by a router that is asked all the time.
-fn sent(part: &mut RatePart, from: f64, to: f64) -> Vec<f64> {
+fn sent(part: &mut RateShare, from: f64, to: f64) -> Vec<f64> {
     let steps = ((to - from) * 100.0) as u32;
     let times = (0..steps).map(|step| from + f64::from(step) / 100.0);
     let sent = times.filter(|time| {
@@ -31,7 +31,7 @@
     #[case] routers: u16,
     #[case] expected: f64,
 ) {
-    let mut part = RatePart::new(at(0.0), whole, routers, 3);
+    let mut part = RateShare::new(at(0.0), whole, routers, 3);
     let count = sent(&mut part, 0.0, 100.0).len() as f64;
     assert!((count - expected).abs() <= 2.0, "{count} of {expected}");
 }
@@ -81,12 +81,12 @@
         let borne = whole * WINDOW.as_secs_f64() * BORNE_FACTOR + BORNE_BEYOND;
         let parts = (0..u64::from(routers)).map(|router| {
             let seed = xxh3_64(&router.to_le_bytes());
-            RatePart::new(at(0.0), whole, routers, seed)
+            RateShare::new(at(0.0), whole, routers, seed)
         });
-        let parts: Vec<RatePart> = parts.collect();
+        let parts: Vec<RateShare> = parts.collect();
         for begin in (0..4_000).step_by(2) {
             let begin = 60.0 + f64::from(begin);
-            let has_turn = |part: &&RatePart| {
+            let has_turn = |part: &&RateShare| {
                 let turns = turn_at(at(begin), part.seed)..=turn_at(at(begin + 4.0), part.seed);
                 turns.into_iter().any(|turn| part.has_turn(turn))
             };
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_router_that_waits_for_its_turn_knows_when_it_comes() {
-    let mut part = RatePart::new(at(0.0), 5.0, 40, 3);
+    let mut part = RateShare::new(at(0.0), 5.0, 40, 3);
     let mut waited = 0;
     for second in 0..600 {
         let now = at(60.0 + f64::from(second));
@@ -122,7 +122,7 @@
 
 #[test]
 fn what_was_not_sent_is_paid_back() {
-    let mut part = RatePart::new(at(0.0), 1.0, 7, 3);
+    let mut part = RateShare::new(at(0.0), 1.0, 7, 3);
     part.charge(at(60.0));
     assert!(!part.admits(at(60.0)));
     part.pay_back(at(60.1));
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_rate_that_falls_is_in_force_at_once() {
-    let mut part = RatePart::new(at(0.0), 100.0, 7, 3);
+    let mut part = RateShare::new(at(0.0), 100.0, 7, 3);
     part.set_rate(at(60.0), 1.0);
     assert!(sent(&mut part, 60.0, 64.0).len() <= 1);
 }
@@ -139,7 +139,7 @@
 /// Somebody has to find out that it has ended.
 #[test]
 fn of_a_rate_of_zero_a_request_is_sent_now_and_then() {
-    let mut part = RatePart::new(at(0.0), 0.0, 1, 3);
+    let mut part = RateShare::new(at(0.0), 0.0, 1, 3);
     let sent = sent(&mut part, 0.0, 100.0).len();
     assert!((24..=27).contains(&sent), "{sent}");
 }
--- a/crates/gateway-core/src/limits/tests.rs
+++ b/crates/gateway-core/src/limits/tests.rs
@@ -81,8 +81,8 @@
 fn the_parts_of_all_routers_add_up_to_the_limit() {
     let shares = [0.0, 0.1, 0.3, 0.6];
     let rate = |share: &f64| {
-        let mut part = OwnPart::new(at(0), LIMIT, 4);
-        part.set_share(at(0), *share);
+        let mut part = LimitShare::new(at(0), LIMIT, 4);
+        part.set_usage_fraction(at(0), *share);
         part.account().limit().rate_per_second
     };
     let sum: f64 = shares.iter().map(rate).sum();
--- a/crates/gateway-core/src/message.rs
+++ b/crates/gateway-core/src/message.rs
@@ -363,7 +363,7 @@
         /// The revision it has.
         since: u64,
         /// The revision of the state whose first part it was sent.
-        begun: u64,
+        source_revision: u64,
     },
     /// The answer, or its first part.
     #[brw(magic(8u8))]
--- a/crates/gateway-core/src/quarantine/completions.rs
+++ b/crates/gateway-core/src/quarantine/completions.rs
@@ -12,7 +12,7 @@
 /// Longer would shield work that ends back ends since they were replaced.
 const GENERATION: Duration = Duration::from_secs(5);
 /// The longest for which a run to the end may speak for its work.
-pub(crate) const COMPLETION_COUNTS_FOR: Duration = Duration::from_secs(2 * GENERATION.as_secs());
+pub(crate) const COMPLETION_VALID_FOR: Duration = Duration::from_secs(2 * GENERATION.as_secs());
 /// Works of one generation, of 16 bytes each; 111 requests a second, a router's share at the size that the
 /// system is meant for, make 555 in that time.
 const MOST_WORKS: usize = 4_096;
@@ -46,7 +46,7 @@
             return;
         }
         self.older = std::mem::take(&mut self.newer);
-        if age >= COMPLETION_COUNTS_FOR {
+        if age >= COMPLETION_VALID_FOR {
             self.older.clear();
         }
         self.begun = now;
--- a/crates/gateway-core/src/quarantine/ledger.rs
+++ b/crates/gateway-core/src/quarantine/ledger.rs
@@ -55,19 +55,19 @@
 pub(crate) struct CrashLedger {
     fingerprints: HashMap<RequestFingerprint, Vec<End>>,
     /// Back ends that quarantined work ended: whatever else they had in hand is innocent of it.
-    explained: VecDeque<u32>,
+    attributed: VecDeque<u32>,
 }
 
 impl CrashLedger {
     /// A back end ended while it had the work in hand. True when that was not known.
-    pub fn note_end(
+    pub fn record_crash(
         &mut self,
         now: Timestamp,
         fingerprint: RequestFingerprint,
         report: CrashReport,
     ) -> bool {
         let back_end = report.back_end;
-        if self.explained.contains(&back_end) {
+        if self.attributed.contains(&back_end) {
             return false;
         }
         if self.fingerprints.len() >= MOST_WORKS && !self.fingerprints.contains_key(&fingerprint) {
@@ -113,7 +113,7 @@
 
     /// Work that was quarantined explains the ends under it: they no longer count against the requests
     /// that were beside it. Returns the works of which nothing is left, or less than before.
-    pub fn explain(&mut self, culprit: RequestFingerprint) -> Vec<RequestFingerprint> {
+    pub fn attribute_crashes_to(&mut self, culprit: RequestFingerprint) -> Vec<RequestFingerprint> {
         let crashes = self.fingerprints.get(&culprit).cloned().unwrap_or_default();
         let ended: BTreeSet<u32> = crashes.iter().map(|end| end.back_end).collect();
         let mut relieved = Vec::new();
@@ -131,11 +131,11 @@
         self.fingerprints.retain(|_, crashes| !crashes.is_empty());
         let new = ended
             .into_iter()
-            .filter(|end| !self.explained.contains(end));
+            .filter(|end| !self.attributed.contains(end));
         let new: Vec<u32> = new.collect();
-        self.explained.extend(new);
-        let surplus = self.explained.len().saturating_sub(MOST_EXPLAINED);
-        self.explained.drain(..surplus);
+        self.attributed.extend(new);
+        let surplus = self.attributed.len().saturating_sub(MOST_EXPLAINED);
+        self.attributed.drain(..surplus);
         relieved.sort_unstable();
         relieved
     }
--- a/crates/gateway-core/src/quarantine/ledger_tests.rs
+++ b/crates/gateway-core/src/quarantine/ledger_tests.rs
@@ -13,7 +13,7 @@
 
 fn fingerprint(number: u32) -> RequestFingerprint {
     let body = number.to_le_bytes();
-    FingerprintKey::draw(1).identify(&FingerprintInput {
+    FingerprintKey::generate(1).identify(&FingerprintInput {
         body: &body,
         ..FingerprintInput::default()
     })
@@ -31,17 +31,17 @@
 #[test]
 fn each_back_end_counts_once_and_each_moment_once() {
     let mut ledger = CrashLedger::default();
-    assert!(ledger.note_end(at(0), fingerprint(1), ended(10, 0)));
+    assert!(ledger.record_crash(at(0), fingerprint(1), ended(10, 0)));
     assert!(
-        !ledger.note_end(at(5), fingerprint(1), ended(10, 0)),
+        !ledger.record_crash(at(5), fingerprint(1), ended(10, 0)),
         "seen by another router"
     );
     assert!(
-        ledger.note_end(at(9), fingerprint(1), ended(11, 0)),
+        ledger.record_crash(at(9), fingerprint(1), ended(11, 0)),
         "ended together"
     );
     assert_eq!(ledger.crashes(fingerprint(1)), 1);
-    assert!(ledger.note_end(at(400), fingerprint(1), ended(12, 0)));
+    assert!(ledger.record_crash(at(400), fingerprint(1), ended(12, 0)));
     assert_eq!(ledger.crashes(fingerprint(1)), 2);
     assert_eq!(ledger.crashes(fingerprint(2)), 0);
 }
@@ -50,13 +50,13 @@
 #[test]
 fn a_back_end_that_got_the_work_after_the_first_had_ended_is_another_moment() {
     let mut ledger = CrashLedger::default();
-    ledger.note_end(at(1_000), fingerprint(1), ended(1, 0));
+    ledger.record_crash(at(1_000), fingerprint(1), ended(1, 0));
     let held = Duration::from_millis(41);
     let second = CrashReport {
         held,
         ..ended(2, 0)
     };
-    ledger.note_end(at(1_042), fingerprint(1), second);
+    ledger.record_crash(at(1_042), fingerprint(1), second);
     assert_eq!(ledger.crashes(fingerprint(1)), 2);
 }
 
@@ -64,7 +64,7 @@
 fn reports_that_come_late_count_at_the_time_of_the_end() {
     let mut ledger = CrashLedger::default();
     for (ended_at, back_end) in [(900, 1), (100, 2), (500, 3)] {
-        ledger.note_end(at(2_000), fingerprint(1), ended(back_end, 2_000 - ended_at));
+        ledger.record_crash(at(2_000), fingerprint(1), ended(back_end, 2_000 - ended_at));
     }
     assert_eq!(ledger.crashes(fingerprint(1)), 3);
 }
@@ -74,7 +74,7 @@
 fn ends_before_the_start_are_told_apart() {
     let mut ledger = CrashLedger::default();
     for (age_s, back_end) in [(9, 1), (7, 2), (5, 3)] {
-        ledger.note_end(at(10), fingerprint(1), ended(back_end, age_s * 1_000));
+        ledger.record_crash(at(10), fingerprint(1), ended(back_end, age_s * 1_000));
     }
     assert_eq!(ledger.crashes(fingerprint(1)), 3);
 }
@@ -83,14 +83,14 @@
 fn requests_beside_the_culprit_are_innocent_once_it_is_known() {
     let mut ledger = CrashLedger::default();
     for (moment, back_end) in [(0, 1), (1_000, 2), (2_000, 3)] {
-        ledger.note_end(at(moment), fingerprint(1), ended(back_end, 0));
+        ledger.record_crash(at(moment), fingerprint(1), ended(back_end, 0));
     }
     for (moment, back_end) in [(0, 1), (1_000, 2), (1_500, 9)] {
-        ledger.note_end(at(moment), fingerprint(2), ended(back_end, 0));
+        ledger.record_crash(at(moment), fingerprint(2), ended(back_end, 0));
     }
-    ledger.note_end(at(0), fingerprint(3), ended(1, 0));
+    ledger.record_crash(at(0), fingerprint(3), ended(1, 0));
     assert_eq!(
-        ledger.explain(fingerprint(1)),
+        ledger.attribute_crashes_to(fingerprint(1)),
         sorted([fingerprint(2), fingerprint(3)])
     );
     assert_eq!(
@@ -102,7 +102,7 @@
         (3, 1, 0)
     );
     assert!(
-        !ledger.note_end(at(2_100), fingerprint(4), ended(3, 0)),
+        !ledger.record_crash(at(2_100), fingerprint(4), ended(3, 0)),
         "a late report of it"
     );
 }
@@ -116,20 +116,20 @@
 #[test]
 fn ends_are_explained_once() {
     let mut ledger = CrashLedger::default();
-    ledger.note_end(at(0), fingerprint(1), ended(1, 0));
+    ledger.record_crash(at(0), fingerprint(1), ended(1, 0));
     for _ in 0..2 * MOST_EXPLAINED {
-        ledger.explain(fingerprint(1));
+        ledger.attribute_crashes_to(fingerprint(1));
     }
-    assert_eq!(ledger.explained, [1]);
+    assert_eq!(ledger.attributed, [1]);
 }
 
 #[test]
 fn a_run_to_the_end_clears_and_time_forgets() {
     let mut ledger = CrashLedger::default();
-    ledger.note_end(at(0), fingerprint(1), ended(1, 0));
+    ledger.record_crash(at(0), fingerprint(1), ended(1, 0));
     assert!(ledger.clear(fingerprint(1)));
     assert!(!ledger.clear(fingerprint(1)));
-    ledger.note_end(at(0), fingerprint(2), ended(1, 0));
+    ledger.record_crash(at(0), fingerprint(2), ended(1, 0));
     ledger.expire(at(0).plus(REMEMBER_CRASHES_FOR));
     assert_eq!(ledger.crashes(fingerprint(2)), 0);
 }
@@ -138,11 +138,11 @@
 fn a_full_table_keeps_the_work_that_ended_most() {
     let mut ledger = CrashLedger::default();
     for (moment, back_end) in [(0, 1), (1_000, 2)] {
-        ledger.note_end(at(moment), fingerprint(0), ended(back_end, 0));
+        ledger.record_crash(at(moment), fingerprint(0), ended(back_end, 0));
     }
     for number in 1..=3 * MOST_WORKS as u32 {
         let moment = 2_000 + u64::from(number);
-        ledger.note_end(at(moment), fingerprint(number), ended(100 + number, 0));
+        ledger.record_crash(at(moment), fingerprint(number), ended(100 + number, 0));
     }
     assert!(ledger.fingerprints.len() <= MOST_WORKS);
     assert_eq!(ledger.crashes(fingerprint(0)), 2);
@@ -168,7 +168,7 @@
             if struck.contains(back_end) {
                 // The next incarnation is another back end.
                 let incarnation = wave * BACK_ENDS + *back_end;
-                ledger.note_end(moment, fingerprint(number as u32), ended(incarnation, 0));
+                ledger.record_crash(moment, fingerprint(number as u32), ended(incarnation, 0));
                 *back_end = random.random_range(0..BACK_ENDS);
             }
         }
--- a/crates/gateway-core/src/quarantine/mod.rs
+++ b/crates/gateway-core/src/quarantine/mod.rs
@@ -8,7 +8,7 @@
 mod completions;
 mod ledger;
 
-pub(crate) use completions::{Completions, COMPLETION_COUNTS_FOR};
+pub(crate) use completions::{Completions, COMPLETION_VALID_FOR};
 pub(crate) use ledger::{CrashLedger, CrashReport};
 
 use std::time::Duration;
@@ -26,16 +26,16 @@
 /// One run of quarantined work is permitted at one router each so long after the verdict. Work that many
 /// requests share and that has never run well yet may be condemned beside the culprit; nothing else tells
 /// that it is innocent. A culprit costs one back end a trial, within the three that users allow.
-pub(crate) const TRIALS_AFTER: [Duration; 3] = [
+pub(crate) const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(10),
     Duration::from_secs(60),
     Duration::from_secs(300),
 ];
 /// Trials of works that were quarantined together are spread over this time, so that the culprit's does not
 /// end the back end at which another work is tried.
-pub(crate) const TRIALS_SPREAD: Duration = Duration::from_secs(4);
+pub(crate) const TRIAL_SPREAD: Duration = Duration::from_secs(4);
 /// A permit that no request has used is void after this long.
-pub(crate) const PERMIT_HOLDS_FOR: Duration = Duration::from_secs(20);
+pub(crate) const PERMIT_VALID_FOR: Duration = Duration::from_secs(20);
 
 /// Quarantined work is released after this long and may be tried again: back ends may have been mended.
 /// A further spell of it then costs three back ends in this time.
--- a/crates/gateway-core/src/router/accounts.rs
+++ b/crates/gateway-core/src/router/accounts.rs
@@ -5,7 +5,7 @@
 
 use drumshore_core::Timestamp;
 
-use crate::limits::{Account, OwnPart, TenantLimit};
+use crate::limits::{Account, LimitShare, TenantLimit};
 use crate::{AccountLevel, Document, TenantKey, TenantName, UsageEntry};
 
 /// Levels that the leader sent count for so long; afterwards a router spends its own part of the
@@ -45,7 +45,7 @@
 struct TenantAccount {
     /// Over all routers: the last level received, less what this router has charged since.
     replica: Account,
-    own_part: OwnPart,
+    own_part: LimitShare,
     /// Much of the limit was left when levels came last. What flows in afterwards does not count: others use it.
     was_ample: bool,
     /// Not reported to the leader yet; negative when more was paid back than charged.
@@ -145,11 +145,11 @@
             if let Some(account) = self.accounts.get_mut(&received.tenant) {
                 let level = f64::from(received.level) - account.unreported as f64;
                 account.replica.set_level(now, level);
-                account.own_part.set_share(now, received.share());
+                account.own_part.set_usage_fraction(now, received.share());
             }
         }
         for account in self.accounts.values_mut() {
-            account.own_part.set_share_if_unknown(now);
+            account.own_part.assume_idle_if_unknown(now);
             account.was_ample = account.is_ample(now);
         }
     }
@@ -175,7 +175,7 @@
         Self {
             was_ample: replica.level(now) >= limit.burst * AMPLE_PART,
             replica,
-            own_part: OwnPart::new(now, limit, routers),
+            own_part: LimitShare::new(now, limit, routers),
             unreported: 0,
         }
     }
--- a/crates/gateway-core/src/router/notices.rs
+++ b/crates/gateway-core/src/router/notices.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::{Admission, Backoff, ChoiceError, Prompt, RouterCore};
-use crate::limits::RatePart;
+use crate::limits::RateShare;
 use crate::{BackEndNotice, InstanceId, PoolName, RequestRate};
 
 /// A back end that says it leaves gets no requests for so long after it last said so. It ends within seconds, or
@@ -52,7 +52,7 @@
 struct HeldLimit {
     rate: RequestRate,
     /// What this router may send of it.
-    part: RatePart,
+    part: RateShare,
     /// When it was named last.
     named: Timestamp,
 }
@@ -165,7 +165,7 @@
         let Some(held) = &mut self.limit else {
             let rate = named?;
             let (routers, seed) = (hearing.routers, hearing.seed);
-            let part = RatePart::new(now, rate.as_per_second(), routers, seed);
+            let part = RateShare::new(now, rate.as_per_second(), routers, seed);
             let named = now;
             self.limit = Some(HeldLimit { rate, part, named });
             return Some(LimitChange::Named(rate));
--- a/crates/gateway-core/src/router/suspected_work.rs
+++ b/crates/gateway-core/src/router/suspected_work.rs
@@ -8,8 +8,8 @@
 
 use super::{ChoiceError, EarlierAttempts, RouterCore};
 use crate::quarantine::{
-    Completions, CrashLedger, CrashReport, COMPLETION_COUNTS_FOR, CRASHES_FOR_QUARANTINE,
-    CRASHES_FOR_SUSPICION, PERMIT_HOLDS_FOR, REMEMBER_CRASHES_FOR,
+    Completions, CrashLedger, CrashReport, COMPLETION_VALID_FOR, CRASHES_FOR_QUARANTINE,
+    CRASHES_FOR_SUSPICION, PERMIT_VALID_FOR, REMEMBER_CRASHES_FOR,
 };
 use crate::{
     Changes, FingerprintEvent, FingerprintReport, FingerprintSuspicion, InstanceId, LoadEntry,
@@ -36,7 +36,7 @@
     fn counts(&self, now: Timestamp) -> bool {
         let counts_for = match self.event {
             Some(FingerprintEvent::BackEndCrashed { .. }) => REMEMBER_CRASHES_FOR,
-            Some(FingerprintEvent::Completed) => COMPLETION_COUNTS_FOR,
+            Some(FingerprintEvent::Completed) => COMPLETION_VALID_FOR,
             None => return false,
         };
         now.since(self.at) < counts_for
@@ -74,7 +74,7 @@
     /// Uses up a permit for one run of quarantined work.
     fn take_permit(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
         let permitted_at = self.permits.remove(&fingerprint);
-        permitted_at.is_some_and(|at| now.since(at) < PERMIT_HOLDS_FOR)
+        permitted_at.is_some_and(|at| now.since(at) < PERMIT_VALID_FOR)
     }
 
     fn report(&mut self, at: Timestamp, fingerprint: RequestFingerprint, event: FingerprintEvent) {
@@ -179,7 +179,7 @@
     /// The leader permits one run of quarantined work here.
     pub fn on_trial_permitted(&mut self, now: Timestamp, fingerprint: RequestFingerprint) {
         let permits = &mut self.suspected_work.permits;
-        permits.retain(|_, at| now.since(*at) < PERMIT_HOLDS_FOR);
+        permits.retain(|_, at| now.since(*at) < PERMIT_VALID_FOR);
         permits.insert(fingerprint, now);
     }
 
@@ -208,7 +208,7 @@
                 age: Duration::ZERO,
                 held,
             };
-            if suspected.own.note_end(now, fingerprint, end) {
+            if suspected.own.record_crash(now, fingerprint, end) {
                 let held_ms = u32::try_from(held.as_millis()).unwrap_or(u32::MAX);
                 suspected.report(
                     now,
--- a/crates/gateway-core/src/router/tests/suspected_work.rs
+++ b/crates/gateway-core/src/router/tests/suspected_work.rs
@@ -7,7 +7,7 @@
 };
 
 fn fingerprint(body: &str) -> RequestFingerprint {
-    FingerprintKey::draw(1).identify(&FingerprintInput {
+    FingerprintKey::generate(1).identify(&FingerprintInput {
         body: body.as_bytes(),
         ..FingerprintInput::default()
     })
--- a/crates/gateway-core/src/router/view.rs
+++ b/crates/gateway-core/src/router/view.rs
@@ -43,8 +43,8 @@
 #[derive(Debug, Default)]
 pub(super) struct View {
     revision: u64,
-    /// See [`Position::begun`].
-    begun: u64,
+    /// See [`Position::source_revision`].
+    source_revision: u64,
     confirmed: Option<Timestamp>,
     /// Confirmations of revisions that have not arrived yet.
     awaiting: Vec<(u64, Timestamp)>,
@@ -64,7 +64,7 @@
     pub fn position(&self) -> Position {
         Position {
             held: self.revision,
-            begun: self.begun,
+            source_revision: self.source_revision,
         }
     }
 
@@ -150,7 +150,7 @@
         }
         if changes.since == 0 {
             self.instances.clear();
-            self.begun = changes.newest;
+            self.source_revision = changes.newest;
         }
         for removed in &changes.removed.items {
             self.instances.remove(removed.as_str());
--- a/crates/gateway-core/src/router_wire.rs
+++ b/crates/gateway-core/src/router_wire.rs
@@ -55,7 +55,7 @@
     pub const ALL: [Self; 2] = [Self::Current, Self::BeforeViews];
 
     /// Reads the first message on a link, and by which layout it is one; `None` when it is no message.
-    pub fn of_first(payload: &[u8]) -> Option<(Self, Message)> {
+    pub fn detect_from_router(payload: &[u8]) -> Option<(Self, Message)> {
         if let Some(message) = Message::decode(payload) {
             return Some((Self::Current, message));
         }
@@ -66,7 +66,7 @@
 
     /// Reads a control machine's first message on a router's link, and by which layout it is one; `None` when it is no
     /// message.
-    pub fn of_control(payload: &[u8]) -> Option<(Self, Message)> {
+    pub fn detect_from_control(payload: &[u8]) -> Option<(Self, Message)> {
         let zone =
             Message::decode(payload).filter(|first| matches!(first, Message::ControlZone(_)));
         if let Some(zone) = zone {
@@ -122,7 +122,10 @@
             accepting,
             has_view: 1,
         })),
-        EarlierMessage::Fetch { since } => Some(Message::Fetch { since, begun: 0 }),
+        EarlierMessage::Fetch { since } => Some(Message::Fetch {
+            since,
+            source_revision: 0,
+        }),
         EarlierMessage::Changes {
             since,
             revision,
--- a/crates/gateway-core/src/router_wire_tests.rs
+++ b/crates/gateway-core/src/router_wire_tests.rs
@@ -23,12 +23,12 @@
 
 #[test]
 fn a_status_without_its_last_field_is_read_and_tells_the_build() {
-    let read = RouterWire::of_first(&earlier_status());
+    let read = RouterWire::detect_from_router(&earlier_status());
     assert_eq!(
         read,
         Some((RouterWire::BeforeViews, Message::Router(status())))
     );
-    let read = RouterWire::of_first(&Message::Router(status()).encode());
+    let read = RouterWire::detect_from_router(&Message::Router(status()).encode());
     assert_eq!(read, Some((RouterWire::Current, Message::Router(status()))));
 }
 
@@ -38,14 +38,18 @@
 #[case::a_status_cut_short(&[1, 11, 0])]
 #[case::no_status(&[7, 1, 0, 0, 0, 0, 0, 0, 0])]
 fn what_is_no_first_message_is_refused(#[case] payload: &[u8]) {
-    assert_eq!(RouterWire::of_first(payload), None);
+    assert_eq!(RouterWire::detect_from_router(payload), None);
 }
 
 #[test]
 fn each_prefix_of_a_status_but_one_is_refused() {
     let whole = Message::Router(status()).encode();
     for length in 0..whole.len() - 1 {
-        assert_eq!(RouterWire::of_first(&whole[..length]), None, "{length}");
+        assert_eq!(
+            RouterWire::detect_from_router(&whole[..length]),
+            None,
+            "{length}"
+        );
     }
 }
 
@@ -53,7 +57,10 @@
 fn an_earlier_question_names_one_revision() {
     let mut payload = vec![7];
     payload.extend(5_u64.to_le_bytes());
-    let expected = Message::Fetch { since: 5, begun: 0 };
+    let expected = Message::Fetch {
+        since: 5,
+        source_revision: 0,
+    };
     assert_eq!(RouterWire::BeforeViews.decode(&payload), Some(expected));
     assert_eq!(RouterWire::Current.decode(&payload), None);
 }
@@ -98,12 +105,12 @@
 #[test]
 fn a_control_machine_that_does_not_say_its_zone_first_is_of_an_earlier_build() {
     let zone = Message::ControlZone(Text::new("a"));
-    let read = RouterWire::of_control(&zone.encode());
+    let read = RouterWire::detect_from_control(&zone.encode());
     assert_eq!(read, Some((RouterWire::Current, zone)));
     let announcement = Message::Announce(Announcement { revision: 5 });
-    let read = RouterWire::of_control(&announcement.encode());
+    let read = RouterWire::detect_from_control(&announcement.encode());
     assert_eq!(read, Some((RouterWire::BeforeViews, announcement)));
-    assert_eq!(RouterWire::of_control(&[200, 1, 2]), None);
+    assert_eq!(RouterWire::detect_from_control(&[200, 1, 2]), None);
 }
 
 /// A router that read them by its own layout ended the link each time.
@@ -118,15 +125,24 @@
     };
     let sent = Message::Changes(changes);
     let payload = RouterWire::BeforeViews.encode(&sent).unwrap();
-    let first = RouterWire::of_control(&payload);
+    let first = RouterWire::detect_from_control(&payload);
     assert_eq!(first, Some((RouterWire::BeforeViews, sent.clone())));
     assert_ne!(Message::decode(&payload), Some(sent));
 }
 
 #[test]
 fn a_question_to_an_earlier_control_machine_names_one_revision() {
-    let question = Message::Fetch { since: 5, begun: 9 };
+    let question = Message::Fetch {
+        since: 5,
+        source_revision: 9,
+    };
     let payload = RouterWire::BeforeViews.encode(&question).unwrap();
     let read = RouterWire::BeforeViews.decode(&payload);
-    assert_eq!(read, Some(Message::Fetch { since: 5, begun: 0 }));
+    assert_eq!(
+        read,
+        Some(Message::Fetch {
+            since: 5,
+            source_revision: 0
+        })
+    );
 }
--- a/crates/gateway-core/src/state.rs
+++ b/crates/gateway-core/src/state.rs
@@ -91,7 +91,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NamedWeights {
+pub struct TargetWeights {
     /// The model.
     pub model: Text,
     /// The version.
@@ -133,7 +133,7 @@
     forgotten: u64,
     configuration: StoredConfiguration,
     /// The versions of each model that were named last, oldest first.
-    weights: BTreeMap<String, Vec<NamedWeights>>,
+    weights: BTreeMap<String, Vec<TargetWeights>>,
     instances: BTreeMap<String, InstanceRecord>,
     removals: BTreeMap<String, Removed>,
     changed: ChangeIndex,
@@ -176,12 +176,12 @@
     }
 
     /// The weights that were named last, of each model oldest first.
-    pub fn weights(&self) -> impl Iterator<Item = &NamedWeights> {
+    pub fn weights(&self) -> impl Iterator<Item = &TargetWeights> {
         self.weights.values().flatten()
     }
 
     /// The version of a model that back ends are to hold; 0 when none was named.
-    pub fn named_version(&self, model: &str) -> u64 {
+    pub fn target_version(&self, model: &str) -> u64 {
         let newest = self.weights.get(model).and_then(|named| named.last());
         newest.map_or(0, |named| named.version)
     }
@@ -209,7 +209,7 @@
             Command::Drain { instance } => self.drain(position, instance),
             Command::Deregister { instance } => self.remove(position, instance, false),
             Command::Expire { instance } => self.expire(position, instance),
-            Command::NameWeights { model, version } => self.name(position, model, *version),
+            Command::SetTargetWeights { model, version } => self.name(position, model, *version),
             Command::Load {
                 instance,
                 model,
@@ -336,10 +336,10 @@
     }
 
     fn name(&mut self, position: u64, model: &Text, version: u64) -> bool {
-        if version <= self.named_version(model.as_str()) {
+        if version <= self.target_version(model.as_str()) {
             return false;
         }
-        let named = NamedWeights {
+        let named = TargetWeights {
             model: model.clone(),
             version,
             revision: position,
--- a/crates/gateway-core/src/state/changes.rs
+++ b/crates/gateway-core/src/state/changes.rs
@@ -5,7 +5,7 @@
 
 use drumshore_wire::{List, Text};
 
-use super::{InstanceRecord, NamedWeights, Removed, ReplicatedState};
+use super::{InstanceRecord, Removed, ReplicatedState, TargetWeights};
 use crate::{Changes, Quarantine, WeightsNotice};
 
 /// What a record takes in a message beside its texts: lengths, slots, lifecycle and revisions, and the weights
@@ -18,7 +18,7 @@
     /// The revision that it has; 0 when it has nothing.
     pub held: u64,
     /// The revision of the state whose first part it was sent; 0 when it was sent none.
-    pub begun: u64,
+    pub source_revision: u64,
 }
 
 /// The back end that each revision changed, of those that no later one changed again.
@@ -61,7 +61,7 @@
 
 impl ReplicatedState {
     /// All that a router with revision `since` lacks. `age_ms` tells how long ago weights were named.
-    pub fn changes_since(&self, since: u64, age_ms: impl Fn(&NamedWeights) -> u32) -> Changes {
+    pub fn changes_since(&self, since: u64, age_ms: impl Fn(&TargetWeights) -> u32) -> Changes {
         let is_known = (self.forgotten..=self.revision).contains(&since);
         let since = if is_known { since } else { 0 };
         self.changes_between(since, self.revision, age_ms)
@@ -72,13 +72,13 @@
     /// the order of their revisions, so each part leads to a revision of its own.
     ///
     /// `None` when the router has all there is, or was sent a later state than this one.
-    pub fn next_part(
+    pub fn next_chunk(
         &self,
         position: Position,
         most_bytes: usize,
-        age_ms: impl Fn(&NamedWeights) -> u32,
+        age_ms: impl Fn(&TargetWeights) -> u32,
     ) -> Option<Changes> {
-        let known = position.held.max(position.begun);
+        let known = position.held.max(position.source_revision);
         if known > self.revision || position.held == self.revision {
             return None;
         }
@@ -108,7 +108,7 @@
         &self,
         since: u64,
         last: u64,
-        age_ms: impl Fn(&NamedWeights) -> u32,
+        age_ms: impl Fn(&TargetWeights) -> u32,
     ) -> Changes {
         let range: RangeInclusive<u64> = since + 1..=last;
         let mut instances = Vec::new();
@@ -124,7 +124,7 @@
         let has_configuration = range.contains(&configuration.revision);
         let configuration = has_configuration.then(|| configuration.body.clone());
         let weights = self.weights().filter(|item| range.contains(&item.revision));
-        let notice = |named: &NamedWeights| WeightsNotice {
+        let notice = |named: &TargetWeights| WeightsNotice {
             model: named.model.clone(),
             version: named.version,
             age_ms: age_ms(named),
--- a/crates/gateway-core/src/state/image.rs
+++ b/crates/gateway-core/src/state/image.rs
@@ -8,8 +8,8 @@
 
 use super::changes::ChangeIndex;
 use super::{
-    InstanceRecord, NamedWeights, Removed, ReplicatedState, StoredConfiguration,
-    StoredFingerprintKey,
+    InstanceRecord, Removed, ReplicatedState, StoredConfiguration, StoredFingerprintKey,
+    TargetWeights,
 };
 use crate::RequestFingerprint;
 
@@ -38,7 +38,7 @@
     revision: u64,
     forgotten: u64,
     configuration: StoredConfiguration,
-    weights: List<NamedWeights>,
+    weights: List<TargetWeights>,
     instances: List<InstanceRecord>,
     removals: List<Removal>,
     /// 0 or 1.
@@ -83,7 +83,7 @@
     /// Reads a snapshot back.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let image = Image::read(&mut Cursor::new(bytes)).ok()?;
-        let mut weights: BTreeMap<String, Vec<NamedWeights>> = BTreeMap::new();
+        let mut weights: BTreeMap<String, Vec<TargetWeights>> = BTreeMap::new();
         for named in image.weights.items {
             let model = named.model.as_str().to_owned();
             weights.entry(model).or_default().push(named);
--- a/crates/gateway-core/src/view_links/fetches.rs
+++ b/crates/gateway-core/src/view_links/fetches.rs
@@ -83,7 +83,8 @@
             return None;
         }
         let may_ask_any = !self.asked.is_empty() || now.since(behind_since) >= FOLLOWED_PATIENCE;
-        let has_more = |revision: u64| revision > position.held && revision >= position.begun;
+        let has_more =
+            |revision: u64| revision > position.held && revision >= position.source_revision;
         let able = self.revisions.iter().filter(|(_, has)| has_more(**has));
         let able = able.map(|(address, _)| *address);
         able.filter(|address| may_ask_any || followed.contains(address))
@@ -94,7 +95,7 @@
     }
 
     /// A control machine was asked.
-    pub fn on_asked(&mut self, now: Timestamp, to: Ipv4Addr) {
+    pub fn on_fetch_sent(&mut self, now: Timestamp, to: Ipv4Addr) {
         let times = self.asked.entry(to).or_default();
         let doublings = (*times).min(MOST_DOUBLINGS);
         *times += 1;
--- a/crates/gateway-core/src/view_links/fetches_tests.rs
+++ b/crates/gateway-core/src/view_links/fetches_tests.rs
@@ -15,14 +15,17 @@
 }
 
 fn holding(held: u64) -> Position {
-    Position { held, begun: 0 }
+    Position {
+        held,
+        source_revision: 0,
+    }
 }
 
 /// Asks whoever is due and says who that is.
 fn ask(fetches: &mut Fetches, milliseconds: u64, held: u64) -> Option<Ipv4Addr> {
     let due = fetches.due(at(milliseconds), holding(held), &[FOLLOWED]);
     if let Some(address) = due {
-        fetches.on_asked(at(milliseconds), address);
+        fetches.on_fetch_sent(at(milliseconds), address);
     }
     due
 }
--- a/crates/gateway-core/src/view_links/mod.rs
+++ b/crates/gateway-core/src/view_links/mod.rs
@@ -21,7 +21,7 @@
 
 /// What is to be done on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum LinkAction {
     /// Ask whether the view is current.
     Ping {
         /// Whom.
@@ -29,14 +29,14 @@
         /// The number of the question.
         sequence: u64,
     },
-    /// Say what this router is to be told. [`ViewLinks::on_told`] follows once that is sent.
+    /// Say what this router is to be told. [`ViewLinks::on_follow_sent`] follows once that is sent.
     Follow {
         /// To whom.
         to: Ipv4Addr,
         /// What.
         following: Following,
     },
-    /// Fetch changes. [`ViewLinks::on_asked`] follows once that is sent.
+    /// Fetch changes. [`ViewLinks::on_fetch_sent`] follows once that is sent.
     Fetch {
         /// Whom.
         to: Ipv4Addr,
@@ -46,7 +46,7 @@
         is_followed: bool,
     },
     /// End the link, which got no answer, and dial again.
-    GiveUp {
+    Close {
         /// To whom it leads.
         to: Ipv4Addr,
     },
@@ -117,15 +117,15 @@
     }
 
     /// A machine was sent what it is to tell.
-    pub fn on_told(&mut self, to: Ipv4Addr, following: Following) {
+    pub fn on_follow_sent(&mut self, to: Ipv4Addr, following: Following) {
         if let Some(told) = self.told.get_mut(&to) {
             *told = following;
         }
     }
 
     /// A machine was sent a fetch.
-    pub fn on_asked(&mut self, now: Timestamp, to: Ipv4Addr) {
-        self.fetches.on_asked(now, to);
+    pub fn on_fetch_sent(&mut self, now: Timestamp, to: Ipv4Addr) {
+        self.fetches.on_fetch_sent(now, to);
     }
 
     /// For how long a newer revision has been known without progress; `None` when none is.
@@ -134,18 +134,21 @@
     }
 
     /// All that is due, by a view that holds a position.
-    pub fn poll(&mut self, now: Timestamp, position: Position) -> Vec<Step> {
+    pub fn poll(&mut self, now: Timestamp, position: Position) -> Vec<LinkAction> {
         let silent = self.questions.silent(now);
-        let mut steps: Vec<Step> = silent.into_iter().map(|to| Step::GiveUp { to }).collect();
+        let mut steps: Vec<LinkAction> = silent
+            .into_iter()
+            .map(|to| LinkAction::Close { to })
+            .collect();
         let pings = self.questions.take_due(now).into_iter();
-        steps.extend(pings.map(|(to, sequence)| Step::Ping { to, sequence }));
+        steps.extend(pings.map(|(to, sequence)| LinkAction::Ping { to, sequence }));
         for address in self.questions.unresponsive(now) {
             self.sources.on_unresponsive(address);
         }
         steps.extend(self.follow());
         let followed = self.sources.followed();
         let fetch = self.fetches.due(now, position, &followed);
-        steps.extend(fetch.map(|to| Step::Fetch {
+        steps.extend(fetch.map(|to| LinkAction::Fetch {
             to,
             position,
             is_followed: followed.contains(&to),
@@ -154,10 +157,10 @@
     }
 
     /// What machines are to be told that is not what they were told last.
-    fn follow(&self) -> Vec<Step> {
+    fn follow(&self) -> Vec<LinkAction> {
         let wanted = self.told.iter().filter_map(|(to, told)| {
             let following = self.sources.following(*to);
-            (following != *told).then_some(Step::Follow { to: *to, following })
+            (following != *told).then_some(LinkAction::Follow { to: *to, following })
         });
         wanted.collect()
     }
--- a/crates/gateway-core/src/view_links/tests.rs
+++ b/crates/gateway-core/src/view_links/tests.rs
@@ -4,10 +4,10 @@
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 
-fn follows(steps: &[Step]) -> usize {
+fn follows(steps: &[LinkAction]) -> usize {
     let follows = steps.iter();
     follows
-        .filter(|step| matches!(step, Step::Follow { .. }))
+        .filter(|step| matches!(step, LinkAction::Follow { .. }))
         .count()
 }
 
@@ -19,7 +19,7 @@
     let now = Timestamp(1);
     assert_eq!(follows(&links.poll(now, Position::default())), 1);
     assert_eq!(follows(&links.poll(now, Position::default())), 1);
-    links.on_told(MACHINE, Following::Changes);
+    links.on_follow_sent(MACHINE, Following::Changes);
     assert_eq!(follows(&links.poll(now, Position::default())), 0);
     links.on_link_ended(MACHINE);
     links.on_linked(MACHINE);
--- a/crates/gateway-core/tests/cluster/mod.rs
+++ b/crates/gateway-core/tests/cluster/mod.rs
@@ -297,7 +297,7 @@
 
     pub fn name_weights(&mut self, at: Ipv4Addr, version: u64) -> Ticket {
         let model = Text::new("model");
-        self.submit(at, Command::NameWeights { model, version })
+        self.submit(at, Command::SetTargetWeights { model, version })
     }
 
     pub fn read(&mut self, at: Ipv4Addr) -> Ticket {
--- a/crates/gateway-core/tests/configuration_in_force/router.rs
+++ b/crates/gateway-core/tests/configuration_in_force/router.rs
@@ -6,9 +6,9 @@
 
 use drumshore_core::Timestamp;
 use drumshore_gateway_core::{
-    Changes, ConnectionId, Document, InvalidDocument, Message, Pool, PoolName, Progress, Refusal,
-    RequestHead, RequestKind, Route, RouterCore, RouterParams, RouterStatus, Share, Step,
-    ViewLinks,
+    Changes, ConnectionId, Document, InvalidDocument, LinkAction, Message, Pool, PoolName,
+    Progress, Refusal, RequestHead, RequestKind, Route, RouterCore, RouterParams, RouterStatus,
+    Share, ViewLinks,
 };
 use drumshore_wire::Text;
 
@@ -104,19 +104,25 @@
         let mut sent = Vec::new();
         for step in self.links.poll(now, self.core.position()) {
             let (to, message) = match step {
-                Step::GiveUp { to } => {
+                LinkAction::Close { to } => {
                     self.lose(now, to);
                     continue;
                 }
-                Step::Ping { to, sequence } => (to, Message::Ping { sequence }),
-                Step::Follow { to, following } => {
-                    self.links.on_told(to, following);
+                LinkAction::Ping { to, sequence } => (to, Message::Ping { sequence }),
+                LinkAction::Follow { to, following } => {
+                    self.links.on_follow_sent(to, following);
                     (to, Message::Follow(following))
                 }
-                Step::Fetch { to, position, .. } => {
-                    self.links.on_asked(now, to);
-                    let (since, begun) = (position.held, position.begun);
-                    (to, Message::Fetch { since, begun })
+                LinkAction::Fetch { to, position, .. } => {
+                    self.links.on_fetch_sent(now, to);
+                    let (since, source_revision) = (position.held, position.source_revision);
+                    (
+                        to,
+                        Message::Fetch {
+                            since,
+                            source_revision,
+                        },
+                    )
                 }
             };
             if let Some(connection) = self.connections.get(&to) {
--- a/crates/gateway-core/tests/control/fleet.rs
+++ b/crates/gateway-core/tests/control/fleet.rs
@@ -196,7 +196,10 @@
     cluster.to_routers.clear();
     let now = cluster.now;
     for router in 1..=200 {
-        let fetch = Message::Fetch { since: 0, begun: 0 };
+        let fetch = Message::Fetch {
+            since: 0,
+            source_revision: 0,
+        };
         let core = cluster.core(leader);
         core.on_router(now, ConnectionId(router), fetch);
     }
--- a/crates/gateway-core/tests/control/quarantine.rs
+++ b/crates/gateway-core/tests/control/quarantine.rs
@@ -15,7 +15,7 @@
 const QUARANTINE: Duration = Duration::from_secs(600);
 
 fn fingerprint(number: u8) -> RequestFingerprint {
-    FingerprintKey::draw(1).identify(&FingerprintInput {
+    FingerprintKey::generate(1).identify(&FingerprintInput {
         body: &[number],
         ..FingerprintInput::default()
     })
@@ -326,7 +326,7 @@
     let mut cluster = linked(1);
     let leader = cluster.leader().unwrap();
     let fingerprints = (0..10_000_u32).map(|number| {
-        FingerprintKey::draw(2).identify(&FingerprintInput {
+        FingerprintKey::generate(2).identify(&FingerprintInput {
             body: &number.to_le_bytes(),
             ..FingerprintInput::default()
         })
@@ -373,7 +373,7 @@
     let mut cluster = linked(1);
     let leader = cluster.leader().unwrap();
     for number in 0..1_100_u32 {
-        let fingerprint = FingerprintKey::draw(3).identify(&FingerprintInput {
+        let fingerprint = FingerprintKey::generate(3).identify(&FingerprintInput {
             body: &number.to_le_bytes(),
             ..FingerprintInput::default()
         });
--- a/crates/gateway-core/tests/control/routers.rs
+++ b/crates/gateway-core/tests/control/routers.rs
@@ -11,7 +11,10 @@
     let connection = ConnectionId(1);
     cluster.link_router(leader, connection, "10.0.1.1:80");
     let now = cluster.now;
-    let fetch = Message::Fetch { since: 0, begun: 0 };
+    let fetch = Message::Fetch {
+        since: 0,
+        source_revision: 0,
+    };
     cluster.core(leader).on_router(now, connection, fetch);
     cluster.settle();
     let told = cluster.to_routers.iter().find_map(|(_, _, message)| {
--- a/crates/gateway-core/tests/hollow_fleet.rs
+++ b/crates/gateway-core/tests/hollow_fleet.rs
@@ -237,7 +237,7 @@
                 self.asked = false;
                 if changes.revision > self.position.held {
                     if changes.since == 0 {
-                        self.position.begun = changes.newest;
+                        self.position.source_revision = changes.newest;
                     }
                     self.position.held = changes.revision;
                     let names = changes.instances.items.iter();
@@ -251,8 +251,14 @@
         if announced <= self.position.held || std::mem::replace(&mut self.asked, true) {
             return None;
         }
-        let Position { held, begun } = self.position;
-        Some(Message::Fetch { since: held, begun })
+        let Position {
+            held,
+            source_revision,
+        } = self.position;
+        Some(Message::Fetch {
+            since: held,
+            source_revision,
+        })
     }
 }
 
--- a/crates/gateway-core/tests/state.rs
+++ b/crates/gateway-core/tests/state.rs
@@ -44,11 +44,11 @@
         },
         register("a"),
         register("b"),
-        Command::NameWeights {
+        Command::SetTargetWeights {
             model: "model".into(),
             version: 2,
         },
-        Command::NameWeights {
+        Command::SetTargetWeights {
             model: "model".into(),
             version: 3,
         },
@@ -83,7 +83,7 @@
         },
         register("a"),
         register("b"),
-        Command::NameWeights {
+        Command::SetTargetWeights {
             model: "model".into(),
             version: 2,
         },
@@ -213,7 +213,7 @@
 #[test]
 fn the_first_key_for_work_stays_and_survives_a_snapshot() {
     let mut state = filled();
-    let (first, second) = (FingerprintKey::draw(1), FingerprintKey::draw(2));
+    let (first, second) = (FingerprintKey::generate(1), FingerprintKey::generate(2));
     let before = state.revision();
     assert!(state.apply(
         before + 1,
@@ -235,7 +235,7 @@
 /// their bytes may read as.
 #[test]
 fn bytes_that_go_on_behind_a_command_are_none() {
-    let fingerprint = FingerprintKey::draw(1).identify(&FingerprintInput::default());
+    let fingerprint = FingerprintKey::generate(1).identify(&FingerprintInput::default());
     let proposal = Proposal {
         id: ProposalId::default(),
         command: Command::Quarantine { fingerprint },
--- a/crates/gateway-core/tests/state_parts.rs
+++ b/crates/gateway-core/tests/state_parts.rs
@@ -86,7 +86,7 @@
         assert!(changes.revision > self.position.held);
         if changes.since == 0 {
             self.instances.clear();
-            self.position.begun = changes.newest;
+            self.position.source_revision = changes.newest;
         }
         for removed in &changes.removed.items {
             self.instances.remove(removed.as_str());
@@ -107,7 +107,7 @@
     /// Asks until nothing is left; `between` changes the state after each part.
     fn follow(&mut self, writer: &mut Writer, mut between: impl FnMut(&mut Writer, usize)) {
         while self.position.held < writer.state.revision() {
-            let part = writer.state.next_part(self.position, PART_BYTES, |_| 0);
+            let part = writer.state.next_chunk(self.position, PART_BYTES, |_| 0);
             self.take(part.expect("the state is not older"));
             between(writer, self.parts);
         }
@@ -161,11 +161,13 @@
     let writer = Writer::with(500);
     let older = Writer::with(400);
     let mut receiver = Receiver::default();
-    let first = writer.state.next_part(receiver.position, PART_BYTES, |_| 0);
+    let first = writer
+        .state
+        .next_chunk(receiver.position, PART_BYTES, |_| 0);
     receiver.take(first.unwrap());
     // It may still hold back ends whose end the router was never told of.
     assert_eq!(
-        older.state.next_part(receiver.position, PART_BYTES, |_| 0),
+        older.state.next_chunk(receiver.position, PART_BYTES, |_| 0),
         None
     );
 }
@@ -175,8 +177,11 @@
 fn a_router_that_has_all_there_is_is_sent_nothing() {
     let writer = Writer::with(3);
     let held = writer.state.revision();
-    let all = Position { held, begun: 0 };
-    assert_eq!(writer.state.next_part(all, PART_BYTES, |_| 0), None);
+    let all = Position {
+        held,
+        source_revision: 0,
+    };
+    assert_eq!(writer.state.next_chunk(all, PART_BYTES, |_| 0), None);
 }
 
 /// Removals beyond 4,096 are forgotten. A router that began before is sent all anew; one that has only begun
@@ -209,10 +214,10 @@
     let copy = ReplicatedState::decode(&writer.state.encode()).unwrap();
     let mut position = Position::default();
     while position.held < copy.revision() {
-        let part = copy.next_part(position, PART_BYTES, |_| 0);
-        assert_eq!(part, writer.state.next_part(position, PART_BYTES, |_| 0));
+        let part = copy.next_chunk(position, PART_BYTES, |_| 0);
+        assert_eq!(part, writer.state.next_chunk(position, PART_BYTES, |_| 0));
         position.held = part.unwrap().revision;
-        position.begun = copy.revision();
+        position.source_revision = copy.revision();
     }
 }
 
@@ -226,9 +231,9 @@
     let mut parts = Vec::new();
     let began = std::time::Instant::now();
     while position.held < writer.state.revision() {
-        let part = writer.state.next_part(position, PART, |_| 0).unwrap();
+        let part = writer.state.next_chunk(position, PART, |_| 0).unwrap();
         position.held = part.revision;
-        position.begun = part.newest;
+        position.source_revision = part.newest;
         parts.push(Message::Changes(part).encode());
     }
     println!("{} parts made in {:?}", parts.len(), began.elapsed());
--- a/crates/gateway-core/tests/wire_layout.rs
+++ b/crates/gateway-core/tests/wire_layout.rs
@@ -20,7 +20,7 @@
 const LANDED: &str = include_str!("wire_layout.txt");
 
 fn fingerprint() -> RequestFingerprint {
-    FingerprintKey::draw(1).identify(&FingerprintInput::default())
+    FingerprintKey::generate(1).identify(&FingerprintInput::default())
 }
 
 fn tenant() -> TenantKey {
@@ -62,7 +62,7 @@
         }]),
         instances: List::new(vec![record()]),
         removed: List::new(vec![Text::new("i-2")]),
-        fingerprint_key: List::new(vec![FingerprintKey::draw(1)]),
+        fingerprint_key: List::new(vec![FingerprintKey::generate(1)]),
         quarantine: List::new(vec![Quarantine {
             fingerprints: List::new(vec![fingerprint()]),
         }]),
@@ -114,7 +114,13 @@
             Message::Heard(List::new(vec![BackEndKey::of("i-1")])),
         ),
         ("announce", Message::Announce(Announcement { revision: 5 })),
-        ("fetch", Message::Fetch { since: 6, begun: 7 }),
+        (
+            "fetch",
+            Message::Fetch {
+                since: 6,
+                source_revision: 7,
+            },
+        ),
         ("changes", Message::Changes(changes())),
         ("ping", Message::Ping { sequence: 8 }),
         (
@@ -217,7 +223,7 @@
         ),
         (
             "name_weights",
-            Command::NameWeights {
+            Command::SetTargetWeights {
                 model: Text::new("model"),
                 version: 3,
             },
@@ -240,7 +246,7 @@
         (
             "set_work_key",
             Command::SetFingerprintKey {
-                key: FingerprintKey::draw(1),
+                key: FingerprintKey::generate(1),
             },
         ),
         (
--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -32,7 +32,7 @@
     let response = match call {
         ControlCall::PutConfiguration => put_configuration(&control, body).await,
         ControlCall::GetConfiguration => get_configuration(&control).await,
-        ControlCall::NameWeights => name_weights(&control, &body).await,
+        ControlCall::SetTargetWeights => name_weights(&control, &body).await,
         ControlCall::Heartbeat(instance) => match control.dialect.heartbeat(&instance, &body) {
             Err(error) => invalid(&control, &error.to_string()),
             Ok(heartbeat) => {
@@ -103,7 +103,7 @@
         Ok(named) => named,
         Err(error) => return invalid(control, &error.to_string()),
     };
-    let command = Command::NameWeights {
+    let command = Command::SetTargetWeights {
         model: Text::new(model.as_str()),
         version,
     };
--- a/crates/gateway/src/control/applied.rs
+++ b/crates/gateway/src/control/applied.rs
@@ -56,7 +56,7 @@
                 "control: a back end is silent"
             );
         }
-        Command::NameWeights { model, version } => {
+        Command::SetTargetWeights { model, version } => {
             tracing::info!(
                 event = "weights_applied",
                 position,
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -55,7 +55,7 @@
     /// An operator reads it.
     GetConfiguration,
     /// An operator names new weights.
-    NameWeights,
+    SetTargetWeights,
     /// A back end says that it is there.
     Heartbeat(InstanceId),
     /// A back end says that it has gone.
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -137,7 +137,7 @@
     /// The first message, by which it is known how those after it are laid out.
     pub async fn receive_first(&mut self) -> Result<(RouterWire, Message), FrameError> {
         let payload = self.receive_payload().await?;
-        let first = RouterWire::of_first(&payload).ok_or_else(no_message)?;
+        let first = RouterWire::detect_from_router(&payload).ok_or_else(no_message)?;
         self.wire = first.0;
         Ok(first)
     }
@@ -145,7 +145,7 @@
     /// The first message of a control machine, by which it is known how those after it are laid out.
     pub async fn receive_first_of_control(&mut self) -> Result<(RouterWire, Message), FrameError> {
         let payload = self.receive_payload().await?;
-        let first = RouterWire::of_control(&payload).ok_or_else(no_message)?;
+        let first = RouterWire::detect_from_control(&payload).ok_or_else(no_message)?;
         self.wire = first.0;
         Ok(first)
     }
--- a/crates/gateway/src/router/updates.rs
+++ b/crates/gateway/src/router/updates.rs
@@ -8,7 +8,8 @@
 
 use drumshore_core::Timestamp;
 use drumshore_gateway_core::{
-    Changes, FingerprintSuspicion, Message, Progress, ReportedLoads, RouterWire, Step, ViewLinks,
+    Changes, FingerprintSuspicion, LinkAction, Message, Progress, ReportedLoads, RouterWire,
+    ViewLinks,
 };
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
@@ -113,38 +114,38 @@
     }
 }
 
-fn take_step(router: &Router, links: &Links, step: Step) {
+fn take_step(router: &Router, links: &Links, step: LinkAction) {
     match step {
-        Step::Ping { to, sequence } => {
+        LinkAction::Ping { to, sequence } => {
             links.send(to, &Message::Ping { sequence });
         }
-        Step::Follow { to, following } => {
+        LinkAction::Follow { to, following } => {
             if links.send(to, &Message::Follow(following)) {
-                links.view_links.borrow_mut().on_told(to, following);
+                links.view_links.borrow_mut().on_follow_sent(to, following);
                 tracing::info!(event = "control_followed", address = %to, ?following,
                     "router: changes come from other control machines than before");
             }
         }
-        Step::Fetch {
+        LinkAction::Fetch {
             to,
             position,
             is_followed,
         } => {
             let message = Message::Fetch {
                 since: position.held,
-                begun: position.begun,
+                source_revision: position.source_revision,
             };
             if links.send(to, &message) {
                 links
                     .view_links
                     .borrow_mut()
-                    .on_asked(router.clock.now(), to);
+                    .on_fetch_sent(router.clock.now(), to);
                 router.metrics.count_fetch("asked");
                 tracing::info!(event = "changes_asked", address = %to, held = position.held, is_followed,
                     "router: asked for changes");
             }
         }
-        Step::GiveUp { to } => {
+        LinkAction::Close { to } => {
             if let Some(link) = links.up.borrow().get(&to) {
                 link.given_up.notify_one();
             }
