--- a/crates/gateway-core/src/limits/account.rs
+++ b/crates/gateway-core/src/limits/account.rs
@@ -1,4 +1,4 @@
-//! A token bucket that may be overdrawn.
+//! A token bucket whose level may become negative.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use super::TenantLimit;
 
-/// What an account holds when nothing is known of its past: at most so many seconds of its rate. A
-/// process that starts anew does not know what was used just before.
-const UNKNOWN_PAST_SECONDS: f64 = 1.0;
+/// The initial level of an account in seconds of its rate, capped by the burst. A process that starts does not
+/// know how much was used just before, so a full bucket would exceed the limit.
+const INITIAL_FILL_SECONDS: f64 = 1.0;
 
-/// What is left of a tenant's limit.
+/// The state of a tenant's token bucket.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
     limit: TenantLimit,
-    /// Units that may be used at once; negative after more was used than had flowed in.
+    /// Units that may be used at once, as of `updated`; negative while the bucket is overdrawn.
     level: f64,
     updated: Timestamp,
 }
 
 impl Account {
-    /// An account whose past is not known.
+    /// Creates an account whose earlier usage is unknown.
     pub fn new(now: Timestamp, limit: TenantLimit) -> Self {
         let level = limit
             .burst
-            .min(limit.rate_per_second * UNKNOWN_PAST_SECONDS);
+            .min(limit.rate_per_second * INITIAL_FILL_SECONDS);
         Self {
             limit,
             level,
@@ -32,42 +32,42 @@
         }
     }
 
-    /// The limit that is in force.
+    /// The limit in force.
     pub fn limit(&self) -> &TenantLimit {
         &self.limit
     }
 
-    /// Units that may be used now.
+    /// Units that may be used now; negative while the bucket is overdrawn.
     pub fn level(&self, now: Timestamp) -> f64 {
-        let flowed_in = now.since(self.updated).as_secs_f64() * self.limit.rate_per_second;
-        // A bucket without burst still admits one request at a time.
-        (self.level + flowed_in).min(self.limit.burst.max(1.0))
+        let refill = now.since(self.updated).as_secs_f64() * self.limit.rate_per_second;
+        // The capacity is at least 1, so that a limit without burst still admits one request at a time.
+        (self.level + refill).min(self.limit.burst.max(1.0))
     }
 
-    /// True while a request is admitted.
+    /// True while the level is positive; the size of the request doesn't matter.
     pub fn admits(&self, now: Timestamp) -> bool {
         self.level(now) > 0.0
     }
 
-    /// Charges the account; a negative amount is paid back.
+    /// Takes an amount from the level; a negative amount is a refund.
     pub fn charge(&mut self, now: Timestamp, amount: f64) {
         self.set_level(now, self.level(now) - amount);
     }
 
-    /// Corrects the level by what is known elsewhere.
+    /// Overwrites the level, for example with the one that the leader sent.
     pub fn set_level(&mut self, now: Timestamp, level: f64) {
         self.level = level;
         self.updated = self.updated.max(now);
     }
 
-    /// A limit that has changed is in force from now on.
+    /// Replaces the limit and caps the level at the new capacity.
     pub fn set_limit(&mut self, now: Timestamp, limit: TenantLimit) {
         let level = self.level(now);
         self.limit = limit;
         self.set_level(now, level.min(limit.burst.max(1.0)));
     }
 
-    /// How long until the account has paid its debt and has room for a request of this size.
+    /// How long until the level covers a request of this size, or is at its capacity if the request is larger.
     pub fn wait_for(&self, now: Timestamp, cost: u32) -> Duration {
         let wanted = f64::from(cost).min(self.limit.burst.max(1.0));
         let missing = (wanted - self.level(now)).max(0.0);
--- a/crates/gateway-core/src/limits/mod.rs
+++ b/crates/gateway-core/src/limits/mod.rs
@@ -1,17 +1,18 @@
-//! Limits on what a tenant may use, and on what a back end takes, over all routers together.
+//! Rate limits that all routers enforce together: of a tenant ([`Account`], [`LimitShare`]), and of a back end
+//! ([`RateShare`]).
 //!
-//! A limit is a token bucket: `rate_per_second` flows in, up to `burst`. One [`Account`] at the
-//! leader of the control machines is charged with what all routers report; routers keep a replica
-//! of it that they charge at once and that the leader corrects a few times a second. Requests are
-//! admitted while the level is positive and may take it below zero, so that a large request needs
-//! no larger level than a small one; the debt is paid back before the next one is admitted.
+//! A tenant's limit is a token bucket that refills at `rate_per_second` up to `burst`. The leader of the control
+//! machines charges one [`Account`] with the usage that all routers report. Each router keeps a replica of that
+//! account, which it charges immediately and the leader corrects several times a second. Requests are
+//! admitted while the level is positive and may make it negative, so that a large request needs
+//! no higher level than a small one. No further request is admitted until the level is positive again.
 //!
-//! Error bound: routers know what the others used `lag` ago (a report each 80 ms, a notice each
-//! 100 ms, two network hops), so a tenant that asks for `demand` exceeds its bucket by at most
-//! `(demand - rate) * lag` and one request for each router that admits at the same moment. The debt
-//! that this leaves is not forgiven: the excess does not grow with time. A router that hears
-//! nothing from the leader spends a fixed part of the limit, see [`LimitShare`]; the parts add up to
-//! one.
+//! Error bound: a router knows the usage of the others with a delay of `lag` (a report every 80 ms, an update
+//! every 100 ms, two network hops), so a tenant that requests `demand` per second exceeds its bucket by at most
+//! `(demand - rate) * lag` plus one request for each router that admits at the same moment. The excess stays
+//! in the account as a negative level, so it does not grow over time. A router that receives
+//! nothing from the leader uses a fixed share of the limit, see [`LimitShare`]; the shares of all routers add up
+//! to the limit.
 
 mod account;
 mod limit_share;
@@ -23,30 +24,30 @@
 pub use rate_share::RateShare;
 pub use usage::RecentUsage;
 
-/// What a limit counts.
+/// The unit that a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitUnit {
-    /// Each request is one.
+    /// Each request counts as 1.
     Requests,
-    /// Tokens that a request declares: of its prompt, and the most that are generated.
+    /// Tokens that a request declares: its prompt tokens plus the maximum number of tokens to generate.
     Tokens,
 }
 
-/// The most that a tenant may use, over all routers together.
+/// A tenant's rate limit, over all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate_per_second: f64,
-    /// Units that may be used at once after a pause.
+    /// Units that may be used at once after an idle time: the capacity of the bucket.
     pub burst: f64,
-    /// What is counted.
+    /// What the limit counts.
     pub unit: LimitUnit,
-    /// What a request counts that declares no tokens, when tokens are counted.
+    /// The cost of a request that declares no tokens, if the limit counts tokens.
     pub undeclared_tokens: u32,
 }
 
 impl TenantLimit {
-    /// What a request uses of the limit.
+    /// The cost of a request in units of the limit.
     pub fn cost(&self, declared_tokens: Option<u32>) -> u32 {
         match self.unit {
             LimitUnit::Requests => 1,
--- a/crates/gateway-core/src/limits/rate_share.rs
+++ b/crates/gateway-core/src/limits/rate_share.rs
@@ -1,166 +1,173 @@
-//! One process's part of a rate that many share without hearing of one another.
+//! One router's share of a rate that many routers use without exchanging messages about it.
 //!
-//! A back end names how many requests a second it takes from all routers together; which of them sends, and when, is
-//! theirs to settle, and they exchange nothing about it. Each knows the rate and about how many they are. The back end
-//! bears, in any [`WINDOW`], [`BORNE_FACTOR`] times what the rate allows and [`BORNE_BEYOND`] more.
+//! A back end announces how many requests per second it accepts from all routers together. The routers don't
+//! coordinate who sends when: each knows only the rate and the approximate number of routers. In any
+//! [`COUNTING_WINDOW`] the back end tolerates [`TOLERANCE_FACTOR`] times the requests that the rate allows, plus
+//! [`TOLERANCE_REQUESTS`].
 //!
-//! Where that is a request or more for each router, each has a token bucket so large that the sum stays within it
-//! whatever the others do. Where it is less than one, buckets that hold a request each would hold too many after calm
-//! seconds: 985 at 985 routers, where 11 are borne. Routers then take turns that each draws for itself: it is a
-//! router's turn by chance, for [`TURN`] and so seldom that the number of routers whose turn it is, a sum of many
-//! small chances, stays within what is borne.
+//! If that is at least one request per router, each router has a token bucket whose capacity keeps the sum over all
+//! routers within the tolerance at any time. If it is less, buckets that hold one request each would
+//! hold too many after a few idle seconds: 985 for 985 routers, where 11 are tolerated. Routers then take random
+//! turns: for each period of [`TURN`] a router decides by a hash whether it may send. The probability is
+//! so low that the number of routers with a turn, a sum of many independent events, stays within the tolerance.
 
 use std::time::Duration;
 
 use drumshore_core::Timestamp;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Over any such span the requests of all routers are counted.
-const WINDOW: Duration = Duration::from_secs(4);
-/// By which part of the rate a window may hold more.
-const BORNE_FACTOR: f64 = 1.5;
-/// Requests that it may hold besides.
-const BORNE_BEYOND: f64 = 5.0;
-/// Of these, left to control machines, which ask back ends now and then.
-const LEFT_TO_CONTROL: f64 = 1.0;
-/// Requests that are sent over a window and so much more may arrive within one.
-const DELAYS_DIFFER: Duration = Duration::from_millis(500);
-/// Part of a bucket beyond what flows in that is used: a window may begin with each bucket full.
-const FILLED: f64 = 0.8;
-/// How long a turn lasts. In longer ones more requests come for what they allow; after shorter ones a router that has
-/// none gets one sooner, and finds out sooner that a limit has ended.
+/// The tolerance applies to the requests of all routers within any time span of this length.
+const COUNTING_WINDOW: Duration = Duration::from_secs(4);
+/// Requests tolerated in a window, as a multiple of the requests that the rate allows in it.
+const TOLERANCE_FACTOR: f64 = 1.5;
+/// Requests tolerated in a window in addition.
+const TOLERANCE_REQUESTS: f64 = 5.0;
+/// Requests of the tolerance that are reserved for control machines, which query back ends occasionally.
+const RESERVED_FOR_CONTROL: f64 = 1.0;
+/// The difference between network delays: requests sent over a window plus this time may arrive within one window.
+const DELAY_SPREAD: Duration = Duration::from_millis(500);
+/// The fraction that a bucket uses of the capacity that the tolerance leaves it beside the refill. This is a margin
+/// for windows at whose start all buckets are full.
+const CAPACITY_FRACTION: f64 = 0.8;
+/// The length of a turn. With longer turns, fewer of them overlap a window, so the tolerance allows more of them
+/// and more requests. With shorter ones, a router gets its next turn sooner, and notices sooner that a limit has
+/// ended.
 const TURN: Duration = Duration::from_secs(10);
-/// How far ahead a router looks for its next turn.
-const MOST_TURNS_AHEAD: u64 = 16;
-/// Standard deviations by which a sum of chances may lie above its mean.
+/// The number of turns that a router checks in advance to find its next one.
+const MAX_TURNS_AHEAD: u64 = 16;
+/// Standard deviations between the mean number of routers with a turn and the tolerated number.
 const DEVIATIONS: f64 = 4.0;
-/// What all routers together send a back end that takes less, or nothing, in requests a second: one in a window, which
-/// it bears. Only by an answer a router finds out that the limit has ended.
-const LEAST_RATE: f64 = 1.0 / WINDOW.as_secs() as f64;
+/// The minimum of requests per second that all routers together send, also when a back end announces less or zero: one
+/// per window, which it tolerates. A router notices only from a response that the limit has ended.
+const MIN_RATE: f64 = 1.0 / COUNTING_WINDOW.as_secs() as f64;
 
-/// One router's part of a rate.
+/// One router's share of a rate that a back end announced.
 #[derive(Clone, Debug)]
 pub struct RateShare {
-    /// Requests a second of all routers, as it was named.
-    named: f64,
-    share: Share,
+    /// The announced rate: requests per second of all routers.
+    announced: f64,
+    share: BucketShare,
     routers: u16,
-    /// Of the bucket: one is a request that may be sent.
+    /// The level of the bucket as of `updated`; 1 admits one request.
     level: f64,
     updated: Timestamp,
-    /// Sets this router's turns apart from the others'.
+    /// Makes the turns of this router independent of those of others.
     seed: u64,
 }
 
-/// How a router uses its part: a token bucket, all the time or by turns.
+/// The parameters of a router's token bucket, and how often the router may use it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Share {
-    /// What flows into the bucket, while it is the router's turn and before.
+struct BucketShare {
+    /// The refill rate, during turns and between them.
     per_second: f64,
     capacity: f64,
-    /// How likely it is the router's turn, a part of one.
-    turn: f64,
+    /// The probability of having a turn; 1 if the router may always send.
+    turn_probability: f64,
 }
 
-impl Share {
-    fn of(named: f64, routers: u16) -> Self {
+impl BucketShare {
+    fn of(announced: f64, routers: u16) -> Self {
         let routers = f64::from(routers.max(1));
-        let span = (WINDOW + DELAYS_DIFFER).as_secs_f64();
-        let whole = named.max(LEAST_RATE);
-        let borne = named * WINDOW.as_secs_f64() * BORNE_FACTOR + BORNE_BEYOND - LEFT_TO_CONTROL;
-        let for_each = (borne / routers).floor();
-        if for_each < 1.0 {
-            // A turn that ends or begins within the span counts as well.
-            let have_turns = mean_within(borne) / (1.0 + span / TURN.as_secs_f64());
+        let span = (COUNTING_WINDOW + DELAY_SPREAD).as_secs_f64();
+        let whole = announced.max(MIN_RATE);
+        let tolerated = announced * COUNTING_WINDOW.as_secs_f64() * TOLERANCE_FACTOR
+            + TOLERANCE_REQUESTS
+            - RESERVED_FOR_CONTROL;
+        let per_router = (tolerated / routers).floor();
+        if per_router < 1.0 {
+            // Turns that start or end within the span count as well.
+            let routers_in_turn =
+                largest_mean_within(tolerated) / (1.0 + span / TURN.as_secs_f64());
             return Self {
-                per_second: (whole / have_turns).min(1.0 / span),
+                per_second: (whole / routers_in_turn).min(1.0 / span),
                 capacity: 1.0,
-                turn: have_turns / routers,
+                turn_probability: routers_in_turn / routers,
             };
         }
-        let per_second = (whole / routers).min(for_each / span);
-        let capacity = (for_each - per_second * span) * FILLED;
+        let per_second = (whole / routers).min(per_router / span);
+        let capacity = (per_router - per_second * span) * CAPACITY_FRACTION;
         Self {
             per_second,
             capacity: capacity.max(1.0),
-            turn: 1.0,
+            turn_probability: 1.0,
         }
     }
 }
 
-/// The mean of a sum of many small chances that is seldom more than `most`: the largest with
+/// The largest mean of a sum of many rare independent events that seldom exceeds `most`: the largest with
 /// `mean + DEVIATIONS * sqrt(mean) <= most`.
-fn mean_within(most: f64) -> f64 {
+fn largest_mean_within(most: f64) -> f64 {
     let half = DEVIATIONS / 2.0;
     let root = (most + half * half).sqrt() - half;
     root * root
 }
 
 impl RateShare {
-    /// The part of one of so many routers, which has just learned of the rate. Its bucket is filled to a level that is
-    /// drawn: all routers may learn of the rate at once.
-    pub fn new(now: Timestamp, named: f64, routers: u16, seed: u64) -> Self {
+    /// Creates the share of a router that has just learned the rate. The initial level is random, because all
+    /// routers may learn the rate at once.
+    pub fn new(now: Timestamp, announced: f64, routers: u16, seed: u64) -> Self {
         Self {
-            named,
-            share: Share::of(named, routers),
+            announced,
+            share: BucketShare::of(announced, routers),
             routers,
-            level: part_of_one(xxh3_64(&seed.to_le_bytes())),
+            level: unit_fraction(xxh3_64(&seed.to_le_bytes())),
             updated: now,
             seed,
         }
     }
 
-    /// Another rate holds from now on.
-    pub fn set_rate(&mut self, now: Timestamp, named: f64) {
-        self.change(now, named, self.routers);
+    /// Replaces the announced rate.
+    pub fn set_rate(&mut self, now: Timestamp, announced: f64) {
+        self.change(now, announced, self.routers);
     }
 
-    /// So many routers share it from now on.
+    /// Sets the number of routers that share the rate.
     pub fn set_routers(&mut self, now: Timestamp, routers: u16) {
-        self.change(now, self.named, routers);
+        self.change(now, self.announced, routers);
     }
 
-    fn change(&mut self, now: Timestamp, named: f64, routers: u16) {
+    fn change(&mut self, now: Timestamp, announced: f64, routers: u16) {
         self.level = self.level(now);
         self.updated = self.updated.max(now);
-        self.named = named;
+        self.announced = announced;
         self.routers = routers;
-        self.share = Share::of(named, routers);
+        self.share = BucketShare::of(announced, routers);
         self.level = self.level.min(self.share.capacity);
     }
 
-    /// Requests a second of this router, on the mean.
+    /// The mean rate of this router in requests per second.
     pub fn per_second(&self) -> f64 {
-        self.share.per_second * self.share.turn
+        self.share.per_second * self.share.turn_probability
     }
 
-    /// Whether a request may be sent now.
+    /// Whether a request may be sent now: the bucket holds one and the router has a turn.
     pub fn admits(&self, now: Timestamp) -> bool {
         self.level(now) >= 1.0 && self.has_turn(turn_at(now, self.seed))
     }
 
-    /// How long until one may be sent, as far as it is looked ahead.
+    /// The time until a request may be sent. If there is no turn within [`MAX_TURNS_AHEAD`], it ends after those, too
+    /// early.
     pub fn wait(&self, now: Timestamp) -> Duration {
         let missing = (1.0 - self.level(now)).max(0.0);
         let filled = now.plus(Duration::from_secs_f64(missing / self.share.per_second));
         let first = turn_at(filled, self.seed);
-        let mut turns = first..first + MOST_TURNS_AHEAD;
+        let mut turns = first..first + MAX_TURNS_AHEAD;
         let next = turns.find(|turn| self.has_turn(*turn));
-        let next = next.unwrap_or(first + MOST_TURNS_AHEAD);
-        filled.max(begin_of_turn(next, self.seed)).since(now)
+        let next = next.unwrap_or(first + MAX_TURNS_AHEAD);
+        filled.max(start_of_turn(next, self.seed)).since(now)
     }
 
     fn has_turn(&self, turn: u64) -> bool {
-        let drawn = xxh3_64_with_seed(&turn.to_le_bytes(), self.seed);
-        part_of_one(drawn) < self.share.turn
+        let hash = xxh3_64_with_seed(&turn.to_le_bytes(), self.seed);
+        unit_fraction(hash) < self.share.turn_probability
     }
 
-    /// A request is sent.
+    /// Takes one request from the bucket.
     pub fn charge(&mut self, now: Timestamp) {
         self.add(now, -1.0);
     }
 
-    /// One that was charged was not sent.
+    /// Returns a charged request that was not sent.
     pub fn pay_back(&mut self, now: Timestamp) {
         self.add(now, 1.0);
     }
@@ -171,27 +178,27 @@
     }
 
     fn level(&self, now: Timestamp) -> f64 {
-        let flowed_in = now.since(self.updated).as_secs_f64() * self.share.per_second;
-        (self.level + flowed_in).min(self.share.capacity)
+        let refill = now.since(self.updated).as_secs_f64() * self.share.per_second;
+        (self.level + refill).min(self.share.capacity)
     }
 }
 
-/// Which of a router's turns a time is in, by number. Turns of routers begin at different moments.
+/// The number of the router's turn at a time. Routers start their turns at different times.
 fn turn_at(now: Timestamp, seed: u64) -> u64 {
     (now.0 + phase(seed)) / TURN.as_micros() as u64
 }
 
-fn begin_of_turn(turn: u64, seed: u64) -> Timestamp {
+fn start_of_turn(turn: u64, seed: u64) -> Timestamp {
     Timestamp((turn * TURN.as_micros() as u64).saturating_sub(phase(seed)))
 }
 
-/// Microseconds.
+/// The router's offset within a turn in microseconds.
 fn phase(seed: u64) -> u64 {
     seed % TURN.as_micros() as u64
 }
 
-fn part_of_one(drawn: u64) -> f64 {
-    drawn as f64 / u64::MAX as f64
+fn unit_fraction(hash: u64) -> f64 {
+    hash as f64 / u64::MAX as f64
 }
 
 #[cfg(test)]
--- a/crates/gateway-core/src/limits/tests.rs
+++ b/crates/gateway-core/src/limits/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of accounts.
+//! Tests of tenant limits: accounts, shares of a limit and recent usage.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_was_overdrawn_is_paid_back_before_more_is_admitted() {
+fn an_overdrawn_account_admits_nothing_until_it_has_refilled() {
     let mut account = Account::new(at(0), LIMIT);
     account.charge(at(0), 1_500.0);
     assert_eq!(account.level(at(0)), -1_000.0);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_lowered_limit_leaves_no_more_than_its_own_burst() {
+fn lowering_a_limit_caps_the_level_at_the_new_burst() {
     let mut account = Account::new(at(0), LIMIT);
     let lower = TenantLimit {
         rate_per_second: 10.0,
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_account_whose_past_is_unknown_holds_no_more_than_a_second_of_its_rate() {
+fn a_new_account_holds_at_most_one_second_of_its_rate() {
     let large = TenantLimit {
         burst: 100_000.0,
         ..LIMIT
@@ -78,19 +78,19 @@
 }
 
 #[test]
-fn the_parts_of_all_routers_add_up_to_the_limit() {
-    let shares = [0.0, 0.1, 0.3, 0.6];
-    let rate = |share: &f64| {
-        let mut part = LimitShare::new(at(0), LIMIT, 4);
-        part.set_usage_fraction(at(0), *share);
-        part.account().limit().rate_per_second
+fn the_shares_of_all_routers_add_up_to_the_limit() {
+    let usage_fractions = [0.0, 0.1, 0.3, 0.6];
+    let rate = |usage_fraction: &f64| {
+        let mut share = LimitShare::new(at(0), LIMIT, 4);
+        share.set_usage_fraction(at(0), *usage_fraction);
+        share.account().limit().rate_per_second
     };
-    let sum: f64 = shares.iter().map(rate).sum();
+    let sum: f64 = usage_fractions.iter().map(rate).sum();
     assert!((sum - LIMIT.rate_per_second).abs() < 1e-6);
 }
 
 #[test]
-fn what_was_used_long_ago_counts_less() {
+fn recent_usage_decays() {
     let mut usage = RecentUsage::default();
     usage.add(at(0), 100.0);
     usage.add(at(5_000), 100.0);
@@ -98,16 +98,16 @@
 }
 
 proptest! {
-    /// In no window is more admitted than flowed in, the burst, and one request.
+    /// In any window, admissions stay within the refill, the burst and one request.
     #[test]
-    fn a_window_holds_no_more_than_its_limit(
+    fn admissions_in_any_window_stay_within_the_limit(
         requests in prop::collection::vec((0_u64..200, 1_u32..400), 1..300)
     ) {
         let mut account = Account::new(at(0), LIMIT);
         let mut now = 0;
         let mut admitted: Vec<(u64, u32)> = Vec::new();
-        for (pause, cost) in requests {
-            now += pause;
+        for (gap, cost) in requests {
+            now += gap;
             if account.admits(at(now)) {
                 account.charge(at(now), f64::from(cost));
                 admitted.push((now, cost));
@@ -117,8 +117,8 @@
             let mut sum = 0.0;
             for (end, cost) in &admitted[index..] {
                 sum += f64::from(*cost);
-                let flowed_in = (end - begin) as f64 / 1_000.0 * LIMIT.rate_per_second;
-                prop_assert!(sum <= flowed_in + LIMIT.burst + 400.0 + 1e-6);
+                let refill = (end - begin) as f64 / 1_000.0 * LIMIT.rate_per_second;
+                prop_assert!(sum <= refill + LIMIT.burst + 400.0 + 1e-6);
             }
         }
     }
--- a/crates/gateway-core/src/limits/usage.rs
+++ b/crates/gateway-core/src/limits/usage.rs
@@ -1,14 +1,14 @@
-//! How much was used of late.
+//! Recent usage, as an exponentially decaying sum.
 
 use std::time::Duration;
 
 use drumshore_core::Timestamp;
 
-/// What was used so long ago counts a third (1/e) of what is used now. Longer than the pauses of a
-/// tenant's callers, shorter than a change of its work.
-const MEMORY: Duration = Duration::from_secs(5);
+/// Usage of this age counts 1/e (about a third) of current usage. The time is longer than the gaps between a
+/// tenant's requests and shorter than the time in which its load changes.
+const DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// An amount in which what was used earlier counts less.
+/// An amount that decays exponentially.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RecentUsage {
     amount: f64,
@@ -16,13 +16,13 @@
 }
 
 impl RecentUsage {
-    /// The amount now.
+    /// The decayed sum.
     pub fn amount(&self, now: Timestamp) -> f64 {
         let passed = now.since(self.updated).as_secs_f64();
-        self.amount * (-passed / MEMORY.as_secs_f64()).exp()
+        self.amount * (-passed / DECAY_TIME.as_secs_f64()).exp()
     }
 
-    /// Adds what is used now.
+    /// Adds current usage.
     pub fn add(&mut self, now: Timestamp, amount: f64) {
         self.amount = self.amount(now) + amount;
         self.updated = self.updated.max(now);
