--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -112,11 +112,14 @@
     pub(super) fn on_work_reports(&mut self, reports: &[FingerprintReport]) {
         for report in reports {
             match report.event {
-                FingerprintEvent::BackEndCrashed { back_end, held_ms } => {
+                FingerprintEvent::BackEndCrashed {
+                    back_end,
+                    service_time_ms,
+                } => {
                     let end = CrashReport {
                         back_end,
                         age: Duration::from_millis(u64::from(report.age_ms)),
-                        held: Duration::from_millis(u64::from(held_ms)),
+                        service_time: Duration::from_millis(u64::from(service_time_ms)),
                     };
                     self.on_end_reported(report.fingerprint, end);
                 }
--- a/crates/gateway-core/src/message.rs
+++ b/crates/gateway-core/src/message.rs
@@ -120,7 +120,7 @@
         /// Stands for the incarnation; see [`LoadEntry::key_of`].
         back_end: u32,
         /// Milliseconds for which it had had the work.
-        held_ms: u32,
+        service_time_ms: u32,
     },
     /// The work ran to its end.
     #[brw(magic(2u8))]
--- a/crates/gateway-core/src/quarantine/ledger.rs
+++ b/crates/gateway-core/src/quarantine/ledger.rs
@@ -47,7 +47,7 @@
     /// How long ago it ended.
     pub age: Duration,
     /// For how long it had had the work then.
-    pub held: Duration,
+    pub service_time: Duration,
 }
 
 /// Ends of back ends by the work that they had in hand, as far as nothing else explains them.
@@ -79,7 +79,7 @@
             return false;
         }
         let at = micros(now) - report.age.as_micros() as i64;
-        let begun = at - report.held.as_micros() as i64;
+        let begun = at - report.service_time.as_micros() as i64;
         crashes.push(End {
             back_end,
             begun,
--- a/crates/gateway-core/src/quarantine/ledger_tests.rs
+++ b/crates/gateway-core/src/quarantine/ledger_tests.rs
@@ -24,7 +24,7 @@
     CrashReport {
         back_end,
         age: Duration::from_millis(age_ms),
-        held: Duration::from_secs(1),
+        service_time: Duration::from_secs(1),
     }
 }
 
@@ -51,9 +51,9 @@
 fn a_back_end_that_got_the_work_after_the_first_had_ended_is_another_moment() {
     let mut ledger = CrashLedger::default();
     ledger.record_crash(at(1_000), fingerprint(1), ended(1, 0));
-    let held = Duration::from_millis(41);
+    let service_time = Duration::from_millis(41);
     let second = CrashReport {
-        held,
+        service_time,
         ..ended(2, 0)
     };
     ledger.record_crash(at(1_042), fingerprint(1), second);
--- a/crates/gateway-core/src/router/suspected_work.rs
+++ b/crates/gateway-core/src/router/suspected_work.rs
@@ -202,18 +202,21 @@
             if suspected.completions.contains(now, fingerprint) {
                 continue;
             }
-            let held = now.since(begun);
+            let service_time = now.since(begun);
             let end = CrashReport {
                 back_end,
                 age: Duration::ZERO,
-                held,
+                service_time,
             };
             if suspected.own.record_crash(now, fingerprint, end) {
-                let held_ms = u32::try_from(held.as_millis()).unwrap_or(u32::MAX);
+                let service_time_ms = u32::try_from(service_time.as_millis()).unwrap_or(u32::MAX);
                 suspected.report(
                     now,
                     fingerprint,
-                    FingerprintEvent::BackEndCrashed { back_end, held_ms },
+                    FingerprintEvent::BackEndCrashed {
+                        back_end,
+                        service_time_ms,
+                    },
                 );
                 new.push((fingerprint, suspected.crashes(fingerprint)));
             }
--- a/crates/gateway-core/tests/control/quarantine.rs
+++ b/crates/gateway-core/tests/control/quarantine.rs
@@ -27,7 +27,7 @@
         age_ms: age.as_millis() as u32,
         event: FingerprintEvent::BackEndCrashed {
             back_end,
-            held_ms: 50,
+            service_time_ms: 50,
         },
     }
 }
--- a/crates/gateway-core/tests/wire_layout.rs
+++ b/crates/gateway-core/tests/wire_layout.rs
@@ -84,7 +84,7 @@
             age_ms: 11,
             event: FingerprintEvent::BackEndCrashed {
                 back_end: 12,
-                held_ms: 13,
+                service_time_ms: 13,
             },
         },
         FingerprintReport {
