--- a/crates/gateway-core/src/fingerprint.rs
+++ b/crates/gateway-core/src/fingerprint.rs
@@ -1,7 +1,7 @@
-//! Which requests carry the same work, whatever identifier they bear and whichever router they come to.
+//! Fingerprints that recognize repeated requests, whatever their request identifier and whichever router receives them.
 //!
-//! Each attempt of a caller has an identifier of its own, so identifiers cannot tell that a request
-//! has come before. What a back end runs can: method, host, target, body, and the caller's tenant.
+//! Each attempt of a client has its own request identifier, so identifiers do not show that a request was
+//! sent before. A fingerprint is a keyed hash of what the back end runs: method, host, target, body and tenant.
 
 use std::fmt;
 
@@ -13,11 +13,11 @@
 
 const KEY_BYTES: usize = 32;
 const ID_BYTES: usize = 16;
-/// Bytes of an identifier that logs show; enough to tell the work of some thousand requests apart.
+/// The bytes of a fingerprint that logs show, enough to distinguish several thousand requests.
 const SHOWN_BYTES: usize = 6;
 
-/// The secret under which work is identified, the same at all routers of a system. Who lacks it can
-/// neither make a request whose identifier equals another's nor test a guessed body against a log.
+/// The secret key of the fingerprint hash, the same at all routers of a system. Without it, nobody can
+/// construct a request with the fingerprint of another one, or check a guessed body against a fingerprint in a log.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, PartialEq, Eq)]
@@ -25,58 +25,59 @@
 
 impl fmt::Debug for FingerprintKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("WorkKey(..)")
+        formatter.write_str("FingerprintKey(..)")
     }
 }
 
-/// What a back end is asked to run, and for whom.
+/// The parts of a request that its fingerprint covers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FingerprintInput<'a> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
     /// The host, without port.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// The caller's tenant; empty where none is needed. Other callers' work is never the same.
+    /// The tenant, or empty on a route that needs none. Requests of different tenants never share a fingerprint.
     pub tenant: &'a str,
     /// The whole body.
     pub body: &'a [u8],
 }
 
-/// Stands for the work of a request. Equal for the same work under the same [`FingerprintKey`].
+/// A keyed hash of a request without its identifier. Requests with equal [`FingerprintInput`] have the same fingerprint
+/// under the same [`FingerprintKey`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestFingerprint([u8; ID_BYTES]);
 
-/// The start of an identifier, as logs show it, by which an operator names work.
+/// The first hex digits of a fingerprint, as logs show them, by which an operator selects one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FingerprintPrefix(String);
 
 impl FingerprintPrefix {
-    /// Reads as many hex digits as logs show, or more; `None` for anything else.
+    /// Parses hex digits: at least as many as logs show, at most a whole fingerprint; `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let is_long_enough = (2 * SHOWN_BYTES..=2 * ID_BYTES).contains(&text.len());
         (is_hex && is_long_enough).then(|| Self(text.to_ascii_lowercase()))
     }
 
-    /// Whether the work's identifier begins so.
+    /// Whether a fingerprint starts with this prefix.
     pub fn matches(&self, fingerprint: RequestFingerprint) -> bool {
         format!("{fingerprint:#}").starts_with(&self.0)
     }
 }
 
 impl FingerprintKey {
-    /// A key that is drawn from `seed`, which must be random and stay within the process.
+    /// Generates a key from `seed`, which must be random and must not leave the process.
     pub fn generate(seed: u64) -> Self {
         let mut key = [0; KEY_BYTES];
         ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut key);
         Self(key)
     }
 
-    /// Identifies work.
+    /// Computes the fingerprint of a request.
     pub fn identify(&self, fingerprint: &FingerprintInput<'_>) -> RequestFingerprint {
         let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(&self.0).expect("any key length fits");
         let fields = [
@@ -90,7 +91,7 @@
             .into_iter()
             .chain([fingerprint.body])
         {
-            // The length in front keeps the end of one field from being read as the next one's begin.
+            // Each field is preceded by its length, so that bytes moved from one field to the next change the hash.
             mac.update(&(field.len() as u64).to_le_bytes());
             mac.update(field);
         }
@@ -102,13 +103,13 @@
 }
 
 impl RequestFingerprint {
-    /// A part of one, evenly spread over works.
+    /// A number from 0 to 1, uniformly distributed over fingerprints.
     pub fn fraction(self) -> f64 {
         f64::from(self.0[0]) / 256.0
     }
 }
 
-/// The first [`SHOWN_BYTES`] in hex; all of it in the alternate form.
+/// Writes the first [`SHOWN_BYTES`] bytes in hex, or all bytes in the alternate form.
 impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let shown = if formatter.alternate() {
--- a/crates/gateway-core/src/fingerprint_tests.rs
+++ b/crates/gateway-core/src/fingerprint_tests.rs
@@ -1,10 +1,10 @@
-//! What makes requests the same work.
+//! Tests of which requests share a fingerprint, and of its text forms.
 
 use rstest::rstest;
 
 use super::*;
 
-const WORK: FingerprintInput<'static> = FingerprintInput {
+const INPUT: FingerprintInput<'static> = FingerprintInput {
     method: "POST",
     host: "a.example",
     target: "/x/one?part=2",
@@ -13,43 +13,43 @@
 };
 
 #[test]
-fn the_same_work_has_the_same_identifier() {
+fn equal_requests_have_the_same_fingerprint() {
     let (key, same) = (FingerprintKey::generate(7), FingerprintKey::generate(7));
-    assert_eq!(key.identify(&WORK), same.identify(&WORK));
+    assert_eq!(key.identify(&INPUT), same.identify(&INPUT));
 }
 
 #[rstest]
-#[case::method(FingerprintInput { method: "GET", ..WORK })]
-#[case::host(FingerprintInput { host: "b.example", ..WORK })]
-#[case::target(FingerprintInput { target: "/x/one?part=3", ..WORK })]
-#[case::caller(FingerprintInput { tenant: "t2", ..WORK })]
-#[case::body(FingerprintInput { body: b"another body", ..WORK })]
-#[case::moved_border(FingerprintInput { target: "/x/one?part=2t", tenant: "1", ..WORK })]
-fn other_work_has_another(#[case] other: FingerprintInput<'_>) {
+#[case::method(FingerprintInput { method: "GET", ..INPUT })]
+#[case::host(FingerprintInput { host: "b.example", ..INPUT })]
+#[case::target(FingerprintInput { target: "/x/one?part=3", ..INPUT })]
+#[case::caller(FingerprintInput { tenant: "t2", ..INPUT })]
+#[case::body(FingerprintInput { body: b"another body", ..INPUT })]
+#[case::moved_border(FingerprintInput { target: "/x/one?part=2t", tenant: "1", ..INPUT })]
+fn a_difference_in_any_field_changes_the_fingerprint(#[case] other: FingerprintInput<'_>) {
     let key = FingerprintKey::generate(7);
-    assert_ne!(key.identify(&WORK), key.identify(&other));
+    assert_ne!(key.identify(&INPUT), key.identify(&other));
 }
 
 #[test]
-fn nobody_without_the_key_can_make_one() {
+fn another_key_gives_another_fingerprint() {
     assert_ne!(
-        FingerprintKey::generate(7).identify(&WORK),
-        FingerprintKey::generate(8).identify(&WORK)
+        FingerprintKey::generate(7).identify(&INPUT),
+        FingerprintKey::generate(8).identify(&INPUT)
     );
 }
 
 #[test]
-fn logs_show_neither_key_nor_whole_identifier() {
+fn logs_show_neither_the_key_nor_the_whole_fingerprint() {
     let key = FingerprintKey::generate(7);
-    assert_eq!(format!("{key:?}"), "WorkKey(..)");
-    assert_eq!(key.identify(&WORK).to_string().len(), 2 * SHOWN_BYTES);
+    assert_eq!(format!("{key:?}"), "FingerprintKey(..)");
+    assert_eq!(key.identify(&INPUT).to_string().len(), 2 * SHOWN_BYTES);
 }
 
 #[test]
-fn an_operator_names_work_as_logs_show_it() {
+fn prefixes_match_the_fingerprint_as_logs_show_it() {
     let key = FingerprintKey::generate(7);
     let (fingerprint, other) = (
-        key.identify(&WORK),
+        key.identify(&INPUT),
         key.identify(&FingerprintInput::default()),
     );
     for shown in [
@@ -62,10 +62,10 @@
     }
     let cut = &format!("{fingerprint}")[1..];
     assert_eq!(FingerprintPrefix::parse(cut), None);
-    assert_eq!(FingerprintPrefix::parse("ends back ends"), None);
+    assert_eq!(FingerprintPrefix::parse("not hex digits"), None);
 }
 
-/// What identifying costs on the path; prints the figures that docs/design/quarantine.md gives.
+/// Prints the time of computing a fingerprint by body size, as given in docs/design/quarantine.md.
 #[test]
 #[ignore = "prints figures"]
 fn figures_of_identifying() {
@@ -73,16 +73,16 @@
     let key = FingerprintKey::generate(7);
     for bytes in [600, 1_700, 18_000, 110_000] {
         let body = vec![7; bytes];
-        let begun = std::time::Instant::now();
+        let start = std::time::Instant::now();
         for _ in 0..ROUNDS {
             std::hint::black_box(key.identify(&FingerprintInput {
                 body: &body,
-                ..WORK
+                ..INPUT
             }));
         }
         println!(
             "{bytes} bytes: {:.1} us",
-            begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+            start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
         );
     }
 }
--- a/crates/gateway-core/src/notice.rs
+++ b/crates/gateway-core/src/notice.rs
@@ -1,31 +1,31 @@
-//! What back ends say of themselves in the heads of their answers.
+//! Status headers in which back ends report about themselves.
 
 use std::fmt;
 use std::time::Duration;
 
-/// What a back end says of itself in the head of an answer, whatever the answer is to. It holds for the process
-/// that is answered; other processes may be told something else.
+/// The status headers of a response from a back end, whatever the request was. They apply to the process that
+/// receives the response; the back end may send other processes different ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BackEndNotice {
-    /// It ends soon and wants no new requests.
+    /// The back end shuts down soon and asks for no new requests.
     pub is_leaving: bool,
-    /// It wants no requests for so long.
+    /// The back end asks for no requests for this time.
     pub retry_after: Option<Duration>,
-    /// It takes no more requests than this from all processes together, for as long as its answers say so.
+    /// The maximum rate of requests from all processes together. It ends with the first response without it.
     pub limit: Option<RequestRate>,
 }
 
-/// Requests a second that a back end takes from all processes together.
+/// Requests per second that a back end accepts from all processes together.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct RequestRate(f64);
 
 impl RequestRate {
-    /// `None` for what is no rate: negative, infinite, or not a number.
+    /// `None` if the rate is negative, infinite or not a number.
     pub fn per_second(rate: f64) -> Option<Self> {
         (rate.is_finite() && rate >= 0.0).then_some(Self(rate))
     }
 
-    /// Requests a second; zero or more.
+    /// The rate in requests per second; zero or more.
     pub fn as_per_second(self) -> f64 {
         self.0
     }
--- a/crates/gateway-core/src/quarantine/completions.rs
+++ b/crates/gateway-core/src/quarantine/completions.rs
@@ -1,4 +1,4 @@
-//! Work that ran to its end a moment ago.
+//! Fingerprints of requests that completed recently.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -7,41 +7,41 @@
 
 use crate::RequestFingerprint;
 
-/// A run to the end speaks for its work for this long, and at most twice as long. Work that many requests
-/// share is in hand at every back end that one of another kind ends, and would be taken for the cause.
-/// Longer would shield work that ends back ends since they were replaced.
+/// The length of a generation. A completion clears its fingerprint of suspicion for one to two generations. A
+/// fingerprint that many requests share is being served by every back end that another request crashes, and would
+/// be taken for the cause. A longer time would protect a fingerprint that crashes back ends since they were replaced.
 const GENERATION: Duration = Duration::from_secs(5);
-/// The longest for which a run to the end may speak for its work.
+/// The maximum time for which a completion clears its fingerprint of suspicion.
 pub(crate) const COMPLETION_VALID_FOR: Duration = Duration::from_secs(2 * GENERATION.as_secs());
-/// Works of one generation, of 16 bytes each; 111 requests a second, a router's share at the size that the
-/// system is meant for, make 555 in that time.
-const MOST_WORKS: usize = 4_096;
+/// The maximum number of fingerprints in one generation, of 16 bytes each. A router's share of the intended system
+/// size, 111 requests per second, makes 555 in that time.
+const MAX_FINGERPRINTS: usize = 4_096;
 
-/// Works that ran to their end, in two generations.
+/// Fingerprints of completed requests, in two generations.
 #[derive(Debug, Default)]
 pub(crate) struct Completions {
     newer: HashSet<RequestFingerprint>,
     older: HashSet<RequestFingerprint>,
-    begun: Timestamp,
+    generation_start: Timestamp,
 }
 
 impl Completions {
-    /// Work ran to its end.
+    /// Records a completed request; ignored once the generation is full.
     pub fn note(&mut self, now: Timestamp, fingerprint: RequestFingerprint) {
         self.age(now);
-        if self.newer.len() < MOST_WORKS {
+        if self.newer.len() < MAX_FINGERPRINTS {
             self.newer.insert(fingerprint);
         }
     }
 
-    /// True when the work ran to its end a moment ago.
+    /// True if a request with this fingerprint completed within the last one to two generations.
     pub fn contains(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
         self.age(now);
         self.newer.contains(&fingerprint) || self.older.contains(&fingerprint)
     }
 
     fn age(&mut self, now: Timestamp) {
-        let age = now.since(self.begun);
+        let age = now.since(self.generation_start);
         if age < GENERATION {
             return;
         }
@@ -49,6 +49,6 @@
         if age >= COMPLETION_VALID_FOR {
             self.older.clear();
         }
-        self.begun = now;
+        self.generation_start = now;
     }
 }
--- a/crates/gateway-core/src/quarantine/ledger.rs
+++ b/crates/gateway-core/src/quarantine/ledger.rs
@@ -1,4 +1,4 @@
-//! Which back ends ended under which work.
+//! Crashes of back ends, by the fingerprints of the requests that they were serving.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -8,58 +8,62 @@
 use super::{CRASHES_FOR_QUARANTINE, REMEMBER_CRASHES_FOR};
 use crate::RequestFingerprint;
 
-/// Back ends that end within this time ended together, unless one got the work after the other had ended:
-/// a loss of power ends many at once, and the same work may be in hand at several of them. Routers see one
-/// moment up to 9 ms apart (lines of an incident).
-const SAME_MOMENT: Duration = Duration::from_millis(50);
-/// Ends that are kept of one work.
-const MOST_ENDS: usize = 8;
-/// Works that are kept, of 80 to 200 bytes each: 800 KB at most. A quarter of 1,900 back ends with 16
-/// requests each that end together make 7,600 entries, of which the oldest give way.
-const MOST_WORKS: usize = 4_096;
-/// Back ends that are kept as explained, for reports of their ends that come late.
-const MOST_EXPLAINED: usize = 1_024;
+/// Crashes within this time count as one incident, unless one back end received the request after the other had
+/// crashed: a power failure crashes many back ends at once, and several of them may be serving requests with the
+/// same fingerprint. Routers see crashes of the same incident up to 9 ms apart.
+const SAME_INCIDENT: Duration = Duration::from_millis(50);
+/// The maximum number of crashes kept for one fingerprint.
+const MAX_CRASHES: usize = 8;
+/// The maximum number of fingerprints kept. Each takes 80 to 200 bytes, so all of them take at most 800 KB. If a
+/// quarter of 1,900 back ends with 16 requests each crash together, they make 7,600 entries; the oldest are evicted.
+const MAX_FINGERPRINTS: usize = 4_096;
+/// The maximum number of back ends remembered as crashed by a quarantined fingerprint, so that late reports of their
+/// crashes are ignored.
+const MAX_ATTRIBUTED: usize = 1_024;
 
 #[derive(Clone, Copy, Debug)]
-struct End {
-    /// The incarnation, as [`crate::LoadEntry::key_of`] names it.
+struct Crash {
+    /// The key of the incarnation, see [`crate::LoadEntry::key_of`].
     back_end: u32,
-    /// When it got the work, in microseconds on this process's clock; negative for what was before its
-    /// start.
-    begun: i64,
-    /// When it ended, likewise.
+    /// When the back end received the request, in microseconds on this process's clock; negative if that was before
+    /// the process started.
+    received: i64,
+    /// When the back end crashed, on the same clock.
     at: i64,
 }
 
-impl End {
-    /// Whether this end may have had the cause of an earlier one.
-    fn is_at_moment_of(&self, earlier: &End) -> bool {
-        let is_close = self.at - earlier.at <= SAME_MOMENT.as_micros() as i64;
-        is_close && self.begun <= earlier.at
+impl Crash {
+    /// Whether this crash and an earlier one may belong to the same incident.
+    fn may_share_cause_with(&self, earlier: &Crash) -> bool {
+        let is_close = self.at - earlier.at <= SAME_INCIDENT.as_micros() as i64;
+        is_close && self.received <= earlier.at
     }
 }
 
-/// A back end that ended while it had work in hand.
+/// A back end that crashed while serving a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CrashReport {
-    /// The incarnation, as [`crate::LoadEntry::key_of`] names it.
+    /// The key of the incarnation, see [`crate::LoadEntry::key_of`].
     pub back_end: u32,
-    /// How long ago it ended.
+    /// The time since the crash.
     pub age: Duration,
-    /// For how long it had had the work then.
+    /// The time from receiving the request to the crash.
     pub service_time: Duration,
 }
 
-/// Ends of back ends by the work that they had in hand, as far as nothing else explains them.
+/// Crashes of back ends by the fingerprints that they were serving, except those attributed to another, quarantined
+/// fingerprint.
 #[derive(Debug, Default)]
 pub(crate) struct CrashLedger {
-    fingerprints: HashMap<RequestFingerprint, Vec<End>>,
-    /// Back ends that quarantined work ended: whatever else they had in hand is innocent of it.
+    by_fingerprint: HashMap<RequestFingerprint, Vec<Crash>>,
+    /// Back ends whose crash is attributed to a quarantined fingerprint. It doesn't count against the other requests
+    /// that they were serving.
     attributed: VecDeque<u32>,
 }
 
 impl CrashLedger {
-    /// A back end ended while it had the work in hand. True when that was not known.
+    /// Records that a back end crashed while serving the fingerprint. False if the crash is known already, is
+    /// attributed to another fingerprint, or exceeds [`MAX_CRASHES`].
     pub fn record_crash(
         &mut self,
         now: Timestamp,
@@ -70,99 +74,107 @@
         if self.attributed.contains(&back_end) {
             return false;
         }
-        if self.fingerprints.len() >= MOST_WORKS && !self.fingerprints.contains_key(&fingerprint) {
-            self.make_room(now);
+        if self.by_fingerprint.len() >= MAX_FINGERPRINTS
+            && !self.by_fingerprint.contains_key(&fingerprint)
+        {
+            self.evict(now);
         }
-        let crashes = self.fingerprints.entry(fingerprint).or_default();
-        let is_known = crashes.iter().any(|end| end.back_end == back_end);
-        if is_known || crashes.len() >= MOST_ENDS {
+        let crashes = self.by_fingerprint.entry(fingerprint).or_default();
+        let is_known = crashes.iter().any(|crash| crash.back_end == back_end);
+        if is_known || crashes.len() >= MAX_CRASHES {
             return false;
         }
         let at = micros(now) - report.age.as_micros() as i64;
-        let begun = at - report.service_time.as_micros() as i64;
-        crashes.push(End {
+        let received = at - report.service_time.as_micros() as i64;
+        crashes.push(Crash {
             back_end,
-            begun,
+            received,
             at,
         });
-        crashes.sort_unstable_by_key(|end| end.at);
+        crashes.sort_unstable_by_key(|crash| crash.at);
         true
     }
 
-    /// How many moments there are at which back ends ended under the work.
+    /// The number of incidents in which back ends crashed while serving the fingerprint.
     pub fn crashes(&self, fingerprint: RequestFingerprint) -> u32 {
         let crashes = self
-            .fingerprints
+            .by_fingerprint
             .get(&fingerprint)
             .map_or(&[][..], Vec::as_slice);
-        let mut moments = 0;
-        let mut moment: Option<&End> = None;
-        for end in crashes {
-            if !moment.is_some_and(|earlier| end.is_at_moment_of(earlier)) {
-                moment = Some(end);
-                moments += 1;
+        let mut incidents = 0;
+        let mut incident: Option<&Crash> = None;
+        for crash in crashes {
+            if !incident.is_some_and(|earlier| crash.may_share_cause_with(earlier)) {
+                incident = Some(crash);
+                incidents += 1;
             }
         }
-        moments
+        incidents
     }
 
-    /// Forgets all that speaks against a work. True when something did.
+    /// Forgets all crashes of a fingerprint. True if there were any.
     pub fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
-        self.fingerprints.remove(&fingerprint).is_some()
+        self.by_fingerprint.remove(&fingerprint).is_some()
     }
 
-    /// Work that was quarantined explains the ends under it: they no longer count against the requests
-    /// that were beside it. Returns the works of which nothing is left, or less than before.
+    /// Attributes all crashes recorded for a quarantined fingerprint to it alone: they no longer count against other
+    /// requests that these back ends were serving. Returns the fingerprints that now have fewer crashes or none.
     pub fn attribute_crashes_to(&mut self, culprit: RequestFingerprint) -> Vec<RequestFingerprint> {
-        let crashes = self.fingerprints.get(&culprit).cloned().unwrap_or_default();
-        let ended: BTreeSet<u32> = crashes.iter().map(|end| end.back_end).collect();
-        let mut relieved = Vec::new();
+        let crashes = self
+            .by_fingerprint
+            .get(&culprit)
+            .cloned()
+            .unwrap_or_default();
+        let back_ends: BTreeSet<u32> = crashes.iter().map(|crash| crash.back_end).collect();
+        let mut cleared = Vec::new();
         for (fingerprint, crashes) in self
-            .fingerprints
+            .by_fingerprint
             .iter_mut()
             .filter(|(fingerprint, _)| **fingerprint != culprit)
         {
             let before = crashes.len();
-            crashes.retain(|end| !ended.contains(&end.back_end));
+            crashes.retain(|crash| !back_ends.contains(&crash.back_end));
             if crashes.len() < before {
-                relieved.push(*fingerprint);
+                cleared.push(*fingerprint);
             }
         }
-        self.fingerprints.retain(|_, crashes| !crashes.is_empty());
-        let new = ended
+        self.by_fingerprint.retain(|_, crashes| !crashes.is_empty());
+        let new = back_ends
             .into_iter()
-            .filter(|end| !self.attributed.contains(end));
+            .filter(|back_end| !self.attributed.contains(back_end));
         let new: Vec<u32> = new.collect();
         self.attributed.extend(new);
-        let surplus = self.attributed.len().saturating_sub(MOST_EXPLAINED);
+        let surplus = self.attributed.len().saturating_sub(MAX_ATTRIBUTED);
         self.attributed.drain(..surplus);
-        relieved.sort_unstable();
-        relieved
+        cleared.sort_unstable();
+        cleared
     }
 
-    /// Forgets what is too old to matter.
+    /// Forgets crashes older than [`REMEMBER_CRASHES_FOR`].
     pub fn expire(&mut self, now: Timestamp) {
-        self.fingerprints.retain(|_, crashes| {
-            crashes.retain(|end| micros(now) - end.at < REMEMBER_CRASHES_FOR.as_micros() as i64);
+        self.by_fingerprint.retain(|_, crashes| {
+            crashes
+                .retain(|crash| micros(now) - crash.at < REMEMBER_CRASHES_FOR.as_micros() as i64);
             !crashes.is_empty()
         });
     }
 
-    /// Drops the half with the oldest last end, those with one end first: an attacker who fills the table
-    /// has to end a back end for each moment, and work that ended several stays.
-    fn make_room(&mut self, now: Timestamp) {
+    /// Evicts down to half the capacity: first the fingerprints with the fewest incidents, among them those whose
+    /// last crash is oldest. Fingerprints with several incidents stay, and an attacker who wants to displace them has to
+    /// crash a back end for each incident.
+    fn evict(&mut self, now: Timestamp) {
         self.expire(now);
         let mut by_value: Vec<(u32, i64, RequestFingerprint)> =
-            Vec::with_capacity(self.fingerprints.len());
-        for (fingerprint, crashes) in &self.fingerprints {
-            let last = crashes.last().map(|end| end.at).unwrap_or_default();
+            Vec::with_capacity(self.by_fingerprint.len());
+        for (fingerprint, crashes) in &self.by_fingerprint {
+            let last = crashes.last().map(|crash| crash.at).unwrap_or_default();
             let rank = self.crashes(*fingerprint).min(CRASHES_FOR_QUARANTINE);
             by_value.push((rank, last, *fingerprint));
         }
         by_value.sort_unstable();
-        let surplus = by_value.len().saturating_sub(MOST_WORKS / 2);
+        let surplus = by_value.len().saturating_sub(MAX_FINGERPRINTS / 2);
         for (.., fingerprint) in by_value.into_iter().take(surplus) {
-            self.fingerprints.remove(&fingerprint);
+            self.by_fingerprint.remove(&fingerprint);
         }
     }
 }
--- a/crates/gateway-core/src/quarantine/ledger_tests.rs
+++ b/crates/gateway-core/src/quarantine/ledger_tests.rs
@@ -1,4 +1,4 @@
-//! What counts against work, and what does not.
+//! Tests of which crashes count against a fingerprint.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -19,8 +19,8 @@
     })
 }
 
-/// A back end that had had the work for a second when it ended.
-fn ended(back_end: u32, age_ms: u64) -> CrashReport {
+/// A back end that crashed after serving the request for one second.
+fn crashed(back_end: u32, age_ms: u64) -> CrashReport {
     CrashReport {
         back_end,
         age: Duration::from_millis(age_ms),
@@ -29,66 +29,70 @@
 }
 
 #[test]
-fn each_back_end_counts_once_and_each_moment_once() {
+fn each_back_end_and_each_incident_counts_once() {
     let mut ledger = CrashLedger::default();
-    assert!(ledger.record_crash(at(0), fingerprint(1), ended(10, 0)));
+    assert!(ledger.record_crash(at(0), fingerprint(1), crashed(10, 0)));
     assert!(
-        !ledger.record_crash(at(5), fingerprint(1), ended(10, 0)),
-        "seen by another router"
+        !ledger.record_crash(at(5), fingerprint(1), crashed(10, 0)),
+        "the same crash, reported by another router"
     );
     assert!(
-        ledger.record_crash(at(9), fingerprint(1), ended(11, 0)),
-        "ended together"
+        ledger.record_crash(at(9), fingerprint(1), crashed(11, 0)),
+        "a crash in the same incident"
     );
     assert_eq!(ledger.crashes(fingerprint(1)), 1);
-    assert!(ledger.record_crash(at(400), fingerprint(1), ended(12, 0)));
+    assert!(ledger.record_crash(at(400), fingerprint(1), crashed(12, 0)));
     assert_eq!(ledger.crashes(fingerprint(1)), 2);
     assert_eq!(ledger.crashes(fingerprint(2)), 0);
 }
 
-/// A call that sends the work on within 42 ms has run it twice, one after the other.
+/// A call that is retried within 42 ms runs twice in sequence, so the second crash is an incident of its own.
 #[test]
-fn a_back_end_that_got_the_work_after_the_first_had_ended_is_another_moment() {
+fn a_crash_of_a_back_end_that_received_the_request_after_the_first_crash_is_another_incident() {
     let mut ledger = CrashLedger::default();
-    ledger.record_crash(at(1_000), fingerprint(1), ended(1, 0));
+    ledger.record_crash(at(1_000), fingerprint(1), crashed(1, 0));
     let service_time = Duration::from_millis(41);
     let second = CrashReport {
         service_time,
-        ..ended(2, 0)
+        ..crashed(2, 0)
     };
     ledger.record_crash(at(1_042), fingerprint(1), second);
     assert_eq!(ledger.crashes(fingerprint(1)), 2);
 }
 
 #[test]
-fn reports_that_come_late_count_at_the_time_of_the_end() {
+fn late_reports_count_at_the_time_of_the_crash() {
     let mut ledger = CrashLedger::default();
     for (ended_at, back_end) in [(900, 1), (100, 2), (500, 3)] {
-        ledger.record_crash(at(2_000), fingerprint(1), ended(back_end, 2_000 - ended_at));
+        ledger.record_crash(
+            at(2_000),
+            fingerprint(1),
+            crashed(back_end, 2_000 - ended_at),
+        );
     }
     assert_eq!(ledger.crashes(fingerprint(1)), 3);
 }
 
-/// A control machine that has just started hears of ends before its start.
+/// A control machine that has just started receives reports of crashes before its start.
 #[test]
-fn ends_before_the_start_are_told_apart() {
+fn crashes_before_the_process_start_are_counted_separately() {
     let mut ledger = CrashLedger::default();
     for (age_s, back_end) in [(9, 1), (7, 2), (5, 3)] {
-        ledger.record_crash(at(10), fingerprint(1), ended(back_end, age_s * 1_000));
+        ledger.record_crash(at(10), fingerprint(1), crashed(back_end, age_s * 1_000));
     }
     assert_eq!(ledger.crashes(fingerprint(1)), 3);
 }
 
 #[test]
-fn requests_beside_the_culprit_are_innocent_once_it_is_known() {
+fn crashes_attributed_to_a_fingerprint_no_longer_count_against_others() {
     let mut ledger = CrashLedger::default();
-    for (moment, back_end) in [(0, 1), (1_000, 2), (2_000, 3)] {
-        ledger.record_crash(at(moment), fingerprint(1), ended(back_end, 0));
+    for (time, back_end) in [(0, 1), (1_000, 2), (2_000, 3)] {
+        ledger.record_crash(at(time), fingerprint(1), crashed(back_end, 0));
     }
-    for (moment, back_end) in [(0, 1), (1_000, 2), (1_500, 9)] {
-        ledger.record_crash(at(moment), fingerprint(2), ended(back_end, 0));
+    for (time, back_end) in [(0, 1), (1_000, 2), (1_500, 9)] {
+        ledger.record_crash(at(time), fingerprint(2), crashed(back_end, 0));
     }
-    ledger.record_crash(at(0), fingerprint(3), ended(1, 0));
+    ledger.record_crash(at(0), fingerprint(3), crashed(1, 0));
     assert_eq!(
         ledger.attribute_crashes_to(fingerprint(1)),
         sorted([fingerprint(2), fingerprint(3)])
@@ -102,8 +106,8 @@
         (3, 1, 0)
     );
     assert!(
-        !ledger.record_crash(at(2_100), fingerprint(4), ended(3, 0)),
-        "a late report of it"
+        !ledger.record_crash(at(2_100), fingerprint(4), crashed(3, 0)),
+        "a late report of an attributed crash"
     );
 }
 
@@ -112,89 +116,92 @@
     fingerprints.to_vec()
 }
 
-/// A verdict is applied again with each further end under it; what it explained before stays known.
+/// The attribution is repeated for each further crash; crashes attributed before must not be added again.
 #[test]
-fn ends_are_explained_once() {
+fn crashes_are_attributed_once() {
     let mut ledger = CrashLedger::default();
-    ledger.record_crash(at(0), fingerprint(1), ended(1, 0));
-    for _ in 0..2 * MOST_EXPLAINED {
+    ledger.record_crash(at(0), fingerprint(1), crashed(1, 0));
+    for _ in 0..2 * MAX_ATTRIBUTED {
         ledger.attribute_crashes_to(fingerprint(1));
     }
     assert_eq!(ledger.attributed, [1]);
 }
 
 #[test]
-fn a_run_to_the_end_clears_and_time_forgets() {
+fn crashes_are_forgotten_when_cleared_or_expired() {
     let mut ledger = CrashLedger::default();
-    ledger.record_crash(at(0), fingerprint(1), ended(1, 0));
+    ledger.record_crash(at(0), fingerprint(1), crashed(1, 0));
     assert!(ledger.clear(fingerprint(1)));
     assert!(!ledger.clear(fingerprint(1)));
-    ledger.record_crash(at(0), fingerprint(2), ended(1, 0));
+    ledger.record_crash(at(0), fingerprint(2), crashed(1, 0));
     ledger.expire(at(0).plus(REMEMBER_CRASHES_FOR));
     assert_eq!(ledger.crashes(fingerprint(2)), 0);
 }
 
 #[test]
-fn a_full_table_keeps_the_work_that_ended_most() {
+fn eviction_keeps_the_fingerprint_with_the_most_crashes() {
     let mut ledger = CrashLedger::default();
-    for (moment, back_end) in [(0, 1), (1_000, 2)] {
-        ledger.record_crash(at(moment), fingerprint(0), ended(back_end, 0));
+    for (time, back_end) in [(0, 1), (1_000, 2)] {
+        ledger.record_crash(at(time), fingerprint(0), crashed(back_end, 0));
     }
-    for number in 1..=3 * MOST_WORKS as u32 {
-        let moment = 2_000 + u64::from(number);
-        ledger.record_crash(at(moment), fingerprint(number), ended(100 + number, 0));
+    for number in 1..=3 * MAX_FINGERPRINTS as u32 {
+        let time = 2_000 + u64::from(number);
+        ledger.record_crash(at(time), fingerprint(number), crashed(100 + number, 0));
     }
-    assert!(ledger.fingerprints.len() <= MOST_WORKS);
+    assert!(ledger.by_fingerprint.len() <= MAX_FINGERPRINTS);
     assert_eq!(ledger.crashes(fingerprint(0)), 2);
 }
 
-/// A pool of 100 back ends with 16 requests each. `share` of them end at each of `waves` moments, 2 s
-/// apart; each request that broke runs once more at a back end that is drawn. Returns how many of 1,000
-/// requests in hand at the first moment are seen at `least` moments.
-fn ends_by_chance(seed: u64, waves: u32, share: f64, least: u32) -> f64 {
+/// Simulates a pool of 100 back ends with 16 requests each. In each of `waves` incidents, 2 s apart, a back end
+/// crashes with the probability `share`, and each interrupted request is retried at a random back end. Returns how
+/// many of 1,000 requests being served at the first incident are counted in at least `least` incidents.
+fn quarantined_by_chance(seed: u64, waves: u32, share: f64, least: u32) -> f64 {
     const BACK_ENDS: u32 = 100;
     const SLOTS: u32 = 16;
     let mut random = StdRng::seed_from_u64(seed);
     let mut ledger = CrashLedger::default();
-    let mut home: Vec<u32> = (0..BACK_ENDS * SLOTS)
+    let mut placement: Vec<u32> = (0..BACK_ENDS * SLOTS)
         .map(|number| number / SLOTS)
         .collect();
     for wave in 0..waves {
-        let moment = at(u64::from(wave) * 2_000);
-        let struck: BTreeSet<u32> = (0..BACK_ENDS)
+        let time = at(u64::from(wave) * 2_000);
+        let crashed_now: BTreeSet<u32> = (0..BACK_ENDS)
             .filter(|_| random.random_bool(share))
             .collect();
-        for (number, back_end) in home.iter_mut().enumerate() {
-            if struck.contains(back_end) {
-                // The next incarnation is another back end.
+        for (number, back_end) in placement.iter_mut().enumerate() {
+            if crashed_now.contains(back_end) {
+                // A restarted back end has another key.
                 let incarnation = wave * BACK_ENDS + *back_end;
-                ledger.record_crash(moment, fingerprint(number as u32), ended(incarnation, 0));
+                ledger.record_crash(time, fingerprint(number as u32), crashed(incarnation, 0));
                 *back_end = random.random_range(0..BACK_ENDS);
             }
         }
     }
     let fingerprints = (0..BACK_ENDS * SLOTS).map(fingerprint);
-    let seen = fingerprints
+    let counted = fingerprints
         .filter(|fingerprint| ledger.crashes(*fingerprint) >= least)
         .count();
-    seen as f64 * 1_000.0 / f64::from(BACK_ENDS * SLOTS)
+    counted as f64 * 1_000.0 / f64::from(BACK_ENDS * SLOTS)
 }
 
-/// When a quarter of a pool ends at once, and again 2 s later, no innocent request is quarantined.
+/// When a quarter of a pool crashes, and another quarter 2 s later, no innocent request is quarantined.
 #[rstest]
-fn a_quarter_of_a_pool_that_ends_twice_condemns_nobody(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    assert_eq!(ends_by_chance(seed, 2, 0.25, CRASHES_FOR_QUARANTINE), 0.0);
+fn two_crashes_of_a_quarter_of_a_pool_quarantine_no_request(#[values(1, 2, 3, 4, 5)] seed: u64) {
+    assert_eq!(
+        quarantined_by_chance(seed, 2, 0.25, CRASHES_FOR_QUARANTINE),
+        0.0
+    );
 }
 
-/// What other bounds would do; prints the figures that docs/design/quarantine.md gives.
+/// Prints the fraction of innocent requests affected by other thresholds, as given in docs/design/quarantine.md.
 #[test]
 #[ignore = "prints figures"]
 fn figures_of_bounds() {
     for (waves, least) in [(2, 2), (2, 3), (3, 2), (3, 3)] {
         let of: Vec<f64> = (1..=10)
-            .map(|seed| ends_by_chance(seed, waves, 0.25, least))
+            .map(|seed| quarantined_by_chance(seed, waves, 0.25, least))
             .collect();
         let mean = of.iter().sum::<f64>() / of.len() as f64;
-        println!("{waves} waves, {least} ends: {mean:.1} of 1,000");
+        println!("{waves} waves, {least} incidents: {mean:.1} of 1,000");
     }
 }
--- a/crates/gateway-core/src/quarantine/mod.rs
+++ b/crates/gateway-core/src/quarantine/mod.rs
@@ -1,9 +1,10 @@
-//! Work that ends the back ends which run it, and how it is kept from more of them.
+//! Quarantine of requests that crash the back ends which serve them.
 //!
-//! A request that crashes its back end comes again under a new identifier, at any router, so a bound on
-//! the retries of one call does not bound it. Routers therefore report to all control machines which work
-//! a back end had in hand when it ended. Control machines add the reports up, tell routers of work that
-//! is suspected, and replicate a verdict, which outlasts every process.
+//! A client repeats a request that crashed its back end with a new request identifier, at any router, so a limit on
+//! the retries of one request does not stop it. Routers therefore recognize requests by fingerprint, and report to all
+//! control machines which fingerprints a back end was serving when it crashed. Control machines aggregate the
+//! reports, announce suspected fingerprints to routers, and replicate the decision to quarantine one, so that it
+//! survives the restart of any process.
 
 mod completions;
 mod ledger;
@@ -13,33 +14,34 @@
 
 use std::time::Duration;
 
-/// Work under which so many back ends have ended, at as many moments, is quarantined. Two would do against
-/// one crash at a time, but refuses work that was at two back ends of a pool that lost a quarter of them
-/// twice: 58.8 of 1,000 requests in hand at such a pool, with three none (simulated, mean of ten seeds,
-/// `ends_by_chance`).
+/// The number of incidents, each with a crash while serving a fingerprint, after which it is quarantined. Two would be
+/// enough against isolated crashes, but would also quarantine innocent requests when a pool loses a quarter of its
+/// back ends twice: 58.8 of 1,000 requests being served in such a pool, against none with three (simulated by
+/// `quarantined_by_chance`, mean of ten seeds).
 pub(crate) const CRASHES_FOR_QUARANTINE: u32 = 3;
 
-/// Work under which so many have ended is suspected: it runs without copies, goes to the back end that
-/// has the least to lose, and is not sent on within a call.
+/// The number of incidents after which a fingerprint is suspected: its requests run without copies, go to the back end
+/// with the least load to lose, and are not retried within a call.
 pub(crate) const CRASHES_FOR_SUSPICION: u32 = 2;
 
-/// One run of quarantined work is permitted at one router each so long after the verdict. Work that many
-/// requests share and that has never run well yet may be condemned beside the culprit; nothing else tells
-/// that it is innocent. A culprit costs one back end a trial, within the three that users allow.
+/// The delays after the quarantine decision at which one router may run one request with the fingerprint as a trial. A
+/// fingerprint that many requests share and that has not completed yet may be quarantined together with the one that
+/// causes the crashes, and only a trial shows that it is innocent. A trial of the cause crashes one more back end,
+/// within the three crashes that users accept.
 pub(crate) const TRIAL_DELAYS: [Duration; 3] = [
     Duration::from_secs(10),
     Duration::from_secs(60),
     Duration::from_secs(300),
 ];
-/// Trials of works that were quarantined together are spread over this time, so that the culprit's does not
-/// end the back end at which another work is tried.
+/// Trials of fingerprints that were quarantined together are spread over this time, so that the trial that crashes its
+/// back end does not hit another trial there.
 pub(crate) const TRIAL_SPREAD: Duration = Duration::from_secs(4);
-/// A permit that no request has used is void after this long.
+/// The time after which an unused trial permit expires.
 pub(crate) const PERMIT_VALID_FOR: Duration = Duration::from_secs(20);
 
-/// Quarantined work is released after this long and may be tried again: back ends may have been mended.
-/// A further spell of it then costs three back ends in this time.
+/// A quarantined fingerprint is released after this time, because the back ends may have been fixed. If they have not,
+/// it crashes three back ends again, once per this period.
 pub(crate) const QUARANTINE_FOR: Duration = Duration::from_secs(600);
 
-/// Ends are remembered as long: work that comes more rarely costs a back end each time.
+/// The time for which crashes are remembered. A fingerprint that arrives less often crashes a back end each time.
 pub(crate) const REMEMBER_CRASHES_FOR: Duration = QUARANTINE_FOR;
