--- a/crates/gateway-core/src/view_links/fetches.rs
+++ b/crates/gateway-core/src/view_links/fetches.rs
@@ -1,4 +1,4 @@
-//! When a router asks control machines for what changed, and which of them.
+//! When a router fetches changes of the replicated state, and from which control machine.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -8,40 +8,41 @@
 
 use crate::Position;
 
-/// A fetch without an answer is followed by another after this long: an answer takes 50 ms at most on a link of
-/// 10 Mbit/s, for larger ones come in parts.
-const REPEAT_AFTER: Duration = Duration::from_millis(300);
-/// Once all machines that have what is wanted were asked, the next fetch waits twice as long, this often. Control
-/// machines that answer late have too much to do; repeated fetches would give them more.
-const MOST_DOUBLINGS: u32 = 3;
-/// A router that has been behind for so long without progress, or asked in vain, asks machines that it does not follow
-/// as well: those that it follows may be cut off from the others.
-const FOLLOWED_PATIENCE: Duration = Duration::from_millis(400);
-
-/// Fetches of changes. Only progress of the view counts as an answer.
+/// A fetch without a response is repeated after this time. A response takes at most 50 ms on a link of 10 Mbit/s,
+/// because larger ones are sent in chunks.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(300);
+/// The timeout doubles with each further fetch from the same machine, at most this many times. Control machines that
+/// respond late are overloaded, and repeated fetches would add to their load.
+const MAX_DOUBLINGS: u32 = 3;
+/// A router fetches only from machines that it follows, until it has been behind for this time without progress or a
+/// fetch has made none. Then it asks others as well: those that it follows may be partitioned from the rest.
+const FOLLOWED_ONLY_FOR: Duration = Duration::from_millis(400);
+
+/// The state of fetches. A fetch counts as answered only when the view makes progress.
 #[derive(Debug, Default)]
 pub struct Fetches {
-    under_way: Option<Fetch>,
-    /// Fetches since the last progress, by whom they went to.
+    pending: Option<Fetch>,
+    /// The number of fetches from each machine since the last progress.
     asked: BTreeMap<Ipv4Addr, u32>,
-    /// Since when this router has known of changes without getting any.
+    /// Since when a newer revision has been known without progress.
     behind_since: Option<Timestamp>,
-    /// The highest revision that any control machine spoke of.
+    /// The highest revision that any control machine announced.
     newest: u64,
-    /// What each linked machine has, by what it said last.
+    /// The revision that each linked machine announced last.
     revisions: BTreeMap<Ipv4Addr, u64>,
 }
 
-/// A fetch that is not answered yet.
+/// A fetch that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
 struct Fetch {
     to: Ipv4Addr,
     asked: Timestamp,
-    patience: Duration,
+    timeout: Duration,
 }
 
 impl Fetches {
-    /// A control machine spoke of its revision. True when the router learns by it that it is behind.
+    /// A control machine announced its revision, while the view holds `held`. True if this shows that the view, which
+    /// was current so far, is behind.
     pub fn on_revision(
         &mut self,
         now: Timestamp,
@@ -56,11 +57,11 @@
         !was_behind && self.behind_since.is_some()
     }
 
-    /// Changes have come from a machine that has `newest`, and `held` is what the router has with them.
+    /// Changes arrived from a machine whose own revision is `newest`.
     pub fn on_changes(&mut self, now: Timestamp, from: Ipv4Addr, newest: u64, progress: Progress) {
         let held = match progress {
             Progress::Made { held } => {
-                self.under_way = None;
+                self.pending = None;
                 self.asked.clear();
                 self.behind_since = None;
                 held
@@ -70,7 +71,8 @@
         self.on_revision(now, from, newest, held);
     }
 
-    /// The machine to ask now, if any.
+    /// The machine to fetch from now, if any: the one asked least often since the last progress, among equals one that
+    /// the router follows.
     pub fn due(
         &mut self,
         now: Timestamp,
@@ -79,10 +81,10 @@
     ) -> Option<Ipv4Addr> {
         self.note_position(now, position.held);
         let behind_since = self.behind_since?;
-        if self.under_way.is_some_and(|fetch| !fetch.is_overdue(now)) {
+        if self.pending.is_some_and(|fetch| !fetch.is_overdue(now)) {
             return None;
         }
-        let may_ask_any = !self.asked.is_empty() || now.since(behind_since) >= FOLLOWED_PATIENCE;
+        let may_ask_any = !self.asked.is_empty() || now.since(behind_since) >= FOLLOWED_ONLY_FOR;
         let has_more =
             |revision: u64| revision > position.held && revision >= position.source_revision;
         let able = self.revisions.iter().filter(|(_, has)| has_more(**has));
@@ -94,22 +96,22 @@
             })
     }
 
-    /// A control machine was asked.
+    /// A fetch was sent to a control machine.
     pub fn on_fetch_sent(&mut self, now: Timestamp, to: Ipv4Addr) {
         let times = self.asked.entry(to).or_default();
-        let doublings = (*times).min(MOST_DOUBLINGS);
+        let doublings = (*times).min(MAX_DOUBLINGS);
         *times += 1;
-        self.under_way = Some(Fetch {
+        self.pending = Some(Fetch {
             to,
             asked: now,
-            patience: REPEAT_AFTER * 2_u32.pow(doublings),
+            timeout: FETCH_TIMEOUT * 2_u32.pow(doublings),
         });
     }
 
-    /// A link has ended: what was asked on it is not answered any more.
+    /// A link was closed: a fetch sent on it gets no response.
     pub fn on_link_ended(&mut self, address: Ipv4Addr) {
         self.revisions.remove(&address);
-        self.under_way = self.under_way.filter(|fetch| fetch.to != address);
+        self.pending = self.pending.filter(|fetch| fetch.to != address);
     }
 
     /// For how long a newer revision has been known without progress; `None` when none is.
@@ -128,24 +130,24 @@
     }
 }
 
-/// What changes that came did to the view, which then holds a revision.
+/// Whether received changes advanced the view, and the revision that it holds afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// They led it on.
+    /// The changes advanced the view.
     Made {
-        /// The revision.
+        /// The revision that the view holds.
         held: u64,
     },
-    /// They could not be used, or led nowhere.
+    /// The changes could not be applied, or contained nothing new.
     None {
-        /// The revision.
+        /// The revision that the view holds.
         held: u64,
     },
 }
 
 impl Fetch {
     fn is_overdue(&self, now: Timestamp) -> bool {
-        now.since(self.asked) >= self.patience
+        now.since(self.asked) >= self.timeout
     }
 }
 
--- a/crates/gateway-core/src/view_links/fetches_tests.rs
+++ b/crates/gateway-core/src/view_links/fetches_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when a router asks for changes, whom, and when again.
+//! Tests of when a router fetches changes, from which machine, and when it repeats a fetch.
 
 use rstest::rstest;
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// Asks whoever is due and says who that is.
-fn ask(fetches: &mut Fetches, milliseconds: u64, held: u64) -> Option<Ipv4Addr> {
+/// Sends a fetch if one is due, and returns the machine it goes to.
+fn fetch(fetches: &mut Fetches, milliseconds: u64, held: u64) -> Option<Ipv4Addr> {
     let due = fetches.due(at(milliseconds), holding(held), &[FOLLOWED]);
     if let Some(address) = due {
         fetches.on_fetch_sent(at(milliseconds), address);
@@ -30,7 +30,7 @@
     due
 }
 
-fn knowing(newest: &[(Ipv4Addr, u64)], held: u64) -> Fetches {
+fn with_revisions(newest: &[(Ipv4Addr, u64)], held: u64) -> Fetches {
     let mut fetches = Fetches::default();
     for (address, revision) in newest {
         fetches.on_revision(at(100), *address, *revision, held);
@@ -41,93 +41,93 @@
 #[rstest]
 #[case::changes_soon(7, 299, None)]
 #[case::changes_in_time(7, 300, Some(FOLLOWED))]
-#[case::the_first_part_of_all_soon(0, 299, None)]
-#[case::the_first_part_of_all_in_time(0, 300, Some(FOLLOWED))]
-fn a_question_is_repeated_when_its_answer_is_overdue(
+#[case::first_chunk_soon(0, 299, None)]
+#[case::first_chunk_in_time(0, 300, Some(FOLLOWED))]
+fn a_fetch_is_repeated_when_its_response_is_overdue(
     #[case] held: u64,
     #[case] waited_ms: u64,
     #[case] due: Option<Ipv4Addr>,
 ) {
-    let mut fetches = knowing(&[(FOLLOWED, NEWEST)], held);
-    assert_eq!(ask(&mut fetches, 100, held), Some(FOLLOWED));
-    assert_eq!(ask(&mut fetches, 100 + waited_ms, held), due);
+    let mut fetches = with_revisions(&[(FOLLOWED, NEWEST)], held);
+    assert_eq!(fetch(&mut fetches, 100, held), Some(FOLLOWED));
+    assert_eq!(fetch(&mut fetches, 100 + waited_ms, held), due);
 }
 
-/// Control machines that were late were asked again each 0.3 s by 300 routers that started together, and sent
-/// the same state several times.
+/// Without backoff, 300 routers that started together repeated their fetch every 0.3 s at slow control machines,
+/// which then sent the same state several times.
 #[test]
-fn a_router_that_gets_no_answer_asks_ever_less_often() {
-    let mut fetches = knowing(&[(FOLLOWED, NEWEST)], 0);
+fn fetches_without_a_response_back_off() {
+    let mut fetches = with_revisions(&[(FOLLOWED, NEWEST)], 0);
     let asked: Vec<u64> = (0..10_000)
-        .filter(|milliseconds| ask(&mut fetches, *milliseconds, 0).is_some())
+        .filter(|milliseconds| fetch(&mut fetches, *milliseconds, 0).is_some())
         .collect();
     assert_eq!(asked, [0, 300, 900, 2_100, 4_500, 6_900, 9_300]);
     fetches.on_changes(at(10_000), FOLLOWED, NEWEST, Progress::Made { held: 1 });
-    assert_eq!(ask(&mut fetches, 10_000, 1), Some(FOLLOWED));
-    let again = ask(&mut fetches, 10_300, 1);
-    assert_eq!(again, Some(FOLLOWED), "progress starts it anew");
+    assert_eq!(fetch(&mut fetches, 10_000, 1), Some(FOLLOWED));
+    let again = fetch(&mut fetches, 10_300, 1);
+    assert_eq!(again, Some(FOLLOWED), "progress resets the timeout");
 }
 
 #[test]
-fn machines_that_are_not_followed_are_asked_only_by_a_router_that_gets_nothing() {
-    let mut fetches = knowing(&[(OTHER, NEWEST)], HELD);
-    assert_eq!(ask(&mut fetches, 100, HELD), None);
-    assert_eq!(ask(&mut fetches, 499, HELD), None);
-    assert_eq!(ask(&mut fetches, 500, HELD), Some(OTHER));
+fn machines_that_are_not_followed_are_asked_only_without_progress() {
+    let mut fetches = with_revisions(&[(OTHER, NEWEST)], HELD);
+    assert_eq!(fetch(&mut fetches, 100, HELD), None);
+    assert_eq!(fetch(&mut fetches, 499, HELD), None);
+    assert_eq!(fetch(&mut fetches, 500, HELD), Some(OTHER));
     let progress = Progress::Made { held: 8 };
     fetches.on_changes(at(500), OTHER, NEWEST, progress);
-    let due = ask(&mut fetches, 500, 8);
-    assert_eq!(due, None, "it is behind, but changes come");
+    let due = fetch(&mut fetches, 500, 8);
+    assert_eq!(due, None, "the view is behind, but makes progress");
 }
 
 #[rstest]
 #[case::of_the_link_that_ended(FOLLOWED, Some(OTHER))]
 #[case::of_another_link(OTHER, None)]
-fn a_link_that_ends_takes_its_question_along(
+fn closing_a_link_ends_only_the_fetch_on_it(
     #[case] ended: Ipv4Addr,
     #[case] due: Option<Ipv4Addr>,
 ) {
-    let mut fetches = knowing(&[(FOLLOWED, NEWEST), (OTHER, NEWEST)], 0);
-    assert_eq!(ask(&mut fetches, 550, 0), Some(FOLLOWED));
+    let mut fetches = with_revisions(&[(FOLLOWED, NEWEST), (OTHER, NEWEST)], 0);
+    assert_eq!(fetch(&mut fetches, 550, 0), Some(FOLLOWED));
     fetches.on_link_ended(ended);
-    assert_eq!(ask(&mut fetches, 650, 0), due);
+    assert_eq!(fetch(&mut fetches, 650, 0), due);
 }
 
 #[test]
-fn nothing_is_asked_for_when_all_is_held() {
-    let mut fetches = knowing(&[(FOLLOWED, NEWEST)], HELD);
-    assert_eq!(ask(&mut fetches, 100, NEWEST), None);
+fn a_current_view_fetches_nothing() {
+    let mut fetches = with_revisions(&[(FOLLOWED, NEWEST)], HELD);
+    assert_eq!(fetch(&mut fetches, 100, NEWEST), None);
     fetches.on_revision(at(101), OTHER, 3, HELD);
-    let due = ask(&mut fetches, 101, HELD);
+    let due = fetch(&mut fetches, 101, HELD);
     assert_eq!(due, Some(FOLLOWED), "the earlier announcement stands");
 }
 
 #[test]
-fn a_machine_that_has_nothing_newer_is_not_asked() {
-    let mut fetches = knowing(&[(FOLLOWED, HELD), (OTHER, NEWEST)], HELD);
-    assert_eq!(ask(&mut fetches, 100, HELD), None);
-    assert_eq!(ask(&mut fetches, 500, HELD), Some(OTHER));
+fn a_machine_with_no_newer_revision_is_not_asked() {
+    let mut fetches = with_revisions(&[(FOLLOWED, HELD), (OTHER, NEWEST)], HELD);
+    assert_eq!(fetch(&mut fetches, 100, HELD), None);
+    assert_eq!(fetch(&mut fetches, 500, HELD), Some(OTHER));
 }
 
 #[rstest]
-#[case::they_lead_nowhere(HELD)]
-#[case::they_cannot_be_used(NEWEST)]
-fn changes_without_progress_neither_hurry_nor_delay_the_next_question(#[case] newest: u64) {
-    let mut fetches = knowing(&[(FOLLOWED, NEWEST), (OTHER, NEWEST)], HELD);
-    assert_eq!(ask(&mut fetches, 100, HELD), Some(FOLLOWED));
+#[case::nothing_new(HELD)]
+#[case::not_applicable(NEWEST)]
+fn changes_without_progress_neither_advance_nor_delay_the_next_fetch(#[case] newest: u64) {
+    let mut fetches = with_revisions(&[(FOLLOWED, NEWEST), (OTHER, NEWEST)], HELD);
+    assert_eq!(fetch(&mut fetches, 100, HELD), Some(FOLLOWED));
     let progress = Progress::None { held: HELD };
     fetches.on_changes(at(101), FOLLOWED, newest, progress);
-    assert_eq!(ask(&mut fetches, 399, HELD), None);
+    assert_eq!(fetch(&mut fetches, 399, HELD), None);
     assert_eq!(fetches.behind(at(400)), Some(Duration::from_millis(300)));
-    assert_eq!(ask(&mut fetches, 400, HELD), Some(OTHER));
+    assert_eq!(fetch(&mut fetches, 400, HELD), Some(OTHER));
 }
 
 #[test]
-fn a_question_without_an_answer_goes_to_another_machine_next() {
+fn a_fetch_without_a_response_is_repeated_at_another_machine() {
     let machines = [(FOLLOWED, NEWEST), (OTHER, NEWEST), (THIRD, NEWEST)];
-    let mut fetches = knowing(&machines, HELD);
+    let mut fetches = with_revisions(&machines, HELD);
     let asked: Vec<_> = (100..2_500)
-        .filter_map(|milliseconds| Some((milliseconds, ask(&mut fetches, milliseconds, HELD)?)))
+        .filter_map(|milliseconds| Some((milliseconds, fetch(&mut fetches, milliseconds, HELD)?)))
         .collect();
     let round = |from, step| {
         [
--- a/crates/gateway-core/src/view_links/mod.rs
+++ b/crates/gateway-core/src/view_links/mod.rs
@@ -1,8 +1,11 @@
-//! How a router keeps its view of the replicated state current, over its links to control machines: which of them it
-//! follows, whom it asks whether the view is current, and whom it asks for changes. Without I/O or a clock.
+//! How a router keeps its view of the replicated state current over its links to control machines: which machines it
+//! follows, which it pings to confirm the view, and from which it fetches changes. It contains no I/O and no clock.
+//!
+//! A router sends a control machine that it follows a [`Following`], which subscribes it to announcements of changes, to
+//! the leader's news, or to both.
 
 mod fetches;
-mod questions;
+mod pings;
 mod sources;
 
 use std::collections::BTreeMap;
@@ -16,38 +19,38 @@
 pub use fetches::Progress;
 
 use fetches::Fetches;
-use questions::Questions;
+use pings::Pings;
 use sources::Sources;
 
-/// What is to be done on a link.
+/// An action to take on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkAction {
-    /// Ask whether the view is current.
+    /// Send a ping, which asks whether the view is current.
     Ping {
-        /// Whom.
+        /// The control machine.
         to: Ipv4Addr,
-        /// The number of the question.
+        /// The sequence number of the ping.
         sequence: u64,
     },
-    /// Say what this router is to be told. [`ViewLinks::on_follow_sent`] follows once that is sent.
+    /// Send what the machine is to announce to this router. Call [`ViewLinks::on_follow_sent`] once it is sent.
     Follow {
-        /// To whom.
+        /// The control machine.
         to: Ipv4Addr,
-        /// What.
+        /// The new subscription.
         following: Following,
     },
-    /// Fetch changes. [`ViewLinks::on_fetch_sent`] follows once that is sent.
+    /// Send a fetch. Call [`ViewLinks::on_fetch_sent`] once it is sent.
     Fetch {
-        /// Whom.
+        /// The control machine.
         to: Ipv4Addr,
-        /// What the view holds.
+        /// The position of the view.
         position: Position,
-        /// Whether the machine is followed.
+        /// Whether the router follows the machine.
         is_followed: bool,
     },
-    /// End the link, which got no answer, and dial again.
+    /// Close the link, on which a ping timed out, and connect again.
     Close {
-        /// To whom it leads.
+        /// The control machine.
         to: Ipv4Addr,
     },
 }
@@ -56,51 +59,51 @@
 #[derive(Debug)]
 pub struct ViewLinks {
     sources: Sources,
-    questions: Questions,
+    ping_schedule: Pings,
     fetches: Fetches,
-    /// What each machine was told last that this router follows.
-    told: BTreeMap<Ipv4Addr, Following>,
+    /// The subscription that was last sent to each linked machine.
+    following_sent: BTreeMap<Ipv4Addr, Following>,
 }
 
 impl ViewLinks {
-    /// Of a router in a zone; `seed` should differ from router to router.
+    /// Creates the state of a router without links; `seed` should differ between routers.
     pub fn new(zone: &str, seed: u64) -> Self {
         Self {
             sources: Sources::new(zone, seed),
-            questions: Questions::default(),
+            ping_schedule: Pings::default(),
             fetches: Fetches::default(),
-            told: BTreeMap::new(),
+            following_sent: BTreeMap::new(),
         }
     }
 
-    /// A link has come up.
+    /// A link was established.
     pub fn on_linked(&mut self, address: Ipv4Addr) {
         self.sources.on_linked(address);
-        self.questions.on_linked(address);
-        self.told.insert(address, Following::Nothing);
+        self.ping_schedule.on_linked(address);
+        self.following_sent.insert(address, Following::Nothing);
     }
 
-    /// A link has ended: nothing that was asked on it is answered any more.
+    /// A link was closed: pings and fetches sent on it get no response.
     pub fn on_link_ended(&mut self, address: Ipv4Addr) {
         self.sources.on_link_ended(address);
-        self.questions.on_link_ended(address);
+        self.ping_schedule.on_link_ended(address);
         self.fetches.on_link_ended(address);
-        self.told.remove(&address);
+        self.following_sent.remove(&address);
     }
 
-    /// A machine said which zone it is in.
+    /// A machine reported its zone.
     pub fn on_zone(&mut self, address: Ipv4Addr, zone: &str) {
         self.sources.on_zone(address, zone);
     }
 
-    /// A question whether the view is current was answered. Gives when it was asked.
+    /// A machine answered a ping. Returns when the ping was sent; `None` if it is unknown.
     pub fn on_pong(&mut self, from: Ipv4Addr, sequence: u64) -> Option<Timestamp> {
         self.sources.on_answer(from);
-        self.questions.on_answer(from, sequence)
+        self.ping_schedule.on_answer(from, sequence)
     }
 
-    /// A machine spoke of its revision, while the view holds one. True when the router learns by it that it is
-    /// behind.
+    /// A machine announced its revision, while the view holds `held`. True if this shows that the view, which was
+    /// current so far, is behind.
     pub fn on_revision(
         &mut self,
         now: Timestamp,
@@ -111,19 +114,19 @@
         self.fetches.on_revision(now, from, revision, held)
     }
 
-    /// Changes have come from a machine that has the revision `newest`.
+    /// Changes arrived from a machine whose own revision is `newest`.
     pub fn on_changes(&mut self, now: Timestamp, from: Ipv4Addr, newest: u64, progress: Progress) {
         self.fetches.on_changes(now, from, newest, progress);
     }
 
-    /// A machine was sent what it is to tell.
+    /// A subscription was sent to a machine.
     pub fn on_follow_sent(&mut self, to: Ipv4Addr, following: Following) {
-        if let Some(told) = self.told.get_mut(&to) {
-            *told = following;
+        if let Some(sent) = self.following_sent.get_mut(&to) {
+            *sent = following;
         }
     }
 
-    /// A machine was sent a fetch.
+    /// A fetch was sent to a machine.
     pub fn on_fetch_sent(&mut self, now: Timestamp, to: Ipv4Addr) {
         self.fetches.on_fetch_sent(now, to);
     }
@@ -133,34 +136,34 @@
         self.fetches.behind(now)
     }
 
-    /// All that is due, by a view that holds a position.
+    /// All actions that are due, for a view at `position`.
     pub fn poll(&mut self, now: Timestamp, position: Position) -> Vec<LinkAction> {
-        let silent = self.questions.silent(now);
-        let mut steps: Vec<LinkAction> = silent
+        let timed_out = self.ping_schedule.timed_out(now);
+        let mut actions: Vec<LinkAction> = timed_out
             .into_iter()
             .map(|to| LinkAction::Close { to })
             .collect();
-        let pings = self.questions.take_due(now).into_iter();
-        steps.extend(pings.map(|(to, sequence)| LinkAction::Ping { to, sequence }));
-        for address in self.questions.unresponsive(now) {
+        let pings = self.ping_schedule.take_due(now).into_iter();
+        actions.extend(pings.map(|(to, sequence)| LinkAction::Ping { to, sequence }));
+        for address in self.ping_schedule.unresponsive(now) {
             self.sources.on_unresponsive(address);
         }
-        steps.extend(self.follow());
+        actions.extend(self.follow());
         let followed = self.sources.followed();
         let fetch = self.fetches.due(now, position, &followed);
-        steps.extend(fetch.map(|to| LinkAction::Fetch {
+        actions.extend(fetch.map(|to| LinkAction::Fetch {
             to,
             position,
             is_followed: followed.contains(&to),
         }));
-        steps
+        actions
     }
 
-    /// What machines are to be told that is not what they were told last.
+    /// The subscriptions that differ from those sent last.
     fn follow(&self) -> Vec<LinkAction> {
-        let wanted = self.told.iter().filter_map(|(to, told)| {
+        let wanted = self.following_sent.iter().filter_map(|(to, sent)| {
             let following = self.sources.following(*to);
-            (following != *told).then_some(LinkAction::Follow { to: *to, following })
+            (following != *sent).then_some(LinkAction::Follow { to: *to, following })
         });
         wanted.collect()
     }
--- a/crates/gateway-core/src/view_links/questions.rs
+++ b/crates/gateway-core/src/view_links/pings.rs
@@ -1,4 +1,4 @@
-//! When a router asks control machines whether its view is current.
+//! When a router sends pings, which ask control machines whether its view is current.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -6,57 +6,57 @@
 
 use drumshore_core::Timestamp;
 
-/// Between two questions to machines that answer, whichever they are.
-const SPACING: Duration = Duration::from_millis(300);
-/// Between two questions on the same link, however many there are: a control machine hands callers no router
-/// that asked nothing for 4 s.
-const LONGEST_LINK_SPACING: Duration = Duration::from_millis(2_000);
-/// A question without an answer for so long is followed by one to the next machine.
+/// The interval between pings to responsive machines, over all of them.
+const PING_SPACING: Duration = Duration::from_millis(300);
+/// The maximum interval between pings on the same link. Control machines give clients no router that has sent no ping
+/// for 4 s.
+const MAX_LINK_SPACING: Duration = Duration::from_millis(2_000);
+/// If a ping has no answer after this time, the next machine is pinged.
 const HEDGE_AFTER: Duration = Duration::from_millis(150);
-/// A machine that lets a question wait for so long is not relied upon: it is cut off from a majority, frozen, or has
-/// too much to do.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(500);
-/// A link on which a question got no answer for so long is given up.
-const UNANSWERED: Duration = Duration::from_millis(2_500);
+/// A machine that leaves a ping unanswered for this time is unresponsive: it is cut off from a majority, frozen, or
+/// overloaded.
+const RESPONSIVE_WITHIN: Duration = Duration::from_millis(500);
+/// A link on which a ping has no answer for longer than this is closed.
+const LINK_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Questions whether the view is current, to each linked control machine, by their numbers.
+/// The pings to each linked control machine.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct Pings {
     last_sequence: u64,
     links: BTreeMap<Ipv4Addr, Link>,
 }
 
 #[derive(Debug, Default)]
 struct Link {
-    /// Questions without an answer, and when each was asked.
-    open: BTreeMap<u64, Timestamp>,
+    /// When each unanswered ping was sent, by sequence number.
+    unanswered: BTreeMap<u64, Timestamp>,
     last_asked: Option<Timestamp>,
 }
 
-impl Questions {
-    /// A link has come up.
+impl Pings {
+    /// A link was established.
     pub fn on_linked(&mut self, address: Ipv4Addr) {
         self.links.insert(address, Link::default());
     }
 
-    /// A link has ended.
+    /// A link was closed.
     pub fn on_link_ended(&mut self, address: Ipv4Addr) {
         self.links.remove(&address);
     }
 
-    /// A question was answered, and those before it need no answer any more. Gives when it was asked.
+    /// A ping was answered; earlier pings on the link need no answer any more. Returns when the ping was sent.
     pub fn on_answer(&mut self, from: Ipv4Addr, sequence: u64) -> Option<Timestamp> {
         let link = self.links.get_mut(&from)?;
-        let asked = link.open.remove(&sequence);
-        link.open.retain(|other, _| *other > sequence);
+        let asked = link.unanswered.remove(&sequence);
+        link.unanswered.retain(|other, _| *other > sequence);
         asked
     }
 
-    /// Machines that are to be asked now, with the numbers of their questions: each one as soon as it is linked, then
-    /// in turn the next of those that answer, and each of the others once in a while.
+    /// The pings to send now: one to each machine on a new link, then one to the next responsive machine in turn, and
+    /// one to each unresponsive machine per link interval.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<(Ipv4Addr, u64)> {
         let machines = self.links.len().max(1) as u32;
-        let link_spacing = (SPACING * machines).min(LONGEST_LINK_SPACING);
+        let link_spacing = (PING_SPACING * machines).min(MAX_LINK_SPACING);
         let mut due: Vec<Ipv4Addr> = Vec::new();
         for (address, link) in &self.links {
             let is_overdue = !link.answers(now) && link.is_due(now, link_spacing);
@@ -70,28 +70,30 @@
         due.into_iter().map(|to| (to, self.ask(now, to))).collect()
     }
 
-    /// Of the machines that answer, the one that was asked longest ago, once the last one was asked `spacing` ago.
+    /// The responsive machine that was pinged longest ago, once `spacing` has passed since the last ping to any of
+    /// them, or [`HEDGE_AFTER`] if that ping is unanswered.
     fn next_in_turn(&self, now: Timestamp, spacing: Duration) -> Option<Ipv4Addr> {
         let links = self.links.iter();
         let answering: Vec<_> = links.filter(|(_, link)| link.answers(now)).collect();
         let (_, last) = answering.iter().max_by_key(|(_, link)| link.last_asked)?;
-        let pause = match last.open.is_empty() {
+        let interval = match last.unanswered.is_empty() {
             true => spacing,
             false => spacing.min(HEDGE_AFTER),
         };
         let next = answering.iter().min_by_key(|(_, link)| link.last_asked);
-        next.map(|item| *item.0).filter(|_| last.is_due(now, pause))
+        next.map(|item| *item.0)
+            .filter(|_| last.is_due(now, interval))
     }
 
     fn ask(&mut self, now: Timestamp, to: Ipv4Addr) -> u64 {
         self.last_sequence += 1;
         let link = self.links.entry(to).or_default();
         link.last_asked = Some(now);
-        link.open.insert(self.last_sequence, now);
+        link.unanswered.insert(self.last_sequence, now);
         self.last_sequence
     }
 
-    /// Machines that let a question wait.
+    /// Machines that have left a ping unanswered for [`RESPONSIVE_WITHIN`].
     pub fn unresponsive(&self, now: Timestamp) -> impl Iterator<Item = Ipv4Addr> + '_ {
         let waiting = self
             .links
@@ -100,18 +102,18 @@
         waiting.map(|(address, _)| *address)
     }
 
-    /// Links on which a question got no answer for too long.
-    pub fn silent(&self, now: Timestamp) -> Vec<Ipv4Addr> {
+    /// Machines that have left a ping unanswered for longer than [`LINK_TIMEOUT`].
+    pub fn timed_out(&self, now: Timestamp) -> Vec<Ipv4Addr> {
         let links = self.links.iter();
-        let silent = links.filter(|(_, link)| link.waits(now) > UNANSWERED);
-        silent.map(|(address, _)| *address).collect()
+        let timed_out = links.filter(|(_, link)| link.waiting_time(now) > LINK_TIMEOUT);
+        timed_out.map(|(address, _)| *address).collect()
     }
 }
 
 impl Link {
-    /// For how long the oldest question has had no answer.
-    fn waits(&self, now: Timestamp) -> Duration {
-        let oldest = self.open.values().next();
+    /// How long the oldest unanswered ping has been waiting.
+    fn waiting_time(&self, now: Timestamp) -> Duration {
+        let oldest = self.unanswered.values().next();
         oldest.map_or(Duration::ZERO, |at| now.since(*at))
     }
 
@@ -120,10 +122,10 @@
     }
 
     fn answers(&self, now: Timestamp) -> bool {
-        self.waits(now) < ANSWERS_WITHIN
+        self.waiting_time(now) < RESPONSIVE_WITHIN
     }
 }
 
 #[cfg(test)]
-#[path = "questions_tests.rs"]
+#[path = "pings_tests.rs"]
 mod tests;
--- a/crates/gateway-core/src/view_links/sources.rs
+++ b/crates/gateway-core/src/view_links/sources.rs
@@ -1,8 +1,8 @@
-//! Which control machines a router follows: they announce changes to it and are asked for them.
+//! Which control machines a router follows. They announce changes to it, and it fetches the changes from them.
 //!
-//! State that every router asks of any control machine crosses zones once for each router. So a router follows
-//! machines of its own zone, and others only while none there answers. It keeps links to all of them, for a
-//! confirmed view and for loads; those carry little.
+//! If routers fetched the state from any control machine, it would cross zones once per router. A router therefore
+//! follows machines of its own zone, and others only while none there is responsive. It keeps links to all of them to
+//! confirm its view and to exchange loads, which takes little traffic.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -11,31 +11,31 @@
 
 use crate::Following;
 
-/// Machines that are followed: one, and one that goes on when the first is lost.
-const MOST_FOLLOWED: usize = 2;
+/// The maximum number of followed machines: one, and one that takes over when the first is lost.
+const MAX_FOLLOWED: usize = 2;
 
 /// The control machines that this router is linked to.
 #[derive(Debug)]
 pub struct Sources {
     zone: String,
-    /// Sets routers apart that have to choose among machines of other zones.
+    /// Makes routers choose different machines, in particular among other zones.
     seed: u64,
     linked: BTreeMap<Ipv4Addr, Machine>,
-    /// Machines that let a question wait and have answered none since, on whichever link.
+    /// Machines that left a ping unanswered and have answered none since, on this link or a later one.
     unresponsive: BTreeSet<Ipv4Addr>,
 }
 
 /// A linked control machine.
 #[derive(Debug, Default)]
 struct Machine {
-    /// As it said; `None` before.
+    /// The zone that the machine reported; `None` before.
     zone: Option<String>,
-    /// It has answered a question on this link, so it hears a leader.
+    /// Whether the machine has answered a ping on this link, which means that it is connected to a leader.
     answers: bool,
 }
 
 impl Sources {
-    /// For a router in a zone; `seed` should differ from router to router.
+    /// Creates the state of a router without links; `seed` should differ between routers.
     pub fn new(zone: &str, seed: u64) -> Self {
         Self {
             zone: zone.to_owned(),
@@ -45,33 +45,33 @@
         }
     }
 
-    /// A link has come up.
+    /// A link was established.
     pub fn on_linked(&mut self, address: Ipv4Addr) {
         self.linked.entry(address).or_default();
     }
 
-    /// A machine said which zone it is in.
+    /// A machine reported its zone.
     pub fn on_zone(&mut self, address: Ipv4Addr, zone: &str) {
         self.linked.entry(address).or_default().zone = Some(zone.to_owned());
     }
 
-    /// A machine has answered whether this router's view is current.
+    /// A machine answered a ping.
     pub fn on_answer(&mut self, address: Ipv4Addr) {
         self.linked.entry(address).or_default().answers = true;
         self.unresponsive.remove(&address);
     }
 
-    /// A machine lets a question wait.
+    /// A machine has left a ping unanswered for too long.
     pub fn on_unresponsive(&mut self, address: Ipv4Addr) {
         self.unresponsive.insert(address);
     }
 
-    /// A link has ended.
+    /// A link was closed.
     pub fn on_link_ended(&mut self, address: Ipv4Addr) {
         self.linked.remove(&address);
     }
 
-    /// What this machine is to tell.
+    /// What this machine is to announce to the router.
     pub fn following(&self, address: Ipv4Addr) -> Following {
         let has_news = self.source_of_news() == Some(address);
         match (self.followed().contains(&address), has_news) {
@@ -82,21 +82,21 @@
         }
     }
 
-    /// The first of the own zone that hears a leader, or of the others while none there does. News would come
-    /// twice from two machines, and not at all from one that is cut off from the leader.
+    /// The first machine of the own zone that is connected to a leader, or of other zones if there is none. Two machines
+    /// would send all news twice, and a machine that is cut off from the leader would send none.
     fn source_of_news(&self) -> Option<Ipv4Addr> {
         let answering = self.responsive().filter(|(_, machine)| machine.answers);
         self.ranked(answering).into_iter().next()
     }
 
-    /// Machines that announce changes and are asked for them first: of the own zone, or others while none there
-    /// answers.
+    /// The machines that announce changes and are the first to be asked for them: of the own zone, or of others while
+    /// none there is responsive.
     pub fn followed(&self) -> Vec<Ipv4Addr> {
         let mut addresses = self.ranked(self.responsive());
         if addresses.is_empty() {
             addresses = self.ranked(self.linked.iter());
         }
-        addresses.truncate(MOST_FOLLOWED);
+        addresses.truncate(MAX_FOLLOWED);
         addresses
     }
 
@@ -106,16 +106,16 @@
         linked.filter(move |(address, _)| is_responsive(address))
     }
 
-    /// Machines of the own zone, or all others if none of them is, by rendezvous hashing.
+    /// The given machines of the own zone, or those of other zones if there is none, ordered by rendezvous hashing.
     fn ranked<'a>(
         &self,
         linked: impl Iterator<Item = (&'a Ipv4Addr, &'a Machine)>,
     ) -> Vec<Ipv4Addr> {
-        let told = linked.filter_map(|(address, machine)| {
+        let known = linked.filter_map(|(address, machine)| {
             let zone = machine.zone.as_deref()?;
             Some((*address, zone == self.zone))
         });
-        let (own, others): (Vec<_>, Vec<_>) = told.partition(|(_, is_own)| *is_own);
+        let (own, others): (Vec<_>, Vec<_>) = known.partition(|(_, is_own)| *is_own);
         let candidates = if own.is_empty() { others } else { own };
         let mut addresses: Vec<Ipv4Addr> = candidates.into_iter().map(|item| item.0).collect();
         addresses.sort_by_key(|address| xxh3_64_with_seed(&address.octets(), self.seed));
--- a/crates/gateway-core/src/view_links/sources_tests.rs
+++ b/crates/gateway-core/src/view_links/sources_tests.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_router_follows_the_machines_of_its_zone() {
-    // 985 routers that asked any of ten machines took 5.8 GB of state across zones in 38 s.
+    // When 985 routers fetched from any of ten machines, 5.8 GB of state crossed zones in 38 s.
     let mut followed = linked_to_all().followed();
     followed.sort_unstable();
     assert_eq!(followed, [machine(0, 1), machine(0, 2)]);
@@ -40,20 +40,24 @@
 }
 
 #[test]
-fn a_zone_that_lost_its_machines_follows_two_others_until_one_is_back() {
+fn without_machines_in_its_zone_a_router_follows_two_others_until_one_is_back() {
     let mut sources = linked_to_all();
     sources.on_link_ended(machine(0, 1));
     sources.on_link_ended(machine(0, 2));
     let others = sources.followed();
-    assert_eq!(others.len(), MOST_FOLLOWED);
+    assert_eq!(others.len(), MAX_FOLLOWED);
     sources.on_linked(machine(0, 2));
-    assert_eq!(sources.followed(), others, "it has not said its zone yet");
+    assert_eq!(
+        sources.followed(),
+        others,
+        "it has not reported its zone yet"
+    );
     sources.on_zone(machine(0, 2), "zone-0");
     assert_eq!(sources.followed(), [machine(0, 2)]);
 }
 
 #[test]
-fn routers_of_such_a_zone_spread_over_all_machines() {
+fn routers_in_a_zone_without_machines_spread_over_all_others() {
     let mut followers: BTreeMap<Ipv4Addr, usize> = BTreeMap::new();
     for seed in 0..200 {
         let mut sources = Sources::new("zone-9", seed);
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn news_come_from_one_machine_of_the_zone_that_hears_a_leader() {
+fn news_comes_from_one_machine_of_the_zone_that_is_connected_to_a_leader() {
     let mut sources = linked_to_all();
     let own = [machine(0, 1), machine(0, 2)];
     assert!(
@@ -89,11 +93,11 @@
 }
 
 #[test]
-fn a_machine_that_is_linked_anew_brings_news_once_it_answers() {
+fn a_machine_that_is_linked_again_sends_news_only_after_answering_a_ping() {
     let mut sources = linked_to_all();
     sources.on_answer(machine(0, 1));
     sources.on_answer(machine(3, 1));
-    // It is cut off from the leader: its link was given up for want of answers, and is there again.
+    // The machine is cut off from the leader: its link was closed because pings timed out, and was established again.
     sources.on_link_ended(machine(0, 1));
     sources.on_linked(machine(0, 1));
     sources.on_zone(machine(0, 1), "zone-0");
@@ -102,13 +106,13 @@
 }
 
 #[test]
-fn machines_that_let_questions_wait_are_not_followed_also_when_linked_anew() {
+fn unresponsive_machines_are_not_followed_even_after_they_are_linked_again() {
     let mut sources = linked_to_all();
     sources.on_unresponsive(machine(0, 1));
     assert_eq!(sources.followed(), [machine(0, 2)]);
     sources.on_unresponsive(machine(0, 2));
     let others = sources.followed();
-    assert_eq!(others.len(), MOST_FOLLOWED);
+    assert_eq!(others.len(), MAX_FOLLOWED);
     sources.on_link_ended(machine(0, 1));
     sources.on_linked(machine(0, 1));
     sources.on_zone(machine(0, 1), "zone-0");
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn while_no_machine_answers_those_of_the_zone_stay_followed() {
+fn while_all_machines_are_unresponsive_those_of_the_zone_stay_followed() {
     let mut sources = linked_to_all();
     let followed = sources.followed();
     for zone in 0..5 {
--- a/crates/gateway-core/src/view_links/tests.rs
+++ b/crates/gateway-core/src/view_links/tests.rs
@@ -1,18 +1,18 @@
-//! Tests of what is due on links, over all parts.
+//! Tests of the actions due on links.
 
 use super::*;
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 
-fn follows(steps: &[LinkAction]) -> usize {
-    let follows = steps.iter();
+fn follows(actions: &[LinkAction]) -> usize {
+    let follows = actions.iter();
     follows
-        .filter(|step| matches!(step, LinkAction::Follow { .. }))
+        .filter(|action| matches!(action, LinkAction::Follow { .. }))
         .count()
 }
 
 #[test]
-fn a_machine_is_told_that_it_is_followed_until_that_was_sent() {
+fn a_subscription_is_due_until_it_was_sent() {
     let mut links = ViewLinks::new("zone", 1);
     links.on_linked(MACHINE);
     links.on_zone(MACHINE, "zone");
@@ -25,5 +25,5 @@
     links.on_linked(MACHINE);
     links.on_zone(MACHINE, "zone");
     let again = links.poll(now, Position::default());
-    assert_eq!(follows(&again), 1, "a new link knows nothing");
+    assert_eq!(follows(&again), 1, "a new link has no subscription");
 }
