--- a/crates/gateway-core/src/control/accounts.rs
+++ b/crates/gateway-core/src/control/accounts.rs
@@ -178,7 +178,7 @@
                 continue;
             };
             account.charge(now, from, f64::from(entry.amount));
-            let believed = f64::from(entry.believed_level);
+            let believed = f64::from(entry.estimated_level);
             if takes_over && believed < account.account.level(now) {
                 account.account.set_level(now, believed);
             }
--- a/crates/gateway-core/src/message.rs
+++ b/crates/gateway-core/src/message.rs
@@ -258,17 +258,17 @@
     /// Units of its limit; negative when more was paid back than used.
     pub amount: i32,
     /// What the router believes is left after it, for a leader that does not know the past.
-    pub believed_level: i32,
+    pub estimated_level: i32,
 }
 
 impl UsageEntry {
     /// An entry; amounts beyond what it can hold are cut.
-    pub fn new(tenant: TenantKey, amount: i64, believed_level: f64) -> Self {
+    pub fn new(tenant: TenantKey, amount: i64, estimated_level: f64) -> Self {
         let narrow = amount.clamp(i64::from(i32::MIN), i64::from(i32::MAX));
         Self {
             tenant,
             amount: narrow as i32,
-            believed_level: believed_level as i32,
+            estimated_level: estimated_level as i32,
         }
     }
 }
