--- a/crates/gateway-core/src/command.rs
+++ b/crates/gateway-core/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands that the log replicates.
+//! The commands of the replicated log.
 
 use std::io::Cursor;
 
@@ -7,139 +7,139 @@
 
 use crate::{FingerprintKey, LoadedModel, RequestFingerprint};
 
-/// Tells a replica which of its callers waits for a committed command.
+/// Identifies a proposal, so that the replica that accepted it can answer the waiting caller once it is committed.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
-    /// Drawn at random at each start of the replica that took the command in.
+    /// A random number that the replica which accepted the command generates at each start.
     pub origin: u64,
-    /// Counts the origin's commands.
+    /// The number of the command at this origin.
     pub sequence: u64,
 }
 
 impl ProposalId {
-    /// The id of an encoded [`Proposal`], which begins with it.
+    /// Decodes the id of an encoded [`Proposal`], which starts with it.
     pub fn of(encoded: &[u8]) -> Option<Self> {
         Self::read(&mut Cursor::new(encoded)).ok()
     }
 }
 
-/// A command with its origin.
+/// A command with the id of its proposal: an entry of the log.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    /// Who waits for it.
+    /// The id of the proposal.
     pub id: ProposalId,
-    /// What to do.
+    /// The proposed command.
     pub command: Command,
 }
 
-/// How far a load of weights has come.
+/// A phase of loading weights.
 #[binrw]
 #[brw(little, repr = u8)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadPhase {
-    /// Routers stop sending; the order follows.
+    /// Routers stop sending requests; then the back end is ordered to load the version.
     Started = 0,
-    /// The back end holds the version.
+    /// The back end has loaded the version.
     Finished = 1,
-    /// The order was not taken; the back end serves what it had.
+    /// The back end did not accept the order and serves its previous version.
     Abandoned = 2,
 }
 
-/// What to do.
+/// A change of the replicated state.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// A configuration that was checked before; an older or equal version changes nothing.
+    /// Sets a configuration that was validated before; ignored unless its version is newer.
     #[brw(magic(1u8))]
     Configure {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// As the operator sent it.
+        /// The configuration as the operator sent it.
         body: Blob,
     },
-    /// A back end that is new.
+    /// Registers a back end.
     #[brw(magic(2u8))]
     Register {
-        /// Its incarnation.
+        /// The incarnation.
         instance: Text,
-        /// Its pool.
+        /// The pool.
         pool: Text,
-        /// IP:PORT.
+        /// The address, IP:PORT.
         address: Text,
-        /// Its zone.
+        /// The zone.
         zone: Text,
-        /// Requests it works on at once.
+        /// The number of requests that the back end serves concurrently.
         slots: u32,
-        /// 1 when it is leaving already.
+        /// 1 if the back end is draining already.
         draining: u8,
-        /// The weights it holds.
+        /// The weights that the back end has loaded.
         models: List<LoadedModel>,
     },
-    /// A back end that must get no new requests.
+    /// Stops new requests to a back end.
     #[brw(magic(3u8))]
     Drain {
-        /// Its incarnation.
+        /// The incarnation.
         instance: Text,
     },
-    /// A back end that has gone, or never comes back.
+    /// Removes a back end permanently.
     #[brw(magic(4u8))]
     Deregister {
-        /// Its incarnation.
+        /// The incarnation.
         instance: Text,
     },
-    /// New weights of a model.
+    /// Sets the target version of a model's weights.
     #[brw(magic(5u8))]
     SetTargetWeights {
         /// The model.
         model: Text,
-        /// The version that all back ends are to hold.
+        /// The version that all back ends are to load.
         version: u64,
     },
-    /// A back end that fell silent; its word brings it back.
+    /// Removes a back end whose heartbeats stopped; it may register again.
     #[brw(magic(7u8))]
     Expire {
-        /// Its incarnation.
+        /// The incarnation.
         instance: Text,
     },
-    /// A step of one back end's load of weights.
+    /// Records a phase of a back end's load of weights.
     #[brw(magic(6u8))]
     Load {
-        /// Its incarnation.
+        /// The incarnation.
         instance: Text,
         /// The model.
         model: Text,
-        /// The version that is loaded.
+        /// The version that is being loaded.
         version: u64,
-        /// The step.
+        /// The phase.
         phase: LoadPhase,
     },
-    /// The key under which work is identified; only the first one counts.
+    /// Sets the key of the fingerprint hash; ignored if there is one already.
     #[brw(magic(8u8))]
     SetFingerprintKey {
         /// The key.
         key: FingerprintKey,
     },
-    /// Work that no back end is to be given.
+    /// Quarantines a fingerprint: its requests are sent to no back end.
     #[brw(magic(9u8))]
     Quarantine {
-        /// The work.
+        /// The fingerprint.
         fingerprint: RequestFingerprint,
     },
-    /// Work that may be tried again.
+    /// Ends the quarantine of a fingerprint.
     #[brw(magic(10u8))]
     Release {
-        /// The work.
+        /// The fingerprint.
         fingerprint: RequestFingerprint,
     },
 }
 
 impl Proposal {
-    /// The proposal as an entry of the log.
+    /// Encodes the proposal as an entry of the log.
     pub fn encode(&self) -> Vec<u8> {
         let mut cursor = Cursor::new(Vec::new());
         self.write(&mut cursor)
@@ -147,7 +147,7 @@
         cursor.into_inner()
     }
 
-    /// Reads an entry back; `None` when it is no proposal, or more than one.
+    /// Decodes an entry of the log; `None` if it is not exactly one proposal.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let mut cursor = Cursor::new(bytes);
         let proposal = Self::read(&mut cursor).ok()?;
--- a/crates/gateway-core/src/document.rs
+++ b/crates/gateway-core/src/document.rs
@@ -1,4 +1,4 @@
-//! A whole configuration, as an operator sends it.
+//! The configuration document that operators send.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,129 +6,129 @@
 use crate::limits::TenantLimit;
 use crate::{ModelName, PoolName, TenantName};
 
-/// What may be repeated, and what the answer is.
+/// Whether a request may be repeated, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// The request may run more than once.
     Repeatable,
-    /// Runs at most once.
+    /// The request runs at most once.
     Once,
-    /// A stream of events that runs at most once.
+    /// The request runs at most once; the response is a stream of events.
     Stream,
-    /// A stream of events that another back end may take up behind the last event passed on.
+    /// The response is a stream of events that another back end may resume after the last event forwarded.
     ResumableStream,
 }
 
 impl RequestKind {
-    /// True when a second back end may get the request after the first may have run it.
+    /// True if the request may be sent to another back end although the first one may have run it.
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Repeatable | Self::ResumableStream)
     }
 
-    /// True when the answer is a stream of events.
+    /// True if the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
 
-/// A pool's share of a route's requests.
+/// The weight of a pool in the distribution of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     /// The pool.
     pub pool: PoolName,
-    /// Its weight against the other shares.
+    /// The weight relative to those of the other shares.
     pub weight: u32,
 }
 
-/// Which requests go where, and how.
+/// A route: which requests it matches, to which pools they go, and how they are handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The name in logs.
     pub name: String,
-    /// The host that requests name.
+    /// The host of matching requests.
     pub host: String,
-    /// What their paths begin with.
+    /// The path prefix of matching requests.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated, and whether responses are streams.
     pub kind: RequestKind,
-    /// The longest that a request may be held.
+    /// The default and maximum time from the arrival of a request to its deadline.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// The target for the time to the response; an earlier response has the full value to the client.
     pub target: Duration,
-    /// The longest pause between events that still counts as in time.
+    /// The maximum gap between events for which a stream counts as on time.
     pub gap_target: Option<Duration>,
-    /// 0 is most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// Back ends that one request may be sent to.
+    /// The maximum number of back ends that one request is sent to.
     pub max_attempts: u32,
-    /// True when no key is needed.
+    /// True if requests need no API key.
     pub public: bool,
-    /// Pools with their weights.
+    /// The pools with their weights.
     pub shares: Vec<Share>,
 }
 
-/// What back ends of a pool hold in memory.
+/// Properties of a pool whose back ends run models.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModelPool {
-    /// Requests that run at once on one back end.
+    /// The number of requests that one back end serves concurrently.
     pub slots: u32,
-    /// Tokens of KV cache on one back end.
+    /// The size of the KV cache of one back end, in tokens.
     pub cache_tokens: u64,
-    /// True when back ends keep a copy of a run at another one as it grows.
+    /// True if a back end can keep an up-to-date copy of a running request at another back end.
     pub copies_runs: bool,
-    /// The models.
+    /// The models that the pool serves.
     pub models: Vec<ModelName>,
 }
 
-/// A store of KV cache beside the back ends.
+/// An external store of KV cache that back ends share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheStore {
-    /// Where it listens, as IP:PORT.
+    /// The listen address, IP:PORT.
     pub address: String,
-    /// Its zone.
+    /// The zone of the store.
     pub zone: String,
-    /// Tokens it has room for.
+    /// The capacity in tokens.
     pub cache_tokens: u64,
 }
 
-/// A pool of back ends, or a store that serves them.
+/// A pool of back ends, or a cache store that serves them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// Its name.
+    /// The name, by which routes refer to the pool.
     pub name: PoolName,
-    /// Connections that one back end takes from all routers together; 0 for no bound.
+    /// The maximum number of connections from all routers together to one back end; 0 for no limit.
     pub max_connections: u32,
     /// Set for back ends that run models.
     pub models: Option<ModelPool>,
-    /// Set for a store.
+    /// Set for a cache store.
     pub store: Option<CacheStore>,
 }
 
-/// Who may send requests.
+/// A tenant, who may send requests with an API key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: TenantName,
-    /// Its keys.
+    /// The API keys; no other tenant has one of them.
     pub keys: Vec<String>,
-    /// Goes before the route's priority.
+    /// The priority of the tenant's requests; it overrides the priority of the route.
     pub priority: Option<u8>,
-    /// True when it shares no cached prompt with other tenants.
+    /// True if the tenant shares no cached prompts with others.
     pub isolated: bool,
-    /// The most that it may use; `None` for no limit.
+    /// The rate limit; `None` for no limit.
     pub limit: Option<TenantLimit>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on requests from clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// The maximum size of the header section in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// The maximum size of the body in bytes.
     pub body_bytes: usize,
-    /// How long a head may take.
+    /// The maximum time to receive the header section.
     pub header_timeout: Duration,
-    /// How long a connection may rest.
+    /// The maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
 }
 
@@ -143,28 +143,28 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Document {
-    /// The highest version wins.
+    /// The version; the configuration with the highest one is in force.
     pub version: u64,
-    /// Routes.
+    /// The routes.
     pub routes: Vec<Route>,
-    /// Pools and stores.
+    /// The pools and cache stores.
     pub pools: Vec<Pool>,
-    /// Tenants; none when requests need no key.
+    /// The tenants; empty if requests need no API key.
     pub tenants: Vec<Tenant>,
-    /// Bounds.
+    /// The limits on requests from clients.
     pub limits: Limits,
 }
 
-/// Why a configuration is refused.
+/// The reason for refusing a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidDocument {
-    /// It cannot be read whole.
+    /// The document cannot be parsed.
     #[error("unreadable: {0}")]
     Unreadable(String),
-    /// A route names a pool that is not there.
+    /// A route refers to a pool that the document does not define.
     #[error("route {route:?} names unknown pool {pool:?}")]
     UnknownPool {
         /// The route.
@@ -172,7 +172,7 @@
         /// The pool.
         pool: String,
     },
-    /// Two routes share host and path prefix.
+    /// Two routes have the same host and path prefix.
     #[error("two routes for host {host:?} and prefix {path_prefix:?}")]
     DuplicateRoute {
         /// The host.
@@ -180,32 +180,32 @@
         /// The prefix.
         path_prefix: String,
     },
-    /// A route's weights add up to zero.
+    /// The weights of a route add up to zero.
     #[error("weights of route {0:?} add up to 0")]
     NoWeight(String),
-    /// A route holds requests for no time at all.
+    /// The timeout of a route is zero.
     #[error("time-out of route {0:?} is 0")]
     NoTimeout(String),
-    /// Two tenants hold the same key.
+    /// Two tenants have the same API key.
     #[error("tenants {0:?} and {1:?} share a key")]
     SharedKey(String, String),
-    /// A tenant's limit is no limit.
+    /// The limit of a tenant is invalid.
     #[error("limit of tenant {tenant:?}: {reason}")]
     Limit {
         /// The tenant.
         tenant: String,
-        /// What is wrong with it.
+        /// What is wrong with the limit.
         reason: &'static str,
     },
 }
 
 impl Document {
-    /// The pool of this name.
+    /// The pool with this name.
     pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.name == *name)
     }
 
-    /// Checks what the parts promise one another.
+    /// Checks the consistency of the document, such as references to pools and the uniqueness of API keys.
     pub fn validate(&self) -> Result<(), InvalidDocument> {
         let pools: BTreeSet<&PoolName> = self.pools.iter().map(|pool| &pool.name).collect();
         let mut places = BTreeSet::new();
--- a/crates/gateway-core/src/ids.rs
+++ b/crates/gateway-core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names that are not interchangeable.
+//! Distinct types for names, so that one kind cannot be used in place of another.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name.
+            /// Copies a name.
             pub fn new(name: &str) -> Self {
                 Self(Arc::from(name))
             }
 
-            /// The name.
+            /// The name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -30,12 +30,12 @@
 }
 
 names! {
-    /// One incarnation of a back end; a restart brings another.
+    /// The name of an incarnation of a back end; each start of a back end has a new one.
     InstanceId;
-    /// A pool of back ends that serve the same requests.
+    /// The name of a pool of back ends that serve the same requests.
     PoolName;
-    /// A model that back ends hold in memory.
+    /// The name of a model that back ends run.
     ModelName;
-    /// A tenant.
+    /// The name of a tenant.
     TenantName;
 }
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -1,14 +1,14 @@
-//! What the gateway decides, without I/O, clock or threads.
+//! The decision logic of the gateway, without I/O, clock or threads.
 //!
-//! The gateway is drumshore for callers that run no process of ours: routers forward any HTTP
-//! request on a configured route, and control machines replicate what routers go by. This crate
-//! holds both state machines and the messages between them:
+//! The gateway serves clients that run no drumshore process: routers forward any HTTP
+//! request on a configured route, and control machines replicate the state that routers use. This crate
+//! contains the state machines of both and the messages between them:
 //!
-//! * [`Document`]: a whole configuration with its routes, pools and tenants;
-//! * [`ReplicatedState`]: what control machines agree on, command by command;
-//! * [`ControlCore`]: one control machine: the replicated log, members, reads, rollouts;
-//! * [`RouterCore`]: one router: its view, the lease on it, placement, limits on retries;
-//! * [`limits`]: what a tenant may use over all routers together.
+//! * [`Document`]: a complete configuration with its routes, pools and tenants;
+//! * [`ReplicatedState`]: the state that control machines replicate by a log of commands;
+//! * [`ControlCore`]: one control machine, with the replicated log, membership, reads and rollouts;
+//! * [`RouterCore`]: one router, with its view of the state, the lease on the view, placement and retry limits;
+//! * [`limits`]: rate limits that all routers enforce together.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/gateway-core/src/message.rs
+++ b/crates/gateway-core/src/message.rs
@@ -1,5 +1,5 @@
-//! What the gateway's processes say to one another. Each message travels in a checksummed frame
-//! of `drumshore-wire`.
+//! Messages between routers and control machines, and between control machines. Each message is sent in a checksummed
+//! frame of `drumshore-wire`.
 
 use std::collections::HashMap;
 
@@ -9,45 +9,48 @@
 
 use crate::{FingerprintKey, InstanceRecord, RequestFingerprint, TenantName};
 
-/// What a router tells about itself.
+/// A router's status, which it reports to control machines.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouterStatus {
-    /// Where callers reach it, IP:PORT.
+    /// The address for clients, IP:PORT.
     pub address: Text,
-    /// Its zone.
+    /// The zone of the router.
     pub zone: Text,
-    /// 1 while it takes new callers.
+    /// 1 while the router accepts new clients.
     pub accepting: u8,
-    /// 1 once it had a confirmed view, so that it can serve them.
+    /// 1 once the router has had a confirmed view, so that it can serve clients.
     pub has_view: u8,
 }
 
-/// What a control machine tells the routers that follow it when something changed.
+/// Sent by a control machine to the routers that follow it when the replicated state has changed.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Announcement {
-    /// How far it has applied the log.
+    /// The revision of the sender's state.
     pub revision: u64,
 }
 
-/// Weights that were named, and how long ago. A process that starts must not take what it hears
-/// for new.
+/// A target version of a model's weights, with its age: a process that starts must not treat the versions it receives
+/// as newly set.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightsNotice {
     /// The model.
     pub model: Text,
-    /// The version that back ends are to hold.
+    /// The version that back ends are to load.
     pub version: u64,
-    /// Milliseconds since it was named, as far as the sender knows.
+    /// Milliseconds since the version was set, as far as the sender knows.
     pub age_ms: u32,
 }
 
-/// What a control machine tells a router without being asked.
+/// What a router subscribes to at a control machine.
+///
+/// News is what the leader reports to all routers beside the replicated state: loads of back ends, the contents of
+/// their caches, and which of them are unresponsive or refuse requests.
 #[binrw]
 #[brw(little, repr = u8)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -55,118 +58,118 @@
     /// Nothing.
     #[default]
     Nothing = 0,
-    /// That the state has changed.
+    /// Announcements of changes of the replicated state.
     Changes = 1,
-    /// What the leader knows of loads, caches, silent and refusing back ends.
+    /// The leader's news.
     News = 2,
     /// Both.
     ChangesAndNews = 3,
 }
 
 impl Following {
-    /// Whether changes of the state are announced.
+    /// Whether the router is sent announcements of changes.
     pub fn has_changes(self) -> bool {
         matches!(self, Self::Changes | Self::ChangesAndNews)
     }
 
-    /// Whether news of the leader are passed on.
+    /// Whether the router is sent the leader's news.
     pub fn has_news(self) -> bool {
         matches!(self, Self::News | Self::ChangesAndNews)
     }
 }
 
-/// What changed between two revisions.
+/// The changes of the replicated state between two revisions.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// The revision that the receiver has; 0 when all is included.
+    /// The revision that the changes start from; 0 if they start from an empty state.
     pub since: u64,
-    /// The revision that this leads to.
+    /// The revision that the changes lead to.
     pub revision: u64,
-    /// The revision of the sender; more is to be asked for when this does not lead there.
+    /// The revision of the sender's state. If it is higher than `revision`, there are more changes to fetch.
     pub newest: u64,
     /// 0 or 1 configuration.
     pub configuration: List<Blob>,
-    /// Weights that were named.
+    /// Target versions of weights that were set.
     pub weights: List<WeightsNotice>,
-    /// Back ends that are new or changed.
+    /// Back ends that were registered or changed.
     pub instances: List<InstanceRecord>,
-    /// Back ends that have gone.
+    /// Incarnations that were removed.
     pub removed: List<Text>,
-    /// 0 or 1 key under which work is identified.
+    /// 0 or 1 key of the fingerprint hash.
     pub fingerprint_key: List<FingerprintKey>,
-    /// 0 or 1 list of all work that is quarantined.
+    /// 0 or 1 list of all quarantined fingerprints.
     pub quarantine: List<Quarantine>,
 }
 
-/// All work that no back end is given.
+/// All quarantined fingerprints. Their requests are sent to no back end.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Quarantine {
-    /// The work.
+    /// The fingerprints.
     pub fingerprints: List<RequestFingerprint>,
 }
 
-/// What became of work at a back end.
+/// What happened to a request at a back end.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FingerprintEvent {
-    /// The back end ended while it had the work in hand.
+    /// The back end crashed while serving the request.
     #[brw(magic(1u8))]
     BackEndCrashed {
-        /// Stands for the incarnation; see [`LoadEntry::key_of`].
+        /// The key of the incarnation, see [`LoadEntry::key_of`].
         back_end: u32,
-        /// Milliseconds for which it had had the work.
+        /// Milliseconds from receiving the request to the crash.
         service_time_ms: u32,
     },
-    /// The work ran to its end.
+    /// The request completed.
     #[brw(magic(2u8))]
     Completed,
 }
 
-/// What a router saw of work.
+/// A router's report of a completed request, or of a crash while serving one.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FingerprintReport {
-    /// The work.
+    /// The fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Milliseconds since then.
+    /// Milliseconds since the event.
     pub age_ms: u32,
     /// What happened.
     pub event: FingerprintEvent,
 }
 
-/// How many back ends have ended under work, over all routers.
+/// How often back ends crashed while serving a fingerprint, as reported by all routers.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FingerprintSuspicion {
-    /// The work.
+    /// The fingerprint.
     pub fingerprint: RequestFingerprint,
-    /// Moments at which some ended; 0 when nothing speaks against it any more.
+    /// Incidents with crashes, where simultaneous crashes count once; 0 if the fingerprint is no longer suspected.
     pub crashes: u8,
 }
 
 impl FingerprintSuspicion {
-    /// Its size in a message.
+    /// The size of an entry in a message.
     pub const BYTES: usize = 17;
 }
 
-/// Stands for a back end among control machines. Two of 100,000 share one with a chance of 3 in ten thousand
-/// million.
+/// A hash that identifies a back end between control machines. Among 100,000 back ends, the probability that any two
+/// share a key is 3 in 10,000 million.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackEndKey(u64);
 
 impl BackEndKey {
-    /// The first in the order of keys.
+    /// The smallest key.
     pub const MIN: Self = Self(u64::MIN);
-    /// The last in the order of keys.
+    /// The largest key.
     pub const MAX: Self = Self(u64::MAX);
 
     /// The key of an incarnation.
@@ -174,39 +177,39 @@
         Self(xxhash_rust::xxh3::xxh3_64(instance.as_bytes()))
     }
 
-    /// The key by which routers name it, see [`LoadEntry::key_of`].
+    /// The shorter key that routers use, see [`LoadEntry::key_of`].
     pub fn short(self) -> u32 {
         self.0 as u32
     }
 }
 
-/// How busy a back end is with requests of one router, or of several.
+/// The load of a back end from one router, or the sum over several routers.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadEntry {
-    /// Stands for the incarnation; see [`LoadEntry::key_of`].
+    /// The key of the incarnation, see [`LoadEntry::key_of`].
     pub key: u32,
-    /// Tokens of prompts that were sent and not yet answered, in [`LoadEntry::TOKENS`].
+    /// Prompt tokens of requests that were sent and not yet answered, in units of [`LoadEntry::TOKENS`].
     pub pending: u16,
-    /// Requests that were sent and have not ended.
+    /// Requests that were sent and have not completed.
     pub in_flight: u16,
 }
 
 impl LoadEntry {
-    /// Its size in a message.
+    /// The size of an entry in a message.
     pub const BYTES: usize = 8;
-    /// Tokens in one unit of `pending`.
+    /// The number of tokens in one unit of `pending`.
     pub const TOKENS: u32 = 64;
 
-    /// A short stand-in for an incarnation's name. Two that share it are taken for busier than
+    /// A short hash of the name of an incarnation. Back ends that share a key appear busier than
     /// they are, which does little harm.
     pub fn key_of(instance: &str) -> u32 {
         BackEndKey::of(instance).short()
     }
 
-    /// What remains of sums over all routers without one router's part, as it reported it last. A back end that
-    /// only this router uses stays in the list, as free.
+    /// Subtracts the load that one router reported last from the sums over all routers. A back end that only this
+    /// router uses stays in the list, with a load of 0.
     pub fn without(totals: &[Self], own: &[Self]) -> Vec<Self> {
         let own: HashMap<u32, &Self> = own.iter().map(|entry| (entry.key, entry)).collect();
         let rest = totals.iter().map(|total| match own.get(&total.key) {
@@ -221,21 +224,21 @@
     }
 }
 
-/// Stands for a part of a prompt that a store holds under a salt.
+/// A hash that identifies a part of a prompt in a store. Its salt keeps apart prompts that may not share a cache.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoredKey(pub u32);
 
 impl StoredKey {
-    /// The key of a part. Two parts that share it cost a read or a copy that was not needed.
+    /// The key of a part. If two parts share a key, the cost is an unnecessary read or copy.
     pub fn new(salt: &str, part: &str) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(salt.as_bytes());
         Self(xxhash_rust::xxh3::xxh3_64_with_seed(part.as_bytes(), seed) as u32)
     }
 }
 
-/// Stands for a tenant.
+/// A hash that identifies a tenant.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -248,21 +251,21 @@
     }
 }
 
-/// What a router admitted of a tenant's requests since its last report.
+/// A tenant's usage that a router admitted since its last report.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageEntry {
     /// The tenant.
     pub tenant: TenantKey,
-    /// Units of its limit; negative when more was paid back than used.
+    /// The amount in units of the tenant's limit; negative if refunds exceeded usage.
     pub amount: i32,
-    /// What the router believes is left after it, for a leader that does not know the past.
+    /// The router's estimate of the level after this usage, for a new leader that does not know earlier usage.
     pub estimated_level: i32,
 }
 
 impl UsageEntry {
-    /// An entry; amounts beyond what it can hold are cut.
+    /// Creates an entry; amounts outside the range of the field are clamped.
     pub fn new(tenant: TenantKey, amount: i64, estimated_level: f64) -> Self {
         let narrow = amount.clamp(i64::from(i32::MIN), i64::from(i32::MAX));
         Self {
@@ -273,24 +276,24 @@
     }
 }
 
-/// What is left of a tenant's limit, over all routers together.
+/// The level of a tenant's account at the leader, over all routers together.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AccountLevel {
     /// The tenant.
     pub tenant: TenantKey,
-    /// Units that may be used at once; negative after more was used than had flowed in.
+    /// Units that may be used at once; negative while the account is overdrawn.
     pub level: i32,
-    /// The receiver's share of what all routers used of late; `u16::MAX` is all of it.
+    /// The receiver's fraction of the recent usage of all routers, scaled to 0 to `u16::MAX`.
     share: u16,
 }
 
 impl AccountLevel {
-    /// Its size in a message.
+    /// The size of an entry in a message.
     pub const BYTES: usize = 14;
 
-    /// `share` is a part of one.
+    /// Creates an entry; `share` is a fraction from 0 to 1.
     pub fn new(tenant: TenantKey, level: f64, share: f64) -> Self {
         Self {
             tenant,
@@ -299,170 +302,171 @@
         }
     }
 
-    /// The receiver's share, a part of one.
+    /// The receiver's fraction of the recent usage of all routers, from 0 to 1.
     pub fn share(&self) -> f64 {
         f64::from(self.share) / f64::from(u16::MAX)
     }
 }
 
-/// A back end that holds a prefix of a prompt.
+/// A back end that caches a prefix of a prompt.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderEntry {
-    /// Stands for the prefix under its salt.
+    /// A hash of the prefix and its salt.
     pub prefix: u32,
-    /// Stands for the incarnation; see [`LoadEntry::key_of`].
+    /// The key of the incarnation, see [`LoadEntry::key_of`].
     pub key: u32,
 }
 
 impl HolderEntry {
-    /// Its size in a message.
+    /// The size of an entry in a message.
     pub const BYTES: usize = 8;
 }
 
-/// Stands for a store of cached prompts.
+/// A hash that identifies a store of cached prompts.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StoreId(pub u32);
 
 impl StoreId {
-    /// The store that listens at an address, IP:PORT.
+    /// The identifier of the store that listens at an address, IP:PORT.
     pub fn at(address: &str) -> Self {
         Self(xxhash_rust::xxh3::xxh3_64(address.as_bytes()) as u32)
     }
 }
 
-/// A message.
+/// A message between two processes of the gateway.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// The first message on a router's link, and again when it changes.
+    /// From a router: its status, as the first message on a link and whenever it changes.
     #[brw(magic(1u8))]
     Router(RouterStatus),
-    /// Replication between control machines.
+    /// Between control machines: an encoded message of the consensus protocol.
     #[brw(magic(2u8))]
     Consensus(Blob),
-    /// Commands for the leader to propose.
+    /// From a control machine to the leader: encoded proposals to append to the log.
     #[brw(magic(3u8))]
     Propose(List<Blob>),
-    /// A replica that no leader feeds asks to be let in.
+    /// A replica that receives nothing from a leader asks to become a member.
     #[brw(magic(4u8))]
     Join(ReplicaId),
-    /// Back ends that were heard at another control machine.
+    /// From a control machine to the leader: back ends whose heartbeats it received.
     #[brw(magic(5u8))]
     Heard(List<BackEndKey>),
-    /// Something changed.
+    /// From a control machine: the replicated state has changed.
     #[brw(magic(6u8))]
     Announce(Announcement),
-    /// A router asks what changed.
+    /// From a router: a request for changes of the replicated state.
     #[brw(magic(7u8))]
     Fetch {
-        /// The revision it has.
+        /// The revision that the router has.
         since: u64,
-        /// The revision of the state whose first part it was sent.
+        /// See [`crate::Position::source_revision`].
         source_revision: u64,
     },
-    /// The answer, or its first part.
+    /// From a control machine: the response to a fetch, or its next chunk.
     #[brw(magic(8u8))]
     Changes(Changes),
-    /// A router asks which revision is surely not outdated.
+    /// From a router: asks for a revision that was confirmed by a quorum after the ping arrived.
     #[brw(magic(9u8))]
     Ping {
-        /// Counts the router's questions.
+        /// The router's number of the ping.
         sequence: u64,
     },
-    /// The answer, once a quorum confirmed it after the question came.
+    /// The response to a ping, sent once a quorum has confirmed the revision.
     #[brw(magic(10u8))]
     Pong {
-        /// From the question.
+        /// The number of the ping.
         sequence: u64,
-        /// Everything accepted before the question is at or below it.
+        /// A revision at or above everything that was accepted before the ping.
         revision: u64,
-        /// Routers linked to this control machine.
+        /// The number of routers linked to this control machine.
         routers: u16,
         /// The IPv4 addresses of all control machines.
         controls: List<u32>,
-        /// The IPv4 address of the leader; 0 when unknown.
+        /// The IPv4 address of the leader; 0 if unknown.
         leader: u32,
     },
     /// From a router: the load it puts on back ends.
     #[brw(magic(11u8))]
     Loads(List<LoadEntry>),
-    /// From the leader: what a store of cached prompts holds.
+    /// From the leader: the contents of a store of cached prompts.
     #[brw(magic(12u8))]
     Stored {
         /// The store.
         store: StoreId,
-        /// 0 when the store does not answer.
+        /// 0 if the store is unresponsive.
         known: u8,
-        /// 1 when what was told before is void.
+        /// 1 if this replaces all contents sent before; 0 if it updates them.
         reset: u8,
-        /// Parts that came.
+        /// Parts that were added.
         added: List<StoredKey>,
-        /// Parts that went.
+        /// Parts that were removed.
         removed: List<StoredKey>,
     },
-    /// From a router: prompts that back ends have read. From the leader: the same of all others.
+    /// From a router: prefixes that back ends have cached. From the leader: those that routers reported.
     #[brw(magic(13u8))]
     Holders(List<HolderEntry>),
-    /// From a router: back ends that it found silent, as [`LoadEntry::key_of`] names them. From
-    /// the leader: the same of another router.
+    /// From a router: the keys of unresponsive back ends, see [`LoadEntry::key_of`]. From
+    /// the leader: those that another router reported.
     #[brw(magic(14u8))]
     Suspects(List<u32>),
-    /// From a router: back ends that turned a request away, as [`LoadEntry::key_of`] names them.
-    /// From the leader: the same of other routers.
+    /// From a router: the keys of back ends that refused a request, see [`LoadEntry::key_of`].
+    /// From the leader: those that other routers reported.
     #[brw(magic(15u8))]
     Refusing(List<u32>),
-    /// The load that all routers put on back ends, the receiver's among it; see [`LoadEntry::without`].
+    /// From the leader: the load that all routers put on back ends, including the receiver's, which the receiver
+    /// subtracts by [`LoadEntry::without`].
     #[brw(magic(16u8))]
     LoadsOfAll {
-        /// 1 when back ends that are not named are free of it; 0 when they are as told before.
+        /// 1 if back ends that are not listed have no load; 0 if their load is as sent before.
         whole: u8,
-        /// Sums over routers.
+        /// Sums over all routers.
         loads: List<LoadEntry>,
     },
-    /// From a router: what it admitted of the requests of tenants that have a limit.
+    /// From a router: the usage that it admitted of tenants with a limit.
     #[brw(magic(17u8))]
     Usage(List<UsageEntry>),
-    /// From the leader: what is left of the limits of tenants. An empty list says that none of
-    /// those that the router does not know is close to its limit.
+    /// From the leader: the levels of tenants' accounts. An empty list means that no tenant unknown to the router
+    /// is close to its limit.
     #[brw(magic(18u8))]
     AccountLevels(List<AccountLevel>),
-    /// From a router to all control machines: what it saw of work that back ends ended under.
+    /// From a router to all control machines: crashes while serving requests, and completions of suspected ones.
     #[brw(magic(19u8))]
     FingerprintReports(List<FingerprintReport>),
-    /// From any control machine: work that is suspected, or no longer is.
+    /// From any control machine: fingerprints that are suspected, or no longer are.
     #[brw(magic(20u8))]
     FingerprintSuspicions(List<FingerprintSuspicion>),
-    /// From a control machine on its link to another one, and back: the link carries bytes.
+    /// Between control machines: shows that the link still transports data.
     #[brw(magic(21u8))]
     KeepAlive,
-    /// From the leader: the next request that carries this quarantined work may run.
+    /// From the leader: the next request with this quarantined fingerprint may run as a trial.
     #[brw(magic(22u8))]
     PermitTrial(RequestFingerprint),
-    /// From a control machine on a router's link: the zone that it is in.
+    /// From a control machine to a router: the zone of the control machine.
     #[brw(magic(23u8))]
     ControlZone(Text),
-    /// From a router: what it is to be told on this link.
+    /// From a router: its subscription on this link.
     #[brw(magic(24u8))]
     Follow(Following),
-    /// From the leader to another control machine: an encoded message for the routers that follow it.
+    /// From the leader to another control machine: an encoded message to forward to the routers that follow it.
     #[brw(magic(25u8))]
     News(Blob),
 }
 
 impl Message {
-    /// The payload of a frame.
+    /// Encodes the message as the payload of a frame.
     pub fn encode(&self) -> Vec<u8> {
         let mut cursor = std::io::Cursor::new(Vec::new());
         binrw::BinWrite::write(self, &mut cursor).expect("a message fits in its length fields");
         cursor.into_inner()
     }
 
-    /// Reads a payload back; `None` when it is no message.
+    /// Decodes a payload; `None` if it is not a valid message.
     pub fn decode(payload: &[u8]) -> Option<Self> {
         binrw::BinRead::read(&mut std::io::Cursor::new(payload)).ok()
     }
--- a/crates/gateway-core/src/router_wire.rs
+++ b/crates/gateway-core/src/router_wire.rs
@@ -1,8 +1,9 @@
-//! How messages are laid out on a link between a control machine and a router, of which one may be of an earlier build.
+//! The wire formats on links between control machines and routers, one of which may run an earlier build.
 //!
-//! Builds in the field cannot be changed: what they send and refuse is fixed, and one that gets a message it cannot
-//! read ends the link. A control machine therefore tells by a router's first message, its status, which build it runs,
-//! and a router by a control machine's first message, its zone; both speak as the other expects.
+//! Deployed builds cannot be changed: what they send and accept is fixed, and they close the link on a message that
+//! they cannot decode. A control machine therefore detects the format of a router by its first message, the status,
+//! and a router detects that of a control machine by its first message, the zone. Both then use the format of the
+//! peer.
 
 use std::io::Cursor;
 
@@ -13,22 +14,22 @@
     Changes, FingerprintKey, InstanceRecord, Message, Quarantine, RouterStatus, WeightsNotice,
 };
 
-/// The layouts that are used.
+/// The wire formats in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RouterWire {
-    /// As [`Message`] is.
+    /// The layout of [`Message`].
     #[default]
     Current,
-    /// Of builds whose status does not say whether the router has a view, and whose control machines do not say their
-    /// zone. They ask for changes by one revision, take or send a state whole, choose nobody to follow, and tell sums
-    /// of loads without the receiver's own.
+    /// The format of earlier builds. Their status does not contain whether the router has a view, and their control
+    /// machines do not report their zone. They fetch changes by one revision, send and receive the state as a whole,
+    /// have no subscriptions, and subtract the receiver's own load from sums of loads before sending them.
     BeforeViews,
 }
 
-/// The messages that were laid out otherwise.
+/// The messages that had a different layout in earlier builds.
 #[binrw]
 #[brw(little)]
-enum EarlierMessage {
+enum LegacyMessage {
     #[brw(magic(1u8))]
     Router {
         address: Text,
@@ -51,21 +52,20 @@
 }
 
 impl RouterWire {
-    /// All layouts.
+    /// All wire formats.
     pub const ALL: [Self; 2] = [Self::Current, Self::BeforeViews];
 
-    /// Reads the first message on a link, and by which layout it is one; `None` when it is no message.
+    /// Decodes the first message of a router and detects its format; `None` if it is not a valid first message.
     pub fn detect_from_router(payload: &[u8]) -> Option<(Self, Message)> {
         if let Some(message) = Message::decode(payload) {
             return Some((Self::Current, message));
         }
-        let message = read_earlier(payload)?;
+        let message = decode_legacy(payload)?;
         let is_status = matches!(message, Message::Router(_));
         is_status.then_some((Self::BeforeViews, message))
     }
 
-    /// Reads a control machine's first message on a router's link, and by which layout it is one; `None` when it is no
-    /// message.
+    /// Decodes the first message of a control machine and detects its format; `None` if it is not a valid message.
     pub fn detect_from_control(payload: &[u8]) -> Option<(Self, Message)> {
         let zone =
             Message::decode(payload).filter(|first| matches!(first, Message::ControlZone(_)));
@@ -75,15 +75,15 @@
         Some((Self::BeforeViews, Self::BeforeViews.decode(payload)?))
     }
 
-    /// Reads a message; `None` when it is none.
+    /// Decodes a message; `None` if it is not valid.
     pub fn decode(self, payload: &[u8]) -> Option<Message> {
         match self {
             Self::Current => Message::decode(payload),
-            Self::BeforeViews => read_earlier(payload).or_else(|| Message::decode(payload)),
+            Self::BeforeViews => decode_legacy(payload).or_else(|| Message::decode(payload)),
         }
     }
 
-    /// Lays a message out; `None` when the other one cannot read it.
+    /// Encodes a message; `None` if the peer cannot decode this message.
     pub fn encode(self, message: &Message) -> Option<Vec<u8>> {
         match (self, message) {
             (Self::Current, _) => Some(message.encode()),
@@ -92,27 +92,27 @@
                 Message::ControlZone(_) | Message::LoadsOfAll { .. } | Message::Follow(_),
             ) => None,
             (Self::BeforeViews, Message::Fetch { since, .. }) => {
-                Some(write_earlier(&EarlierMessage::Fetch { since: *since }))
+                Some(encode_legacy(&LegacyMessage::Fetch { since: *since }))
             }
             (Self::BeforeViews, Message::Changes(changes)) => {
-                Some(write_earlier(&earlier_changes(changes)))
+                Some(encode_legacy(&to_legacy_changes(changes)))
             }
             (Self::BeforeViews, _) => Some(message.encode()),
         }
     }
 }
 
-/// A router of an earlier build does not say whether it has a view, so it is taken to have one, as it was by control
-/// machines of its build; and it never has a part of the state that it does not say. A control machine of an earlier
-/// build sends all that it has.
-fn read_earlier(payload: &[u8]) -> Option<Message> {
+/// A router of an earlier build does not report whether it has a view. It is assumed to have one, as control machines
+/// of that build did. It never holds only a part of the state, so its source revision is 0. A control machine of an
+/// earlier build always sends everything up to its own revision.
+fn decode_legacy(payload: &[u8]) -> Option<Message> {
     let mut cursor = Cursor::new(payload);
-    let message = EarlierMessage::read(&mut cursor).ok()?;
+    let message = LegacyMessage::read(&mut cursor).ok()?;
     if cursor.position() != payload.len() as u64 {
         return None;
     }
     match message {
-        EarlierMessage::Router {
+        LegacyMessage::Router {
             address,
             zone,
             accepting,
@@ -122,11 +122,11 @@
             accepting,
             has_view: 1,
         })),
-        EarlierMessage::Fetch { since } => Some(Message::Fetch {
+        LegacyMessage::Fetch { since } => Some(Message::Fetch {
             since,
             source_revision: 0,
         }),
-        EarlierMessage::Changes {
+        LegacyMessage::Changes {
             since,
             revision,
             configuration,
@@ -149,7 +149,7 @@
     }
 }
 
-fn earlier_changes(changes: &Changes) -> EarlierMessage {
+fn to_legacy_changes(changes: &Changes) -> LegacyMessage {
     let Changes {
         since,
         revision,
@@ -161,7 +161,7 @@
         fingerprint_key,
         quarantine,
     } = changes.clone();
-    EarlierMessage::Changes {
+    LegacyMessage::Changes {
         since,
         revision,
         configuration,
@@ -173,7 +173,7 @@
     }
 }
 
-fn write_earlier(message: &EarlierMessage) -> Vec<u8> {
+fn encode_legacy(message: &LegacyMessage) -> Vec<u8> {
     let mut cursor = Cursor::new(Vec::new());
     message
         .write(&mut cursor)
--- a/crates/gateway-core/src/router_wire_tests.rs
+++ b/crates/gateway-core/src/router_wire_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what routers of earlier builds send and read.
+//! Tests of the wire format of earlier builds.
 
 use rstest::rstest;
 
@@ -14,16 +14,16 @@
     }
 }
 
-/// The status of an earlier build is that of this one without its last byte.
-fn earlier_status() -> Vec<u8> {
+/// The status in the earlier format is the current one without its last byte.
+fn legacy_status() -> Vec<u8> {
     let mut bytes = Message::Router(status()).encode();
     bytes.pop();
     bytes
 }
 
 #[test]
-fn a_status_without_its_last_field_is_read_and_tells_the_build() {
-    let read = RouterWire::detect_from_router(&earlier_status());
+fn the_format_of_a_router_is_detected_by_its_status() {
+    let read = RouterWire::detect_from_router(&legacy_status());
     assert_eq!(
         read,
         Some((RouterWire::BeforeViews, Message::Router(status())))
@@ -37,12 +37,12 @@
 #[case::an_unknown_kind(&[200, 1, 2])]
 #[case::a_status_cut_short(&[1, 11, 0])]
 #[case::no_status(&[7, 1, 0, 0, 0, 0, 0, 0, 0])]
-fn what_is_no_first_message_is_refused(#[case] payload: &[u8]) {
+fn an_invalid_first_message_is_refused(#[case] payload: &[u8]) {
     assert_eq!(RouterWire::detect_from_router(payload), None);
 }
 
 #[test]
-fn each_prefix_of_a_status_but_one_is_refused() {
+fn a_truncated_status_is_refused_except_in_the_earlier_format() {
     let whole = Message::Router(status()).encode();
     for length in 0..whole.len() - 1 {
         assert_eq!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_earlier_question_names_one_revision() {
+fn a_fetch_in_the_earlier_format_has_one_revision() {
     let mut payload = vec![7];
     payload.extend(5_u64.to_le_bytes());
     let expected = Message::Fetch {
@@ -65,9 +65,9 @@
     assert_eq!(RouterWire::Current.decode(&payload), None);
 }
 
-/// What follows the two revisions stays byte by byte.
+/// All other bytes stay the same.
 #[test]
-fn changes_for_an_earlier_build_do_not_say_the_newest_revision() {
+fn changes_in_the_earlier_format_lack_the_newest_revision() {
     const NEWEST: std::ops::Range<usize> = 17..25;
     let changes = Message::Changes(Changes {
         since: 1,
@@ -86,7 +86,7 @@
 #[case::zone(Message::ControlZone(Text::new("a")))]
 #[case::loads(Message::LoadsOfAll { whole: 1, loads: List::new(vec![LoadEntry::default()]) })]
 #[case::follow(Message::Follow(Following::Changes))]
-fn what_an_earlier_build_cannot_read_is_not_sent(#[case] message: Message) {
+fn messages_that_an_earlier_build_cannot_decode_are_not_sent(#[case] message: Message) {
     assert_eq!(RouterWire::BeforeViews.encode(&message), None);
     assert_eq!(RouterWire::Current.encode(&message), Some(message.encode()));
 }
@@ -94,7 +94,7 @@
 #[rstest]
 #[case::announcement(Message::Announce(Announcement { revision: 5 }))]
 #[case::ping(Message::Ping { sequence: 8 })]
-fn what_did_not_change_is_the_same_for_both(#[case] message: Message) {
+fn unchanged_messages_have_the_same_layout_in_both_formats(#[case] message: Message) {
     let payload = message.encode();
     for wire in RouterWire::ALL {
         assert_eq!(wire.encode(&message), Some(payload.clone()));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_control_machine_that_does_not_say_its_zone_first_is_of_an_earlier_build() {
+fn the_format_of_a_control_machine_is_detected_by_its_first_message() {
     let zone = Message::ControlZone(Text::new("a"));
     let read = RouterWire::detect_from_control(&zone.encode());
     assert_eq!(read, Some((RouterWire::Current, zone)));
@@ -113,9 +113,9 @@
     assert_eq!(RouterWire::detect_from_control(&[200, 1, 2]), None);
 }
 
-/// A router that read them by its own layout ended the link each time.
+/// A router that decoded them in the current format closed the link each time.
 #[test]
-fn changes_of_an_earlier_control_machine_are_read_and_lead_to_all_that_it_has() {
+fn changes_of_an_earlier_control_machine_are_decoded_up_to_its_revision() {
     let changes = Changes {
         since: 1,
         revision: 3,
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_question_to_an_earlier_control_machine_names_one_revision() {
+fn a_fetch_to_an_earlier_control_machine_has_one_revision() {
     let question = Message::Fetch {
         since: 5,
         source_revision: 9,
--- a/crates/gateway-core/src/state.rs
+++ b/crates/gateway-core/src/state.rs
@@ -1,7 +1,7 @@
-//! What control machines agree on. Applying the same commands gives the same state everywhere.
+//! The replicated state of the control machines. Applying the same commands gives the same state on each of them.
 
 mod changes;
-mod image;
+mod snapshot;
 
 use std::collections::BTreeMap;
 
@@ -14,80 +14,80 @@
 
 use changes::ChangeIndex;
 
-/// Back ends that have gone are remembered, so that a late word of theirs does not bring them
-/// back; beyond this many the oldest are forgotten.
-const REMEMBERED_REMOVALS: usize = 4_096;
+/// The maximum number of removed back ends that are remembered, so that a late registration does not add them
+/// again. Beyond it the oldest are forgotten.
+const MAX_REMOVALS: usize = 4_096;
 
-/// Versions of one model; enough for those that are named within the time a load may take.
-const REMEMBERED_VERSIONS: usize = 16;
+/// The maximum number of target versions kept per model; enough for those set within the time that a load may take.
+const MAX_VERSIONS: usize = 16;
 
-/// Work that is quarantined at once; beyond it the oldest is released. Each has ended three back ends, and
-/// a router is sent all of it, 16 KB, when it changes.
-const MOST_QUARANTINED: usize = 1_024;
+/// The maximum number of quarantined fingerprints; beyond it the oldest is released. Each has crashed three back
+/// ends. Routers are sent the whole list, at most 16 KB, whenever it changes.
+const MAX_QUARANTINED: usize = 1_024;
 
 /// Whether a back end may get new requests.
 #[binrw]
 #[brw(little, repr = u8)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It may.
+    /// The back end may get new requests.
     Ready = 0,
-    /// It may not, and never will again.
+    /// The back end gets no new requests and never becomes ready again.
     Draining = 1,
 }
 
-/// The weights that a back end holds of one model.
+/// The weights that a back end has loaded of one model.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadedModel {
     /// The model.
     pub model: Text,
-    /// The version it holds.
+    /// The version that is loaded.
     pub version: u64,
-    /// The version it is loading; 0 for none.
+    /// The version that is being loaded; 0 for none.
     pub loading: u64,
 }
 
-/// A back end.
+/// A registered back end.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceRecord {
-    /// Its incarnation.
+    /// The incarnation.
     pub instance: Text,
-    /// Its pool.
+    /// The pool.
     pub pool: Text,
-    /// IP:PORT.
+    /// The address, IP:PORT.
     pub address: Text,
-    /// Its zone.
+    /// The zone.
     pub zone: Text,
-    /// Requests it works on at once.
+    /// The number of requests that the back end serves concurrently.
     pub slots: u32,
-    /// Whether it may get new requests.
+    /// Whether the back end may get new requests.
     pub lifecycle: Lifecycle,
-    /// The weights it holds.
+    /// The weights that the back end has loaded.
     pub models: List<LoadedModel>,
-    /// The revision that registered it; of two at one address the later is in charge.
+    /// The revision that registered the back end. Of two at the same address, the later one owns it.
     pub registered: u64,
-    /// The revision that changed it last.
+    /// The revision that last changed the record.
     pub revision: u64,
 }
 
 impl InstanceRecord {
-    /// The weights of a model.
+    /// The loaded weights of a model; `None` if the back end doesn't serve it.
     pub fn model(&self, model: &str) -> Option<&LoadedModel> {
         let mut models = self.models.items.iter();
         models.find(|loaded| loaded.model.as_str() == model)
     }
 
-    /// True while an order for new weights is under way.
+    /// True while the back end is loading new weights.
     pub fn is_loading(&self) -> bool {
         self.models.items.iter().any(|loaded| loaded.loading != 0)
     }
 }
 
-/// The version of a model that all back ends are to hold.
+/// A version of a model that all back ends are to load.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -96,7 +96,7 @@
     pub model: Text,
     /// The version.
     pub version: u64,
-    /// The revision that named it.
+    /// The revision that set this version.
     pub revision: u64,
 }
 
@@ -109,7 +109,7 @@
     body: Blob,
 }
 
-/// The key under which work is identified.
+/// The key of the fingerprint hash, with the revision that set it.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug)]
@@ -121,7 +121,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Removed {
     revision: u64,
-    /// It fell silent and may speak again.
+    /// The back end was removed because its heartbeats stopped; it may register again.
     may_return: bool,
 }
 
@@ -130,21 +130,21 @@
 pub struct ReplicatedState {
     revision: u64,
     /// Removals up to this revision may have been forgotten.
-    forgotten: u64,
+    removals_forgotten_to: u64,
     configuration: StoredConfiguration,
-    /// The versions of each model that were named last, oldest first.
+    /// The last target versions of each model, oldest first.
     weights: BTreeMap<String, Vec<TargetWeights>>,
     instances: BTreeMap<String, InstanceRecord>,
     removals: BTreeMap<String, Removed>,
     changed: ChangeIndex,
     fingerprint_key: Option<StoredFingerprintKey>,
-    /// Work that no back end is given, by the position that said so.
+    /// The quarantined fingerprints, each with the log position that quarantined it.
     quarantined: BTreeMap<RequestFingerprint, u64>,
     quarantine_revision: u64,
 }
 
 impl ReplicatedState {
-    /// The position of the last command that changed something.
+    /// The log position of the last command that changed the state.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -159,49 +159,49 @@
         (self.configuration.version > 0).then_some(&self.configuration.body.bytes[..])
     }
 
-    /// All back ends.
+    /// All registered back ends.
     pub fn instances(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.instances.values()
     }
 
-    /// One back end.
+    /// The registered back end with this incarnation.
     pub fn instance(&self, instance: &str) -> Option<&InstanceRecord> {
         self.instances.get(instance)
     }
 
-    /// True when the back end has gone for good.
+    /// True if the back end was removed and may not register again.
     pub fn is_removed(&self, instance: &str) -> bool {
         let removed = self.removals.get(instance);
         removed.is_some_and(|removed| !removed.may_return)
     }
 
-    /// The weights that were named last, of each model oldest first.
+    /// The last target versions, of each model oldest first.
     pub fn weights(&self) -> impl Iterator<Item = &TargetWeights> {
         self.weights.values().flatten()
     }
 
-    /// The version of a model that back ends are to hold; 0 when none was named.
+    /// The version of a model that back ends are to load; 0 if none was set.
     pub fn target_version(&self, model: &str) -> u64 {
-        let newest = self.weights.get(model).and_then(|named| named.last());
-        newest.map_or(0, |named| named.version)
+        let newest = self.weights.get(model).and_then(|target| target.last());
+        newest.map_or(0, |target| target.version)
     }
 
-    /// The key under which work is identified; `None` before the first leader has drawn one.
+    /// The key of the fingerprint hash; `None` until a leader has generated one.
     pub fn fingerprint_key(&self) -> Option<&FingerprintKey> {
         self.fingerprint_key.as_ref().map(|stored| &stored.key)
     }
 
-    /// Work that no back end is given.
+    /// The quarantined fingerprints.
     pub fn quarantined(&self) -> impl Iterator<Item = RequestFingerprint> + '_ {
         self.quarantined.keys().copied()
     }
 
-    /// True while no back end is given the work.
+    /// True while requests with the fingerprint are sent to no back end.
     pub fn is_quarantined(&self, fingerprint: RequestFingerprint) -> bool {
         self.quarantined.contains_key(&fingerprint)
     }
 
-    /// Applies a committed command at its position. True when something changed.
+    /// Applies the committed command at a log position. True if it changed the state.
     pub fn apply(&mut self, position: u64, command: &Command) -> bool {
         let changed = match command {
             Command::Configure { version, body } => self.configure(position, *version, body),
@@ -209,7 +209,9 @@
             Command::Drain { instance } => self.drain(position, instance),
             Command::Deregister { instance } => self.remove(position, instance, false),
             Command::Expire { instance } => self.expire(position, instance),
-            Command::SetTargetWeights { model, version } => self.name(position, model, *version),
+            Command::SetTargetWeights { model, version } => {
+                self.set_target_weights(position, model, *version)
+            }
             Command::Load {
                 instance,
                 model,
@@ -256,7 +258,7 @@
             return false;
         }
         if self.instances.contains_key(name) {
-            // It registered as ready just before it said that it leaves.
+            // The back end registered as ready before, and now registers as draining.
             return *draining != 0 && self.drain(position, instance);
         }
         let removed = self.removals.remove(name);
@@ -296,8 +298,8 @@
         true
     }
 
-    /// Also for an instance that was never seen: a word of it that is still on its way must not
-    /// bring it back.
+    /// Also records the removal of an instance that was never registered, so that a delayed registration does not
+    /// add it.
     fn remove(&mut self, position: u64, instance: &Text, may_return: bool) -> bool {
         let name = instance.as_str();
         if self.is_removed(name) {
@@ -316,7 +318,7 @@
         true
     }
 
-    /// One that is leaving stays, so that a late word cannot make it ready again.
+    /// Removes a ready back end. A draining one stays, so that a late registration cannot make it ready again.
     fn expire(&mut self, position: u64, instance: &Text) -> bool {
         let record = self.instances.get(instance.as_str());
         let ready = record.is_some_and(|record| record.lifecycle == Lifecycle::Ready);
@@ -324,35 +326,35 @@
     }
 
     fn forget_oldest_removal(&mut self) {
-        if self.removals.len() <= REMEMBERED_REMOVALS {
+        if self.removals.len() <= MAX_REMOVALS {
             return;
         }
         let oldest = self.removals.iter().min_by_key(|item| item.1.revision);
         if let Some((name, revision)) = oldest.map(|item| (item.0.clone(), item.1.revision)) {
             self.removals.remove(&name);
             self.changed.forget(revision);
-            self.forgotten = self.forgotten.max(revision);
+            self.removals_forgotten_to = self.removals_forgotten_to.max(revision);
         }
     }
 
-    fn name(&mut self, position: u64, model: &Text, version: u64) -> bool {
+    fn set_target_weights(&mut self, position: u64, model: &Text, version: u64) -> bool {
         if version <= self.target_version(model.as_str()) {
             return false;
         }
-        let named = TargetWeights {
+        let target = TargetWeights {
             model: model.clone(),
             version,
             revision: position,
         };
         let versions = self.weights.entry(model.as_str().to_owned()).or_default();
-        versions.push(named);
-        if versions.len() > REMEMBERED_VERSIONS {
+        versions.push(target);
+        if versions.len() > MAX_VERSIONS {
             versions.remove(0);
         }
         true
     }
 
-    /// Work that was identified under one key is not found under another, so the first one stays.
+    /// Sets the first key only: fingerprints computed with one key don't match those computed with another.
     fn set_fingerprint_key(&mut self, position: u64, key: &FingerprintKey) -> bool {
         if self.fingerprint_key.is_some() {
             return false;
@@ -368,7 +370,7 @@
         if self.is_quarantined(fingerprint) {
             return false;
         }
-        if self.quarantined.len() >= MOST_QUARANTINED {
+        if self.quarantined.len() >= MAX_QUARANTINED {
             let oldest = self.quarantined.iter().min_by_key(|item| *item.1);
             if let Some(oldest) = oldest.map(|item| *item.0) {
                 self.quarantined.remove(&oldest);
--- a/crates/gateway-core/src/state/changes.rs
+++ b/crates/gateway-core/src/state/changes.rs
@@ -1,4 +1,4 @@
-//! What a router lacks of the replicated state, whole or in parts of bounded size.
+//! The changes of the replicated state that a router lacks, at once or in chunks of bounded size.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -8,20 +8,21 @@
 use super::{InstanceRecord, Removed, ReplicatedState, TargetWeights};
 use crate::{Changes, Quarantine, WeightsNotice};
 
-/// What a record takes in a message beside its texts: lengths, slots, lifecycle and revisions, and the weights
-/// of one model.
+/// The size of a record in a message beside its texts: lengths, slots, lifecycle, revisions, and the weights of one
+/// model.
 const RECORD_BYTES: usize = 64;
 
-/// How far a router has come with the state.
+/// How much of the replicated state a router has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The revision that it has; 0 when it has nothing.
+    /// The revision that the router has; 0 if it has nothing.
     pub held: u64,
-    /// The revision of the state whose first part it was sent; 0 when it was sent none.
+    /// The revision of the sender's state when it sent the first chunk; 0 if the router received none. An older state
+    /// cannot provide the next chunk.
     pub source_revision: u64,
 }
 
-/// The back end that each revision changed, of those that no later one changed again.
+/// The back ends by the revision that last changed them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ChangeIndex(BTreeMap<u64, String>);
 
@@ -40,7 +41,7 @@
         Self(entries.map(|(at, name)| (at, name.clone())).collect())
     }
 
-    /// A back end has changed; `earlier` is the revision that had changed it before.
+    /// Records that a back end changed at a position; `earlier` is the revision that changed it before.
     pub fn note(&mut self, position: u64, name: &str, earlier: Option<u64>) {
         if let Some(earlier) = earlier {
             self.0.remove(&earlier);
@@ -48,7 +49,7 @@
         self.0.insert(position, name.to_owned());
     }
 
-    /// A removal is remembered no longer.
+    /// Drops the entry of a removal that is no longer remembered.
     pub fn forget(&mut self, position: u64) {
         self.0.remove(&position);
     }
@@ -60,18 +61,19 @@
 }
 
 impl ReplicatedState {
-    /// All that a router with revision `since` lacks. `age_ms` tells how long ago weights were named.
+    /// All changes after revision `since`, or the whole state if `since` is later than this state or removals after it
+    /// may have been forgotten. `age_ms` returns how long ago a target version was set.
     pub fn changes_since(&self, since: u64, age_ms: impl Fn(&TargetWeights) -> u32) -> Changes {
-        let is_known = (self.forgotten..=self.revision).contains(&since);
+        let is_known = (self.removals_forgotten_to..=self.revision).contains(&since);
         let since = if is_known { since } else { 0 };
         self.changes_between(since, self.revision, age_ms)
     }
 
-    /// The next part of what a router lacks, of about `most_bytes`: a router asks for the next one when it
-    /// has taken this one in, so what is queued for it is bounded however large the state is. Changes come in
-    /// the order of their revisions, so each part leads to a revision of its own.
+    /// The next chunk of the changes that a router lacks, of about `most_bytes`. The router fetches the next one after
+    /// it has applied this one, so the data queued for it is bounded, however large the state is. Changes are in
+    /// the order of their revisions, so each chunk leads to a revision of its own.
     ///
-    /// `None` when the router has all there is, or was sent a later state than this one.
+    /// `None` if the router has this state already, or was sent chunks of a later one.
     pub fn next_chunk(
         &self,
         position: Position,
@@ -82,16 +84,16 @@
         if known > self.revision || position.held == self.revision {
             return None;
         }
-        if known < self.forgotten && position.held > 0 {
-            // The router may hold back ends whose removal is forgotten. Its view never leads back to the
-            // revision of a first part, so it is sent all at once.
+        if known < self.removals_forgotten_to && position.held > 0 {
+            // The router may still have back ends whose removal is forgotten, so it needs the whole state. Its view
+            // never goes back to the lower revision of a first chunk, so it is sent everything at once.
             return Some(self.changes_since(0, age_ms));
         }
         let last = self.last_within(position.held, most_bytes);
         Some(self.changes_between(position.held, last, age_ms))
     }
 
-    /// The last revision of a part that begins after `since`.
+    /// The last revision of a chunk that starts after `since`.
     fn last_within(&self, since: u64, most_bytes: usize) -> u64 {
         let mut bytes = 0;
         for (revision, name) in self.changed.after(since) {
@@ -124,10 +126,10 @@
         let has_configuration = range.contains(&configuration.revision);
         let configuration = has_configuration.then(|| configuration.body.clone());
         let weights = self.weights().filter(|item| range.contains(&item.revision));
-        let notice = |named: &TargetWeights| WeightsNotice {
-            model: named.model.clone(),
-            version: named.version,
-            age_ms: age_ms(named),
+        let notice = |target: &TargetWeights| WeightsNotice {
+            model: target.model.clone(),
+            version: target.version,
+            age_ms: age_ms(target),
         };
         let fingerprint_key = self.fingerprint_key.iter();
         let fingerprint_key = fingerprint_key.filter(|item| range.contains(&item.revision));
@@ -150,7 +152,7 @@
 }
 
 impl Changes {
-    /// About how many bytes they take in a message.
+    /// The approximate size of the changes in a message.
     pub fn bytes(&self) -> usize {
         let records: usize = self.instances.items.iter().map(record_bytes).sum();
         let removed: usize = self
--- a/crates/gateway-core/src/state/image.rs
+++ b/crates/gateway-core/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! The replicated state as a snapshot of the log.
+//! Encoding of the replicated state as a snapshot of the log.
 
 use std::collections::BTreeMap;
 use std::io::Cursor;
@@ -22,7 +22,7 @@
     may_return: u8,
 }
 
-/// Work that is quarantined.
+/// A quarantined fingerprint.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug)]
@@ -34,21 +34,21 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug)]
-struct Image {
+struct Snapshot {
     revision: u64,
-    forgotten: u64,
+    removals_forgotten_to: u64,
     configuration: StoredConfiguration,
     weights: List<TargetWeights>,
     instances: List<InstanceRecord>,
     removals: List<Removal>,
-    /// 0 or 1.
+    /// 0 or 1 key.
     fingerprint_key: List<StoredFingerprintKey>,
     quarantine_revision: u64,
     quarantined: List<Quarantined>,
 }
 
 impl ReplicatedState {
-    /// The state as a snapshot of the log.
+    /// Encodes the state as a snapshot of the log.
     pub fn encode(&self) -> Vec<u8> {
         let removals = self.removals.iter().map(|(instance, removed)| Removal {
             instance: Text::new(instance.as_str()),
@@ -62,9 +62,9 @@
                 fingerprint: *fingerprint,
                 position: *position,
             });
-        let image = Image {
+        let snapshot = Snapshot {
             revision: self.revision,
-            forgotten: self.forgotten,
+            removals_forgotten_to: self.removals_forgotten_to,
             configuration: self.configuration.clone(),
             weights: List::new(self.weights().cloned().collect()),
             instances: List::new(self.instances.values().cloned().collect()),
@@ -74,19 +74,19 @@
             quarantined: List::new(quarantined.collect()),
         };
         let mut cursor = Cursor::new(Vec::new());
-        image
+        snapshot
             .write(&mut cursor)
             .expect("a state fits in its length fields");
         cursor.into_inner()
     }
 
-    /// Reads a snapshot back.
+    /// Decodes a snapshot; `None` if it is not valid.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let image = Image::read(&mut Cursor::new(bytes)).ok()?;
+        let snapshot = Snapshot::read(&mut Cursor::new(bytes)).ok()?;
         let mut weights: BTreeMap<String, Vec<TargetWeights>> = BTreeMap::new();
-        for named in image.weights.items {
-            let model = named.model.as_str().to_owned();
-            weights.entry(model).or_default().push(named);
+        for target in snapshot.weights.items {
+            let model = target.model.as_str().to_owned();
+            weights.entry(model).or_default().push(target);
         }
         let by_instance = |record: InstanceRecord| (record.instance.as_str().to_owned(), record);
         let removal = |item: Removal| {
@@ -96,23 +96,27 @@
             };
             (item.instance.as_str().to_owned(), removed)
         };
-        let instances: BTreeMap<String, InstanceRecord> =
-            image.instances.items.into_iter().map(by_instance).collect();
+        let instances: BTreeMap<String, InstanceRecord> = snapshot
+            .instances
+            .items
+            .into_iter()
+            .map(by_instance)
+            .collect();
         let removals: BTreeMap<String, Removed> =
-            image.removals.items.into_iter().map(removal).collect();
+            snapshot.removals.items.into_iter().map(removal).collect();
         Some(Self {
             changed: ChangeIndex::of(&instances, &removals),
-            revision: image.revision,
-            forgotten: image.forgotten,
-            configuration: image.configuration,
+            revision: snapshot.revision,
+            removals_forgotten_to: snapshot.removals_forgotten_to,
+            configuration: snapshot.configuration,
             weights,
             instances,
             removals,
-            fingerprint_key: image.fingerprint_key.items.into_iter().next(),
-            quarantined: (image.quarantined.items.iter())
+            fingerprint_key: snapshot.fingerprint_key.items.into_iter().next(),
+            quarantined: (snapshot.quarantined.items.iter())
                 .map(|item| (item.fingerprint, item.position))
                 .collect(),
-            quarantine_revision: image.quarantine_revision,
+            quarantine_revision: snapshot.quarantine_revision,
         })
     }
 }
