--- a/crates/gateway-core/src/fingerprint.rs
+++ b/crates/gateway-core/src/fingerprint.rs
@@ -12,7 +12,7 @@
 use sha2::Sha256;
 
 const KEY_BYTES: usize = 32;
-const ID_BYTES: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 /// The bytes of a fingerprint that logs show, enough to distinguish several thousand requests.
 const SHOWN_BYTES: usize = 6;
 
@@ -49,7 +49,7 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RequestFingerprint([u8; ID_BYTES]);
+pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 /// The first hex digits of a fingerprint, as logs show them, by which an operator selects one.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     /// Parses hex digits: at least as many as logs show, at most a whole fingerprint; `None` for anything else.
     pub fn parse(text: &str) -> Option<Self> {
         let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        let is_long_enough = (2 * SHOWN_BYTES..=2 * ID_BYTES).contains(&text.len());
+        let is_long_enough = (2 * SHOWN_BYTES..=2 * FINGERPRINT_BYTES).contains(&text.len());
         (is_hex && is_long_enough).then(|| Self(text.to_ascii_lowercase()))
     }
 
@@ -78,27 +78,18 @@
     }
 
     /// Computes the fingerprint of a request.
-    pub fn identify(&self, fingerprint: &FingerprintInput<'_>) -> RequestFingerprint {
+    pub fn identify(&self, input: &FingerprintInput<'_>) -> RequestFingerprint {
         let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(&self.0).expect("any key length fits");
-        let fields = [
-            fingerprint.method,
-            fingerprint.host,
-            fingerprint.target,
-            fingerprint.tenant,
-        ];
-        for field in fields
-            .map(str::as_bytes)
-            .into_iter()
-            .chain([fingerprint.body])
-        {
+        let fields = [input.method, input.host, input.target, input.tenant];
+        for field in fields.map(str::as_bytes).into_iter().chain([input.body]) {
             // Each field is preceded by its length, so that bytes moved from one field to the next change the hash.
             mac.update(&(field.len() as u64).to_le_bytes());
             mac.update(field);
         }
         let digest = mac.finalize().into_bytes();
-        let mut id = [0; ID_BYTES];
-        id.copy_from_slice(&digest[..ID_BYTES]);
-        RequestFingerprint(id)
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&digest[..FINGERPRINT_BYTES]);
+        RequestFingerprint(bytes)
     }
 }
 
@@ -113,7 +104,7 @@
 impl fmt::Display for RequestFingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let shown = if formatter.alternate() {
-            ID_BYTES
+            FINGERPRINT_BYTES
         } else {
             SHOWN_BYTES
         };
--- a/crates/gateway-core/src/fingerprint_tests.rs
+++ b/crates/gateway-core/src/fingerprint_tests.rs
@@ -60,8 +60,8 @@
         let prefix = FingerprintPrefix::parse(&shown).unwrap();
         assert!(prefix.matches(fingerprint) && !prefix.matches(other));
     }
-    let cut = &format!("{fingerprint}")[1..];
-    assert_eq!(FingerprintPrefix::parse(cut), None);
+    let too_short = &format!("{fingerprint}")[1..];
+    assert_eq!(FingerprintPrefix::parse(too_short), None);
     assert_eq!(FingerprintPrefix::parse("not hex digits"), None);
 }
 
--- a/crates/gateway-core/src/limits/account.rs
+++ b/crates/gateway-core/src/limits/account.rs
@@ -44,7 +44,7 @@
         (self.level + refill).min(self.limit.burst.max(1.0))
     }
 
-    /// True while the level is positive; the size of the request doesn't matter.
+    /// True while the level is positive, whatever the cost of the next request.
     pub fn admits(&self, now: Timestamp) -> bool {
         self.level(now) > 0.0
     }
--- a/crates/gateway-core/src/limits/rate_share.rs
+++ b/crates/gateway-core/src/limits/rate_share.rs
@@ -33,7 +33,7 @@
 /// and more requests. With shorter ones, a router gets its next turn sooner, and notices sooner that a limit has
 /// ended.
 const TURN: Duration = Duration::from_secs(10);
-/// The number of turns that a router checks in advance to find its next one.
+/// The number of turns that a router checks in advance to find the next one in which it may send.
 const MAX_TURNS_AHEAD: u64 = 16;
 /// Standard deviations between the mean number of routers with a turn and the tolerated number.
 const DEVIATIONS: f64 = 4.0;
@@ -145,8 +145,8 @@
         self.level(now) >= 1.0 && self.has_turn(turn_at(now, self.seed))
     }
 
-    /// The time until a request may be sent. If there is no turn within [`MAX_TURNS_AHEAD`], it ends after those, too
-    /// early.
+    /// The time until a request may be sent. If none of the next [`MAX_TURNS_AHEAD`] turns is the router's, the time
+    /// ends after them, although no request may be sent then.
     pub fn wait(&self, now: Timestamp) -> Duration {
         let missing = (1.0 - self.level(now)).max(0.0);
         let filled = now.plus(Duration::from_secs_f64(missing / self.share.per_second));
--- a/crates/gateway-core/src/quarantine/completions.rs
+++ b/crates/gateway-core/src/quarantine/completions.rs
@@ -7,11 +7,12 @@
 
 use crate::RequestFingerprint;
 
-/// The length of a generation. A completion clears its fingerprint of suspicion for one to two generations. A
-/// fingerprint that many requests share is being served by every back end that another request crashes, and would
-/// be taken for the cause. A longer time would protect a fingerprint that crashes back ends since they were replaced.
+/// The length of a generation. For one to two generations, a completion is evidence that its fingerprint does not crash
+/// back ends. Without it, a fingerprint that many requests share would be taken for the cause, because every back end
+/// that another request crashes is serving it as well. A longer time would protect a fingerprint that has crashed back
+/// ends since they were replaced.
 const GENERATION: Duration = Duration::from_secs(5);
-/// The maximum time for which a completion clears its fingerprint of suspicion.
+/// The maximum time for which a completion counts as evidence for its fingerprint.
 pub(crate) const COMPLETION_VALID_FOR: Duration = Duration::from_secs(2 * GENERATION.as_secs());
 /// The maximum number of fingerprints in one generation, of 16 bytes each. A router's share of the intended system
 /// size, 111 requests per second, makes 555 in that time.
--- a/crates/gateway-core/src/quarantine/ledger.rs
+++ b/crates/gateway-core/src/quarantine/ledger.rs
@@ -126,7 +126,7 @@
             .cloned()
             .unwrap_or_default();
         let back_ends: BTreeSet<u32> = crashes.iter().map(|crash| crash.back_end).collect();
-        let mut cleared = Vec::new();
+        let mut changed = Vec::new();
         for (fingerprint, crashes) in self
             .by_fingerprint
             .iter_mut()
@@ -135,7 +135,7 @@
             let before = crashes.len();
             crashes.retain(|crash| !back_ends.contains(&crash.back_end));
             if crashes.len() < before {
-                cleared.push(*fingerprint);
+                changed.push(*fingerprint);
             }
         }
         self.by_fingerprint.retain(|_, crashes| !crashes.is_empty());
@@ -146,8 +146,8 @@
         self.attributed.extend(new);
         let surplus = self.attributed.len().saturating_sub(MAX_ATTRIBUTED);
         self.attributed.drain(..surplus);
-        cleared.sort_unstable();
-        cleared
+        changed.sort_unstable();
+        changed
     }
 
     /// Forgets crashes older than [`REMEMBER_CRASHES_FOR`].
@@ -164,16 +164,16 @@
     /// crash a back end for each incident.
     fn evict(&mut self, now: Timestamp) {
         self.expire(now);
-        let mut by_value: Vec<(u32, i64, RequestFingerprint)> =
+        let mut by_rank: Vec<(u32, i64, RequestFingerprint)> =
             Vec::with_capacity(self.by_fingerprint.len());
         for (fingerprint, crashes) in &self.by_fingerprint {
             let last = crashes.last().map(|crash| crash.at).unwrap_or_default();
             let rank = self.crashes(*fingerprint).min(CRASHES_FOR_QUARANTINE);
-            by_value.push((rank, last, *fingerprint));
+            by_rank.push((rank, last, *fingerprint));
         }
-        by_value.sort_unstable();
-        let surplus = by_value.len().saturating_sub(MAX_FINGERPRINTS / 2);
-        for (.., fingerprint) in by_value.into_iter().take(surplus) {
+        by_rank.sort_unstable();
+        let surplus = by_rank.len().saturating_sub(MAX_FINGERPRINTS / 2);
+        for (.., fingerprint) in by_rank.into_iter().take(surplus) {
             self.by_fingerprint.remove(&fingerprint);
         }
     }
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -257,10 +257,8 @@
     }
 
     /// Identifies the work of a request; `None` before the key is known.
-    pub fn identify(&self, fingerprint: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
-        self.view
-            .fingerprint_key()
-            .map(|key| key.identify(fingerprint))
+    pub fn identify(&self, input: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
+        self.view.fingerprint_key().map(|key| key.identify(input))
     }
 
     /// An admitted request ran nowhere: its tenant's limit is as before.
--- a/crates/gateway-core/src/router_wire.rs
+++ b/crates/gateway-core/src/router_wire.rs
@@ -55,7 +55,8 @@
     /// All wire formats.
     pub const ALL: [Self; 2] = [Self::Current, Self::BeforeViews];
 
-    /// Decodes the first message of a router and detects its format; `None` if it is not a valid first message.
+    /// Decodes the first message of a router and detects its format; `None` if it is neither a message in the current
+    /// format nor a status in the earlier one.
     pub fn detect_from_router(payload: &[u8]) -> Option<(Self, Message)> {
         if let Some(message) = Message::decode(payload) {
             return Some((Self::Current, message));
@@ -65,7 +66,8 @@
         is_status.then_some((Self::BeforeViews, message))
     }
 
-    /// Decodes the first message of a control machine and detects its format; `None` if it is not a valid message.
+    /// Decodes the first message of a control machine and detects its format, which is the current one only if the
+    /// message is a zone; `None` if it is not a valid message.
     pub fn detect_from_control(payload: &[u8]) -> Option<(Self, Message)> {
         let zone =
             Message::decode(payload).filter(|first| matches!(first, Message::ControlZone(_)));
--- a/crates/gateway-core/src/router_wire_tests.rs
+++ b/crates/gateway-core/src/router_wire_tests.rs
@@ -35,7 +35,7 @@
 #[rstest]
 #[case::nothing(&[])]
 #[case::an_unknown_kind(&[200, 1, 2])]
-#[case::a_status_cut_short(&[1, 11, 0])]
+#[case::a_truncated_status(&[1, 11, 0])]
 #[case::no_status(&[7, 1, 0, 0, 0, 0, 0, 0, 0])]
 fn an_invalid_first_message_is_refused(#[case] payload: &[u8]) {
     assert_eq!(RouterWire::detect_from_router(payload), None);
@@ -132,11 +132,11 @@
 
 #[test]
 fn a_fetch_to_an_earlier_control_machine_has_one_revision() {
-    let question = Message::Fetch {
+    let fetch = Message::Fetch {
         since: 5,
         source_revision: 9,
     };
-    let payload = RouterWire::BeforeViews.encode(&question).unwrap();
+    let payload = RouterWire::BeforeViews.encode(&fetch).unwrap();
     let read = RouterWire::BeforeViews.decode(&payload);
     assert_eq!(
         read,
--- a/crates/gateway-core/src/view_links/fetches.rs
+++ b/crates/gateway-core/src/view_links/fetches.rs
@@ -14,8 +14,8 @@
 /// The timeout doubles with each further fetch from the same machine, at most this many times. Control machines that
 /// respond late are overloaded, and repeated fetches would add to their load.
 const MAX_DOUBLINGS: u32 = 3;
-/// A router fetches only from machines that it follows, until it has been behind for this time without progress or a
-/// fetch has made none. Then it asks others as well: those that it follows may be partitioned from the rest.
+/// A router that has been behind for this time without progress, or has sent a fetch without progress, also fetches
+/// from machines that it does not follow: those that it follows may be partitioned from the rest.
 const FOLLOWED_ONLY_FOR: Duration = Duration::from_millis(400);
 
 /// The state of fetches. A fetch counts as answered only when the view makes progress.
--- a/crates/gateway-core/src/view_links/pings.rs
+++ b/crates/gateway-core/src/view_links/pings.rs
@@ -30,7 +30,7 @@
 struct Link {
     /// When each unanswered ping was sent, by sequence number.
     unanswered: BTreeMap<u64, Timestamp>,
-    last_asked: Option<Timestamp>,
+    last_sent: Option<Timestamp>,
 }
 
 impl Pings {
@@ -47,9 +47,9 @@
     /// A ping was answered; earlier pings on the link need no answer any more. Returns when the ping was sent.
     pub fn on_answer(&mut self, from: Ipv4Addr, sequence: u64) -> Option<Timestamp> {
         let link = self.links.get_mut(&from)?;
-        let asked = link.unanswered.remove(&sequence);
+        let sent_at = link.unanswered.remove(&sequence);
         link.unanswered.retain(|other, _| *other > sequence);
-        asked
+        sent_at
     }
 
     /// The pings to send now: one to each machine on a new link, then one to the next responsive machine in turn, and
@@ -59,36 +59,36 @@
         let link_spacing = (PING_SPACING * machines).min(MAX_LINK_SPACING);
         let mut due: Vec<Ipv4Addr> = Vec::new();
         for (address, link) in &self.links {
-            let is_overdue = !link.answers(now) && link.is_due(now, link_spacing);
-            if link.last_asked.is_none() || is_overdue {
+            let is_overdue = !link.is_responsive(now) && link.is_due(now, link_spacing);
+            if link.last_sent.is_none() || is_overdue {
                 due.push(*address);
             }
         }
         due.extend(self.next_in_turn(now, link_spacing / machines));
         due.sort_unstable();
         due.dedup();
-        due.into_iter().map(|to| (to, self.ask(now, to))).collect()
+        due.into_iter().map(|to| (to, self.send(now, to))).collect()
     }
 
     /// The responsive machine that was pinged longest ago, once `spacing` has passed since the last ping to any of
     /// them, or [`HEDGE_AFTER`] if that ping is unanswered.
     fn next_in_turn(&self, now: Timestamp, spacing: Duration) -> Option<Ipv4Addr> {
         let links = self.links.iter();
-        let answering: Vec<_> = links.filter(|(_, link)| link.answers(now)).collect();
-        let (_, last) = answering.iter().max_by_key(|(_, link)| link.last_asked)?;
+        let responsive: Vec<_> = links.filter(|(_, link)| link.is_responsive(now)).collect();
+        let (_, last) = responsive.iter().max_by_key(|(_, link)| link.last_sent)?;
         let interval = match last.unanswered.is_empty() {
             true => spacing,
             false => spacing.min(HEDGE_AFTER),
         };
-        let next = answering.iter().min_by_key(|(_, link)| link.last_asked);
+        let next = responsive.iter().min_by_key(|(_, link)| link.last_sent);
         next.map(|item| *item.0)
             .filter(|_| last.is_due(now, interval))
     }
 
-    fn ask(&mut self, now: Timestamp, to: Ipv4Addr) -> u64 {
+    fn send(&mut self, now: Timestamp, to: Ipv4Addr) -> u64 {
         self.last_sequence += 1;
         let link = self.links.entry(to).or_default();
-        link.last_asked = Some(now);
+        link.last_sent = Some(now);
         link.unanswered.insert(self.last_sequence, now);
         self.last_sequence
     }
@@ -98,7 +98,7 @@
         let waiting = self
             .links
             .iter()
-            .filter(move |(_, link)| !link.answers(now));
+            .filter(move |(_, link)| !link.is_responsive(now));
         waiting.map(|(address, _)| *address)
     }
 
@@ -118,10 +118,10 @@
     }
 
     fn is_due(&self, now: Timestamp, spacing: Duration) -> bool {
-        self.last_asked.is_none_or(|at| now.since(at) >= spacing)
+        self.last_sent.is_none_or(|at| now.since(at) >= spacing)
     }
 
-    fn answers(&self, now: Timestamp) -> bool {
+    fn is_responsive(&self, now: Timestamp) -> bool {
         self.waiting_time(now) < RESPONSIVE_WITHIN
     }
 }
--- a/crates/gateway-core/src/view_links/pings_tests.rs
+++ b/crates/gateway-core/src/view_links/pings_tests.rs
@@ -27,21 +27,21 @@
     until_ms: u64,
     unresponsive: u8,
 ) -> Vec<(u64, Ipv4Addr)> {
-    let mut asked = Vec::new();
+    let mut sent = Vec::new();
     for milliseconds in (from_ms..until_ms).step_by(STEP_MS as usize) {
         for (to, sequence) in pings.take_due(Timestamp(milliseconds * 1_000)) {
-            asked.push((milliseconds, to));
+            sent.push((milliseconds, to));
             if to > machine(unresponsive) {
                 pings.on_answer(to, sequence);
             }
         }
     }
-    asked
+    sent
 }
 
 /// The longest time without a ping to a responsive machine.
-fn longest_gap(asked: &[(u64, Ipv4Addr)], unresponsive: u8, from_ms: u64) -> u64 {
-    let answered = asked.iter().filter(|(_, to)| *to > machine(unresponsive));
+fn longest_gap(sent: &[(u64, Ipv4Addr)], unresponsive: u8, from_ms: u64) -> u64 {
+    let answered = sent.iter().filter(|(_, to)| *to > machine(unresponsive));
     let times: Vec<u64> = answered.map(|(at, _)| *at).collect();
     let gaps = times.windows(2).filter(|pair| pair[0] >= from_ms);
     gaps.map(|pair| pair[1] - pair[0]).max().unwrap()
@@ -49,15 +49,15 @@
 
 #[test]
 fn machines_that_were_linked_together_are_pinged_in_turn() {
-    let asked = run(&mut linked(5), 9_000, 0);
-    assert_eq!(longest_gap(&asked, 0, 0), PING_SPACING.as_millis() as u64);
+    let sent = run(&mut linked(5), 9_000, 0);
+    assert_eq!(longest_gap(&sent, 0, 0), PING_SPACING.as_millis() as u64);
 }
 
 #[test]
 fn unresponsive_machines_leave_no_gap_between_pings_to_the_others() {
     for (machines, unresponsive) in [(3, 1), (5, 2), (9, 4), (10, 4)] {
-        let asked = run(&mut linked(machines), 2_400, unresponsive);
-        let gap = longest_gap(&asked, unresponsive, 600);
+        let sent = run(&mut linked(machines), 2_400, unresponsive);
+        let gap = longest_gap(&sent, unresponsive, 600);
         let spacing = PING_SPACING.as_millis() as u64;
         assert!(gap <= spacing, "{gap} ms, {unresponsive} of {machines}");
     }
@@ -73,9 +73,11 @@
         for healthy_ms in (3_000..6_000).step_by(STEP_MS as usize) {
             let mut pings = linked(machines);
             let healthy = run_from(&mut pings, 0, healthy_ms, 0);
-            let cut = run_from(&mut pings, healthy_ms, healthy_ms + 3_000, unresponsive);
+            let partitioned = run_from(&mut pings, healthy_ms, healthy_ms + 3_000, unresponsive);
             let last = healthy.iter().map(|(at, _)| *at).max().unwrap();
-            let answered = cut.iter().find(|(_, to)| *to > machine(unresponsive));
+            let answered = partitioned
+                .iter()
+                .find(|(_, to)| *to > machine(unresponsive));
             let gap = answered.unwrap().0 - last;
             assert!(gap <= MAX_GAP_MS, "{gap} ms, {unresponsive} of {machines}");
         }
@@ -86,9 +88,9 @@
 fn every_link_is_pinged_before_control_machines_consider_the_router_gone() {
     let link_limit_ms = 4_000;
     for unresponsive in [0, 4, 10] {
-        let asked = run(&mut linked(10), 12_000, unresponsive);
+        let sent = run(&mut linked(10), 12_000, unresponsive);
         for number in 1..=10 {
-            let times = asked.iter().filter(|(_, to)| *to == machine(number));
+            let times = sent.iter().filter(|(_, to)| *to == machine(number));
             let times: Vec<u64> = times.map(|(at, _)| *at).collect();
             let gap = times.windows(2).map(|pair| pair[1] - pair[0]).max();
             assert!(
@@ -101,8 +103,8 @@
 
 #[test]
 fn pings_over_all_links_average_one_per_spacing() {
-    let asked = run(&mut linked(5), 30_000, 0);
-    assert!(asked.len() <= 5 + 100, "{}", asked.len());
+    let sent = run(&mut linked(5), 30_000, 0);
+    assert!(sent.len() <= 5 + 100, "{}", sent.len());
 }
 
 #[test]
--- a/crates/gateway-core/src/view_links/sources.rs
+++ b/crates/gateway-core/src/view_links/sources.rs
@@ -1,7 +1,7 @@
 //! Which control machines a router follows. They announce changes to it, and it fetches the changes from them.
 //!
 //! If routers fetched the state from any control machine, it would cross zones once per router. A router therefore
-//! follows machines of its own zone, and others only while none there is responsive. It keeps links to all of them to
+//! follows machines of its own zone, and those of other zones only while none of its own is responsive. It keeps links to all of them to
 //! confirm its view and to exchange loads, which takes little traffic.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
     /// The zone that the machine reported; `None` before.
     zone: Option<String>,
     /// Whether the machine has answered a ping on this link, which means that it is connected to a leader.
-    answers: bool,
+    has_answered: bool,
 }
 
 impl Sources {
@@ -57,7 +57,7 @@
 
     /// A machine answered a ping.
     pub fn on_answer(&mut self, address: Ipv4Addr) {
-        self.linked.entry(address).or_default().answers = true;
+        self.linked.entry(address).or_default().has_answered = true;
         self.unresponsive.remove(&address);
     }
 
@@ -82,15 +82,17 @@
         }
     }
 
-    /// The first machine of the own zone that is connected to a leader, or of other zones if there is none. Two machines
-    /// would send all news twice, and a machine that is cut off from the leader would send none.
+    /// The first machine of the router's zone that is connected to a leader, or of other zones if there is none. Two
+    /// machines would send all news twice, and a machine that is cut off from the leader would send none.
     fn source_of_news(&self) -> Option<Ipv4Addr> {
-        let answering = self.responsive().filter(|(_, machine)| machine.answers);
+        let answering = self
+            .responsive()
+            .filter(|(_, machine)| machine.has_answered);
         self.ranked(answering).into_iter().next()
     }
 
-    /// The machines that announce changes and are the first to be asked for them: of the own zone, or of others while
-    /// none there is responsive.
+    /// The machines that announce changes and are the first to be asked for them: of the router's zone, or of others
+    /// while none there is responsive.
     pub fn followed(&self) -> Vec<Ipv4Addr> {
         let mut addresses = self.ranked(self.responsive());
         if addresses.is_empty() {
@@ -106,7 +108,7 @@
         linked.filter(move |(address, _)| is_responsive(address))
     }
 
-    /// The given machines of the own zone, or those of other zones if there is none, ordered by rendezvous hashing.
+    /// The given machines of the router's zone, or those of other zones if there is none, ordered by rendezvous hashing.
     fn ranked<'a>(
         &self,
         linked: impl Iterator<Item = (&'a Ipv4Addr, &'a Machine)>,
