--- a/crates/gateway-core/src/control/accounts.rs
+++ b/crates/gateway-core/src/control/accounts.rs
@@ -179,7 +179,7 @@
                 continue;
             };
             account.charge(now, from, f64::from(entry.amount));
-            let reported_level = f64::from(entry.believed_level);
+            let reported_level = f64::from(entry.estimated_level);
             if is_taking_over && reported_level < account.account.level(now) {
                 account.account.set_level(now, reported_level);
             }
--- a/crates/gateway-core/src/control/fetches.rs
+++ b/crates/gateway-core/src/control/fetches.rs
@@ -13,7 +13,7 @@
 use drumshore_core::Timestamp;
 
 use super::{ConnectionId, ControlCore, Effect};
-use crate::{Message, NamedWeights, Position};
+use crate::{Message, Position, TargetWeights};
 
 /// Size of the chunk of the state that a router is sent at once: 50 ms on its link of 10 Mbit/s.
 /// The router requests the next chunk after it has processed this one, so a control machine queues
@@ -90,8 +90,8 @@
             if self.fetches.allowance <= 0.0 {
                 return;
             }
-            let age_ms = |named: &NamedWeights| self.weights_age_ms(named.revision);
-            let chunk = self.state.next_part(position, MAX_CHUNK_BYTES, age_ms);
+            let age_ms = |named: &TargetWeights| self.weights_age_ms(named.revision);
+            let chunk = self.state.next_chunk(position, MAX_CHUNK_BYTES, age_ms);
             if let Some(changes) = chunk {
                 let count = self.fetches.spend(changes.bytes(), connections.len());
                 connections.truncate(count);
--- a/crates/gateway-core/src/control/fetches_tests.rs
+++ b/crates/gateway-core/src/control/fetches_tests.rs
@@ -10,7 +10,10 @@
 }
 
 fn holding(held: u64) -> Position {
-    Position { held, begun: held }
+    Position {
+        held,
+        source_revision: held,
+    }
 }
 
 /// Bytes sent within a second to routers that request chunks of 64 KB, with a flush each
--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -35,7 +35,10 @@
 use drumshore_core::Timestamp;
 use drumshore_wire::Blob;
 
-use crate::{Command, InstanceId, LoadPhase, Message, Proposal, ReplicatedState, WorkId, WorkKey};
+use crate::{
+    Command, FingerprintKey, InstanceId, LoadPhase, Message, Proposal, ReplicatedState,
+    RequestFingerprint,
+};
 
 pub use instances::Heartbeat;
 pub use members::{address_of, bootstrap_id};
@@ -100,7 +103,7 @@
     /// Log that another back end crashed while serving requests with a fingerprint.
     FingerprintSuspected {
         /// The request fingerprint.
-        fingerprint: WorkId,
+        fingerprint: RequestFingerprint,
         /// Distinct moments at which back ends crashed.
         crashes: u32,
     },
@@ -146,7 +149,7 @@
     suspected_requests: SuspectedRequests,
     tenant_accounts: TenantAccounts,
     /// Proposed if the replicated state has no key for request fingerprints.
-    generated_fingerprint_key: WorkKey,
+    generated_fingerprint_key: FingerprintKey,
     fingerprint_key_proposed_at: Option<Timestamp>,
     /// When weights were named, by revision; weights named before this process started count from
     /// its start.
@@ -204,7 +207,7 @@
             refusing: Refusing::default(),
             suspected_requests: SuspectedRequests::default(),
             tenant_accounts: TenantAccounts::default(),
-            generated_fingerprint_key: WorkKey::draw(seed),
+            generated_fingerprint_key: FingerprintKey::generate(seed),
             fingerprint_key_proposed_at: None,
             weights_named_at: BTreeMap::new(),
             heartbeat_times: HeartbeatTimes::default(),
@@ -394,7 +397,7 @@
     fn on_applied(&mut self, position: u64, mut command: Command) {
         match &mut command {
             Command::Configure { body, .. } => body.bytes.clear(),
-            Command::NameWeights { .. } => {
+            Command::SetTargetWeights { .. } => {
                 self.weights_named_at.insert(position, self.now);
             }
             Command::Load {
@@ -406,8 +409,8 @@
             Command::Deregister { instance } | Command::Expire { instance } => {
                 self.heartbeat_times.forget(instance.as_str());
             }
-            Command::Quarantine { work } => self.on_quarantined(*work),
-            Command::Release { work } => self.on_released(*work),
+            Command::Quarantine { fingerprint } => self.on_quarantined(*fingerprint),
+            Command::Release { fingerprint } => self.on_released(*fingerprint),
             _ => {}
         }
         self.effects.push(Effect::Applied { position, command });
@@ -419,10 +422,10 @@
         let proposed_at = self.fingerprint_key_proposed_at;
         let is_pending =
             proposed_at.is_some_and(|at| self.now.since(at) < self.params.reply_timeout);
-        if self.state.work_key().is_none() && !is_pending {
+        if self.state.fingerprint_key().is_none() && !is_pending {
             self.fingerprint_key_proposed_at = Some(self.now);
             let key = self.generated_fingerprint_key.clone();
-            self.propose(None, Command::SetWorkKey { key });
+            self.propose(None, Command::SetFingerprintKey { key });
         }
     }
 
--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -16,10 +16,12 @@
 
 use super::{ConnectionId, ControlCore, Effect};
 use crate::quarantine::{
-    EndLedger, EndReport, ENDS_FOR_QUARANTINE, ENDS_FOR_SUSPICION, QUARANTINE_FOR, TRIALS_AFTER,
-    TRIALS_SPREAD,
+    CrashLedger, CrashReport, CRASHES_FOR_QUARANTINE, CRASHES_FOR_SUSPICION, QUARANTINE_FOR,
+    TRIAL_DELAYS, TRIAL_SPREAD,
+};
+use crate::{
+    Command, FingerprintEvent, FingerprintReport, FingerprintSuspicion, Message, RequestFingerprint,
 };
-use crate::{Command, Message, WorkEvent, WorkId, WorkReport, WorkSuspicion};
 
 /// Bandwidth per router for suspicions, out of 14 KB/s for all control traffic; up to five control
 /// machines send to each router.
@@ -33,14 +35,14 @@
 /// What one control machine knows of requests that crash back ends.
 #[derive(Debug, Default)]
 pub(super) struct SuspectedRequests {
-    ledger: EndLedger,
+    ledger: CrashLedger,
     /// Crash counts that routers were sent last.
-    sent: BTreeMap<WorkId, u8>,
+    sent: BTreeMap<RequestFingerprint, u8>,
     /// Crash counts that differ from those sent; 0 withdraws a suspicion.
-    unsent: BTreeMap<WorkId, u8>,
+    unsent: BTreeMap<RequestFingerprint, u8>,
     /// Time of the last removal of outdated crashes.
     expired_at: Timestamp,
-    quarantined: BTreeMap<WorkId, Verdict>,
+    quarantined: BTreeMap<RequestFingerprint, Verdict>,
 }
 
 /// A quarantine verdict as one control machine knows it.
@@ -59,9 +61,9 @@
     }
 
     /// Returns true once for each trial, when it comes due.
-    fn take_due_trial(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
-        let spread = TRIALS_SPREAD.mul_f64(fingerprint.draw());
-        let next = TRIALS_AFTER.get(self.trials);
+    fn take_due_trial(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
+        let spread = TRIAL_SPREAD.mul_f64(fingerprint.fraction());
+        let next = TRIAL_DELAYS.get(self.trials);
         let is_due = next.is_some_and(|after| now.since(self.at) >= *after + spread);
         self.trials += usize::from(is_due);
         is_due
@@ -70,9 +72,9 @@
 
 impl SuspectedRequests {
     /// Updates the crash count that routers are to be sent, if it differs from the one sent.
-    fn update_unsent(&mut self, fingerprint: WorkId) {
-        let crashes = self.ledger.ends(fingerprint);
-        let crashes = if crashes < ENDS_FOR_SUSPICION {
+    fn update_unsent(&mut self, fingerprint: RequestFingerprint) {
+        let crashes = self.ledger.crashes(fingerprint);
+        let crashes = if crashes < CRASHES_FOR_SUSPICION {
             0
         } else {
             crashes
@@ -86,8 +88,8 @@
     }
 
     /// Takes the next suspicions to send, those with the most crashes first, and marks them as sent.
-    fn take_unsent(&mut self, limit: usize) -> Vec<WorkSuspicion> {
-        let mut due: Vec<(u8, WorkId)> =
+    fn take_unsent(&mut self, limit: usize) -> Vec<FingerprintSuspicion> {
+        let mut due: Vec<(u8, RequestFingerprint)> =
             self.unsent.iter().map(|item| (*item.1, *item.0)).collect();
         due.sort_unstable_by(|one, other| other.cmp(one));
         due.truncate(limit);
@@ -100,9 +102,9 @@
             }
         }
         due.into_iter()
-            .map(|(crashes, fingerprint)| WorkSuspicion {
-                work: fingerprint,
-                ends: crashes,
+            .map(|(crashes, fingerprint)| FingerprintSuspicion {
+                fingerprint,
+                crashes,
             })
             .collect()
     }
@@ -110,30 +112,33 @@
 
 impl<D: Directory> ControlCore<D> {
     /// Processes a router's reports on request fingerprints.
-    pub(super) fn on_fingerprint_reports(&mut self, reports: &[WorkReport]) {
+    pub(super) fn on_fingerprint_reports(&mut self, reports: &[FingerprintReport]) {
         for report in reports {
             match report.event {
-                WorkEvent::BackEndEnded { back_end, held_ms } => {
-                    let crash = EndReport {
+                FingerprintEvent::BackEndCrashed {
+                    back_end,
+                    service_time_ms,
+                } => {
+                    let crash = CrashReport {
                         back_end,
                         age: Duration::from_millis(u64::from(report.age_ms)),
-                        held: Duration::from_millis(u64::from(held_ms)),
+                        service_time: Duration::from_millis(u64::from(service_time_ms)),
                     };
-                    self.on_crash_reported(report.work, crash);
+                    self.on_crash_reported(report.fingerprint, crash);
                 }
-                WorkEvent::Completed => self.on_request_completed(report.work),
+                FingerprintEvent::Completed => self.on_request_completed(report.fingerprint),
             }
         }
     }
 
-    fn on_crash_reported(&mut self, fingerprint: WorkId, report: EndReport) {
+    fn on_crash_reported(&mut self, fingerprint: RequestFingerprint, report: CrashReport) {
         let suspected = &mut self.suspected_requests;
-        if !suspected.ledger.note_end(self.now, fingerprint, report) {
+        if !suspected.ledger.record_crash(self.now, fingerprint, report) {
             return;
         }
         suspected.update_unsent(fingerprint);
-        let crashes = suspected.ledger.ends(fingerprint);
-        if crashes >= ENDS_FOR_SUSPICION {
+        let crashes = suspected.ledger.crashes(fingerprint);
+        if crashes >= CRASHES_FOR_SUSPICION {
             self.effects.push(Effect::FingerprintSuspected {
                 fingerprint,
                 crashes,
@@ -141,34 +146,34 @@
         }
         if self.state.is_quarantined(fingerprint) {
             self.clear_explained_suspicions(fingerprint);
-        } else if crashes >= ENDS_FOR_QUARANTINE {
-            self.propose(None, Command::Quarantine { work: fingerprint });
+        } else if crashes >= CRASHES_FOR_QUARANTINE {
+            self.propose(None, Command::Quarantine { fingerprint });
         }
     }
 
     /// Crashes under a quarantined request no longer count against the requests that were in flight
     /// at the same back ends.
-    fn clear_explained_suspicions(&mut self, culprit: WorkId) {
-        for cleared in self.suspected_requests.ledger.explain(culprit) {
+    fn clear_explained_suspicions(&mut self, culprit: RequestFingerprint) {
+        for cleared in self.suspected_requests.ledger.attribute_crashes_to(culprit) {
             self.suspected_requests.update_unsent(cleared);
         }
     }
 
     /// Clears a fingerprint: a request that completed does not crash every back end that serves it.
-    fn on_request_completed(&mut self, fingerprint: WorkId) {
+    fn on_request_completed(&mut self, fingerprint: RequestFingerprint) {
         self.clear_suspicion(fingerprint);
         if self.state.is_quarantined(fingerprint) {
-            self.propose(None, Command::Release { work: fingerprint });
+            self.propose(None, Command::Release { fingerprint });
         }
     }
 
-    fn clear_suspicion(&mut self, fingerprint: WorkId) {
+    fn clear_suspicion(&mut self, fingerprint: RequestFingerprint) {
         self.suspected_requests.ledger.clear(fingerprint);
         self.suspected_requests.update_unsent(fingerprint);
     }
 
     /// The quarantine was committed.
-    pub(super) fn on_quarantined(&mut self, fingerprint: WorkId) {
+    pub(super) fn on_quarantined(&mut self, fingerprint: RequestFingerprint) {
         let verdict = Verdict::new(self.now);
         self.suspected_requests
             .quarantined
@@ -177,7 +182,7 @@
     }
 
     /// The release was committed: the fingerprint starts over without a record of crashes.
-    pub(super) fn on_released(&mut self, fingerprint: WorkId) {
+    pub(super) fn on_released(&mut self, fingerprint: RequestFingerprint) {
         self.suspected_requests.quarantined.remove(&fingerprint);
         self.clear_suspicion(fingerprint);
     }
@@ -204,16 +209,16 @@
             self.permit_trial(fingerprint);
         }
         for fingerprint in released {
-            self.propose(None, Command::Release { work: fingerprint });
+            self.propose(None, Command::Release { fingerprint });
         }
     }
 
     /// Permits one router to send one request with the fingerprint to a back end.
-    fn permit_trial(&mut self, fingerprint: WorkId) {
+    fn permit_trial(&mut self, fingerprint: RequestFingerprint) {
         let connections = self.routers.connections();
-        let index = (fingerprint.draw() * connections.len() as f64) as usize;
+        let index = (fingerprint.fraction() * connections.len() as f64) as usize;
         if let Some(connection) = connections.get(index) {
-            let message = Message::TryWork(fingerprint);
+            let message = Message::PermitTrial(fingerprint);
             self.effects.push(Effect::ToRouter(*connection, message));
         }
     }
@@ -226,7 +231,7 @@
         }
         suspected.expired_at = now;
         suspected.ledger.expire(now);
-        let sent: Vec<WorkId> = suspected.sent.keys().copied().collect();
+        let sent: Vec<RequestFingerprint> = suspected.sent.keys().copied().collect();
         for fingerprint in sent {
             suspected.update_unsent(fingerprint);
         }
@@ -238,10 +243,10 @@
             return;
         }
         let budget = MAX_BYTES_PER_SECOND * self.params.tick.as_secs_f64();
-        let limit = (budget / WorkSuspicion::BYTES as f64).max(1.0) as usize;
+        let limit = (budget / FingerprintSuspicion::BYTES as f64).max(1.0) as usize;
         let sent = self.suspected_requests.take_unsent(limit);
         for connection in self.routers.connections() {
-            let message = Message::WorkSuspicions(List::new(sent.clone()));
+            let message = Message::FingerprintSuspicions(List::new(sent.clone()));
             self.effects.push(Effect::ToRouter(connection, message));
         }
     }
@@ -249,15 +254,15 @@
     /// Sends suspicions to a router that has just connected, those with the most crashes first.
     pub(super) fn send_suspicions(&mut self, connection: ConnectionId) {
         let sent = self.suspected_requests.sent.iter();
-        let suspicions = sent.map(|(fingerprint, crashes)| WorkSuspicion {
-            work: *fingerprint,
-            ends: *crashes,
+        let suspicions = sent.map(|(fingerprint, crashes)| FingerprintSuspicion {
+            fingerprint: *fingerprint,
+            crashes: *crashes,
         });
-        let mut suspicions: Vec<WorkSuspicion> = suspicions.collect();
-        suspicions.sort_unstable_by_key(|suspicion| Reverse(suspicion.ends));
+        let mut suspicions: Vec<FingerprintSuspicion> = suspicions.collect();
+        suspicions.sort_unstable_by_key(|suspicion| Reverse(suspicion.crashes));
         suspicions.truncate(MAX_SENT_ON_CONNECT);
         if !suspicions.is_empty() {
-            let message = Message::WorkSuspicions(List::new(suspicions));
+            let message = Message::FingerprintSuspicions(List::new(suspicions));
             self.effects.push(Effect::ToRouter(connection, message));
         }
     }
--- a/crates/gateway-core/src/control/routers.rs
+++ b/crates/gateway-core/src/control/routers.rs
@@ -117,11 +117,17 @@
             Message::Suspects(keys) => self.on_suspects(connection, &keys.items),
             Message::Refusing(keys) => self.on_refusing(connection, &keys.items),
             Message::Holders(entries) => self.on_holders(&entries.items),
-            Message::WorkReports(reports) => self.on_fingerprint_reports(&reports.items),
+            Message::FingerprintReports(reports) => self.on_fingerprint_reports(&reports.items),
             Message::Usage(entries) => self.on_usage(connection, &entries.items),
             Message::Follow(following) => self.on_follow(connection, following),
-            Message::Fetch { since, begun } => {
-                let position = Position { held: since, begun };
+            Message::Fetch {
+                since,
+                source_revision,
+            } => {
+                let position = Position {
+                    held: since,
+                    source_revision,
+                };
                 self.fetches.request(connection, position);
             }
             _ => {}
--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -1,20 +1,21 @@
-//! What the gateway decides, without I/O, clock or threads.
+//! The decision logic of the gateway, without I/O, clock or threads.
 //!
-//! The gateway is drumshore for callers that run no process of ours: routers forward any HTTP
-//! request on a configured route, and control machines replicate what routers go by. This crate
-//! holds both state machines and the messages between them:
+//! The gateway serves clients that run no drumshore process: routers forward any HTTP
+//! request on a configured route, and control machines replicate the state that routers use. This crate
+//! contains the state machines of both and the messages between them:
 //!
-//! * [`Document`]: a whole configuration with its routes, pools and tenants;
-//! * [`ReplicatedState`]: what control machines agree on, command by command;
-//! * [`ControlCore`]: one control machine: the replicated log, members, reads, rollouts;
-//! * [`RouterCore`]: one router: its view, the lease on it, placement, limits on retries;
-//! * [`limits`]: what a tenant may use over all routers together.
+//! * [`Document`]: a complete configuration with its routes, pools and tenants;
+//! * [`ReplicatedState`]: the state that control machines replicate by a log of commands;
+//! * [`ControlCore`]: one control machine, with the replicated log, membership, reads and rollouts;
+//! * [`RouterCore`]: one router, with its view of the state, the lease on the view, placement and retry limits;
+//! * [`limits`]: rate limits that all routers enforce together.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
 mod command;
 mod control;
 mod document;
+mod fingerprint;
 mod ids;
 pub mod limits;
 mod message;
@@ -24,7 +25,6 @@
 mod router_wire;
 mod state;
 mod view_links;
-mod work;
 
 pub use command::{Command, LoadPhase, Proposal, ProposalId};
 pub use control::{
@@ -35,11 +35,12 @@
     CacheStore, Document, InvalidDocument, Limits, ModelPool, Pool, RequestKind, Route, Share,
     Tenant,
 };
+pub use fingerprint::{FingerprintInput, FingerprintKey, FingerprintPrefix, RequestFingerprint};
 pub use ids::{InstanceId, ModelName, PoolName, TenantName};
 pub use message::{
-    AccountLevel, Announcement, BackEndKey, Changes, Following, HolderEntry, LoadEntry, Message,
-    Quarantine, RouterStatus, StoreId, StoredKey, TenantKey, UsageEntry, WeightsNotice, WorkEvent,
-    WorkReport, WorkSuspicion,
+    AccountLevel, Announcement, BackEndKey, Changes, FingerprintEvent, FingerprintReport,
+    FingerprintSuspicion, Following, HolderEntry, LoadEntry, Message, Quarantine, RouterStatus,
+    StoreId, StoredKey, TenantKey, UsageEntry, WeightsNotice,
 };
 pub use notice::{BackEndNotice, RequestRate};
 pub use router::{
@@ -48,6 +49,5 @@
     RequestHead, RouterCore, RouterParams, RunCopy, ViewError,
 };
 pub use router_wire::RouterWire;
-pub use state::{InstanceRecord, Lifecycle, LoadedModel, NamedWeights, Position, ReplicatedState};
-pub use view_links::{Progress, Step, ViewLinks};
-pub use work::{Work, WorkId, WorkIdPrefix, WorkKey};
+pub use state::{InstanceRecord, Lifecycle, LoadedModel, Position, ReplicatedState, TargetWeights};
+pub use view_links::{LinkAction, Progress, ViewLinks};
--- a/crates/gateway-core/src/router/accounts.rs
+++ b/crates/gateway-core/src/router/accounts.rs
@@ -5,7 +5,7 @@
 
 use drumshore_core::Timestamp;
 
-use crate::limits::{Account, OwnPart, TenantLimit};
+use crate::limits::{Account, LimitShare, TenantLimit};
 use crate::{AccountLevel, Document, TenantKey, TenantName, UsageEntry};
 
 /// How long a level sent by the leader is valid. Afterwards, a router spends only its own share of the limit. This is
@@ -46,7 +46,7 @@
 struct TenantAccount {
     /// Account over all routers: the last level received, minus what this router has charged since.
     replica: Account,
-    own_share: OwnPart,
+    own_share: LimitShare,
     /// Whether much of the limit was left when levels were last received. What has been refilled since does not
     /// count, because other routers may have used it.
     was_ample: bool,
@@ -147,11 +147,11 @@
             if let Some(account) = self.accounts.get_mut(&received.tenant) {
                 let level = f64::from(received.level) - account.unreported as f64;
                 account.replica.set_level(now, level);
-                account.own_share.set_share(now, received.share());
+                account.own_share.set_usage_fraction(now, received.share());
             }
         }
         for account in self.accounts.values_mut() {
-            account.own_share.set_share_if_unknown(now);
+            account.own_share.assume_idle_if_unknown(now);
             account.was_ample = account.is_ample(now);
         }
     }
@@ -177,7 +177,7 @@
         Self {
             was_ample: replica.level(now) >= limit.burst * AMPLE_FRACTION,
             replica,
-            own_share: OwnPart::new(now, limit, routers),
+            own_share: LimitShare::new(now, limit, routers),
             unreported: 0,
         }
     }
--- a/crates/gateway-core/src/router/notices.rs
+++ b/crates/gateway-core/src/router/notices.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 use super::{Admission, Backoff, ChoiceError, Prompt, RouterCore};
-use crate::limits::RatePart;
+use crate::limits::RateShare;
 use crate::{BackEndNotice, InstanceId, PoolName, RequestRate};
 
 /// How long a back end gets no requests after it last announced that it is leaving. A leaving back end ends within
@@ -53,7 +53,7 @@
 struct NamedLimit {
     rate: RequestRate,
     /// This router's share of the rate.
-    share: RatePart,
+    share: RateShare,
     /// When the back end last named a limit.
     last_named: Timestamp,
 }
@@ -166,7 +166,7 @@
         let Some(held) = &mut self.limit else {
             let rate = named?;
             let (routers, seed) = (context.routers, context.seed);
-            let share = RatePart::new(now, rate.as_per_second(), routers, seed);
+            let share = RateShare::new(now, rate.as_per_second(), routers, seed);
             let last_named = now;
             self.limit = Some(NamedLimit {
                 rate,
--- a/crates/gateway-core/src/router/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/suspected_fingerprints.rs
@@ -10,10 +10,13 @@
 
 use super::{ChoiceError, EarlierAttempts, RouterCore};
 use crate::quarantine::{
-    Completions, EndLedger, EndReport, COMPLETION_COUNTS_FOR, ENDS_FOR_QUARANTINE,
-    ENDS_FOR_SUSPICION, PERMIT_HOLDS_FOR, REMEMBER_ENDS_FOR,
+    Completions, CrashLedger, CrashReport, COMPLETION_VALID_FOR, CRASHES_FOR_QUARANTINE,
+    CRASHES_FOR_SUSPICION, PERMIT_VALID_FOR, REMEMBER_CRASHES_FOR,
+};
+use crate::{
+    Changes, FingerprintEvent, FingerprintReport, FingerprintSuspicion, InstanceId, LoadEntry,
+    RequestFingerprint,
 };
-use crate::{Changes, InstanceId, LoadEntry, WorkEvent, WorkId, WorkReport, WorkSuspicion};
 
 /// Reports kept for control machines that connect later. Each report is sent to all control machines.
 const MAX_REPORTS: usize = 512;
@@ -24,9 +27,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Observation {
     at: Timestamp,
-    fingerprint: WorkId,
+    fingerprint: RequestFingerprint,
     /// `None` once the event no longer counts.
-    event: Option<WorkEvent>,
+    event: Option<FingerprintEvent>,
 }
 
 impl Observation {
@@ -34,8 +37,8 @@
     /// against crashes that happened after it.
     fn is_reportable(&self, now: Timestamp) -> bool {
         let valid_for = match self.event {
-            Some(WorkEvent::BackEndEnded { .. }) => REMEMBER_ENDS_FOR,
-            Some(WorkEvent::Completed) => COMPLETION_COUNTS_FOR,
+            Some(FingerprintEvent::BackEndCrashed { .. }) => REMEMBER_CRASHES_FOR,
+            Some(FingerprintEvent::Completed) => COMPLETION_VALID_FOR,
             None => return false,
         };
         now.since(self.at) < valid_for
@@ -45,14 +48,14 @@
 /// Suspected and quarantined fingerprints, and the observations that this router reports about them.
 #[derive(Debug, Default)]
 pub(super) struct SuspectedFingerprints {
-    own: EndLedger,
+    own: CrashLedger,
     completions: Completions,
     /// Crash counts over all routers, as sent by control machines.
-    announced: HashMap<WorkId, u8>,
+    announced: HashMap<RequestFingerprint, u8>,
     /// The replicated quarantine list.
-    quarantined: HashSet<WorkId>,
+    quarantined: HashSet<RequestFingerprint>,
     /// Quarantined fingerprints with a permit for one trial, and when each permit arrived.
-    permits: HashMap<WorkId, Timestamp>,
+    permits: HashMap<RequestFingerprint, Timestamp>,
     reports: VecDeque<Observation>,
     /// How many reports have been removed from the front of `reports`.
     dropped_reports: u64,
@@ -60,26 +63,27 @@
 
 impl SuspectedFingerprints {
     /// How many crashes under the fingerprint this router knows of. Back ends that crash together count once.
-    fn crashes(&self, fingerprint: WorkId) -> u32 {
+    fn crashes(&self, fingerprint: RequestFingerprint) -> u32 {
         let announced = self
             .announced
             .get(&fingerprint)
             .copied()
             .unwrap_or_default();
-        self.own.ends(fingerprint).max(u32::from(announced))
+        self.own.crashes(fingerprint).max(u32::from(announced))
     }
 
-    fn is_quarantined(&self, fingerprint: WorkId) -> bool {
-        self.quarantined.contains(&fingerprint) || self.crashes(fingerprint) >= ENDS_FOR_QUARANTINE
+    fn is_quarantined(&self, fingerprint: RequestFingerprint) -> bool {
+        self.quarantined.contains(&fingerprint)
+            || self.crashes(fingerprint) >= CRASHES_FOR_QUARANTINE
     }
 
     /// Consumes the permit for one trial of a quarantined fingerprint. False when there is none or it has expired.
-    fn take_permit(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+    fn take_permit(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
         let permitted_at = self.permits.remove(&fingerprint);
-        permitted_at.is_some_and(|at| now.since(at) < PERMIT_HOLDS_FOR)
+        permitted_at.is_some_and(|at| now.since(at) < PERMIT_VALID_FOR)
     }
 
-    fn report(&mut self, at: Timestamp, fingerprint: WorkId, event: WorkEvent) {
+    fn report(&mut self, at: Timestamp, fingerprint: RequestFingerprint, event: FingerprintEvent) {
         let event = Some(event);
         self.reports.push_back(Observation {
             at,
@@ -94,16 +98,20 @@
 
     /// Reports a recent completion of a request with this fingerprint, which the router that observed the crashes
     /// does not know of. Returns whether there was one.
-    fn report_recent_completion(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+    fn report_recent_completion(
+        &mut self,
+        now: Timestamp,
+        fingerprint: RequestFingerprint,
+    ) -> bool {
         let has_completed = self.completions.contains(now, fingerprint);
         if has_completed {
             self.clear(fingerprint);
-            self.report(now, fingerprint, WorkEvent::Completed);
+            self.report(now, fingerprint, FingerprintEvent::Completed);
         }
         has_completed
     }
 
-    fn clear(&mut self, fingerprint: WorkId) -> bool {
+    fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
         let was_announced = self.announced.remove(&fingerprint).is_some();
         // Control machines that connect later must not receive these reports.
         let reports = self
@@ -121,14 +129,18 @@
         if listed.is_none() && changes.since > 0 {
             return;
         }
-        let fingerprints = listed.into_iter().flat_map(|listed| &listed.works.items);
-        let listed: HashSet<WorkId> = fingerprints.copied().collect();
+        let fingerprints = listed
+            .into_iter()
+            .flat_map(|listed| &listed.fingerprints.items);
+        let listed: HashSet<RequestFingerprint> = fingerprints.copied().collect();
         let before = std::mem::replace(&mut self.quarantined, listed);
-        let released: Vec<WorkId> = before.difference(&self.quarantined).copied().collect();
+        let released: Vec<RequestFingerprint> =
+            before.difference(&self.quarantined).copied().collect();
         for fingerprint in released {
             self.clear(fingerprint);
         }
-        let added: Vec<WorkId> = self.quarantined.difference(&before).copied().collect();
+        let added: Vec<RequestFingerprint> =
+            self.quarantined.difference(&before).copied().collect();
         for fingerprint in added {
             self.report_recent_completion(now, fingerprint);
         }
@@ -137,7 +149,7 @@
 
 impl RouterCore {
     /// How many crashes under the fingerprint this router knows of. Back ends that crash together count once.
-    pub fn crash_count(&self, fingerprint: WorkId) -> u32 {
+    pub fn crash_count(&self, fingerprint: RequestFingerprint) -> u32 {
         self.suspected_fingerprints.crashes(fingerprint)
     }
 
@@ -149,7 +161,7 @@
         now: Timestamp,
         earlier: &EarlierAttempts<'_>,
     ) -> Result<(), ChoiceError> {
-        let Some(fingerprint) = earlier.work else {
+        let Some(fingerprint) = earlier.fingerprint else {
             return Ok(());
         };
         if self.suspected_fingerprints.is_quarantined(fingerprint) {
@@ -161,7 +173,7 @@
         }
         let crashes = self.suspected_fingerprints.crashes(fingerprint);
         let crashes = crashes.max(earlier.ends_before_call + earlier.broken);
-        if earlier.broken > 0 && crashes >= ENDS_FOR_SUSPICION {
+        if earlier.broken > 0 && crashes >= CRASHES_FOR_SUSPICION {
             return Err(ChoiceError::Suspected);
         }
         Ok(())
@@ -169,18 +181,18 @@
 
     /// Whether so many back ends have crashed under the fingerprint that its request is placed where a further
     /// crash loses the fewest other requests.
-    pub(super) fn is_suspected(&self, fingerprint: Option<WorkId>) -> bool {
+    pub(super) fn is_suspected(&self, fingerprint: Option<RequestFingerprint>) -> bool {
         fingerprint.is_some_and(|fingerprint| {
             let suspected = &self.suspected_fingerprints;
             suspected.is_quarantined(fingerprint)
-                || suspected.crashes(fingerprint) >= ENDS_FOR_SUSPICION
+                || suspected.crashes(fingerprint) >= CRASHES_FOR_SUSPICION
         })
     }
 
     /// The leader permits this router one trial of a quarantined fingerprint.
-    pub fn on_trial_permitted(&mut self, now: Timestamp, fingerprint: WorkId) {
+    pub fn on_trial_permitted(&mut self, now: Timestamp, fingerprint: RequestFingerprint) {
         let permits = &mut self.suspected_fingerprints.permits;
-        permits.retain(|_, at| now.since(*at) < PERMIT_HOLDS_FOR);
+        permits.retain(|_, at| now.since(*at) < PERMIT_VALID_FOR);
         permits.insert(fingerprint, now);
     }
 
@@ -190,30 +202,34 @@
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        fingerprints: &[(WorkId, Timestamp)],
-    ) -> Vec<(WorkId, u32)> {
+        fingerprints: &[(RequestFingerprint, Timestamp)],
+    ) -> Vec<(RequestFingerprint, u32)> {
         let back_end = LoadEntry::key_of(instance.as_str());
         self.endpoints.on_ended(now, instance);
         self.suspect(back_end);
         let suspected = &mut self.suspected_fingerprints;
-        let fingerprints: BTreeMap<WorkId, Timestamp> = fingerprints.iter().copied().collect();
+        let fingerprints: BTreeMap<RequestFingerprint, Timestamp> =
+            fingerprints.iter().copied().collect();
         let mut new = Vec::new();
         for (fingerprint, sent_at) in fingerprints {
             if suspected.completions.contains(now, fingerprint) {
                 continue;
             }
-            let held = now.since(sent_at);
-            let crash = EndReport {
+            let service_time = now.since(sent_at);
+            let crash = CrashReport {
                 back_end,
                 age: Duration::ZERO,
-                held,
+                service_time,
             };
-            if suspected.own.note_end(now, fingerprint, crash) {
-                let held_ms = u32::try_from(held.as_millis()).unwrap_or(u32::MAX);
+            if suspected.own.record_crash(now, fingerprint, crash) {
+                let service_time_ms = u32::try_from(service_time.as_millis()).unwrap_or(u32::MAX);
                 suspected.report(
                     now,
                     fingerprint,
-                    WorkEvent::BackEndEnded { back_end, held_ms },
+                    FingerprintEvent::BackEndCrashed {
+                        back_end,
+                        service_time_ms,
+                    },
                 );
                 new.push((fingerprint, suspected.crashes(fingerprint)));
             }
@@ -223,13 +239,17 @@
 
     /// A request with this fingerprint completed, so it does not crash every back end that serves it. Returns
     /// whether the fingerprint was quarantined or had any crash counted.
-    pub fn on_fingerprint_completed(&mut self, now: Timestamp, fingerprint: WorkId) -> bool {
+    pub fn on_fingerprint_completed(
+        &mut self,
+        now: Timestamp,
+        fingerprint: RequestFingerprint,
+    ) -> bool {
         let suspected = &mut self.suspected_fingerprints;
         suspected.completions.note(now, fingerprint);
         let was_suspected =
             suspected.clear(fingerprint) || suspected.quarantined.contains(&fingerprint);
         if was_suspected {
-            suspected.report(now, fingerprint, WorkEvent::Completed);
+            suspected.report(now, fingerprint, FingerprintEvent::Completed);
         }
         was_suspected
     }
@@ -237,11 +257,15 @@
     /// Applies crash counts sent by a control machine. Counts only grow, so the largest one received from any
     /// control machine holds, until one of them sends 0 or a request with the fingerprint has recently completed
     /// at this router.
-    pub fn on_fingerprint_suspicions(&mut self, now: Timestamp, suspicions: &[WorkSuspicion]) {
+    pub fn on_fingerprint_suspicions(
+        &mut self,
+        now: Timestamp,
+        suspicions: &[FingerprintSuspicion],
+    ) {
         let suspected = &mut self.suspected_fingerprints;
-        for WorkSuspicion {
-            work: fingerprint,
-            ends: crashes,
+        for FingerprintSuspicion {
+            fingerprint,
+            crashes,
         } in suspicions
         {
             if *crashes == 0 {
@@ -259,7 +283,11 @@
 
     /// The reports that this router has made since `cursor`, which is advanced past them. A new connection to a
     /// control machine starts with a cursor of 0.
-    pub fn fingerprint_reports_since(&self, now: Timestamp, cursor: &mut u64) -> Vec<WorkReport> {
+    pub fn fingerprint_reports_since(
+        &self,
+        now: Timestamp,
+        cursor: &mut u64,
+    ) -> Vec<FingerprintReport> {
         let suspected = &self.suspected_fingerprints;
         let skipped = cursor.saturating_sub(suspected.dropped_reports) as usize;
         *cursor = suspected.dropped_reports + suspected.reports.len() as u64;
@@ -267,8 +295,8 @@
         fresh
             .filter(|observation| observation.is_reportable(now))
             .filter_map(|observation| {
-                Some(WorkReport {
-                    work: observation.fingerprint,
+                Some(FingerprintReport {
+                    fingerprint: observation.fingerprint,
                     age_ms: u32::try_from(now.since(observation.at).as_millis())
                         .unwrap_or(u32::MAX),
                     event: observation.event?,
--- a/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
@@ -1,24 +1,27 @@
 //! Tests of requests that crash the back ends serving them.
 
 use super::*;
-use crate::{Quarantine, Work, WorkEvent, WorkId, WorkKey, WorkSuspicion};
+use crate::{
+    FingerprintEvent, FingerprintInput, FingerprintKey, FingerprintSuspicion, Quarantine,
+    RequestFingerprint,
+};
 
-fn fingerprint(body: &str) -> WorkId {
-    WorkKey::draw(1).identify(&Work {
+fn fingerprint(body: &str) -> RequestFingerprint {
+    FingerprintKey::generate(1).identify(&FingerprintInput {
         body: body.as_bytes(),
-        ..Work::default()
+        ..FingerprintInput::default()
     })
 }
 
-fn first_attempt(fingerprint: WorkId) -> EarlierAttempts<'static> {
+fn first_attempt(fingerprint: RequestFingerprint) -> EarlierAttempts<'static> {
     EarlierAttempts {
-        work: Some(fingerprint),
+        fingerprint: Some(fingerprint),
         ..EarlierAttempts::default()
     }
 }
 
 /// The named back ends crash while serving a request with the fingerprint, one second apart.
-fn crash_under(router: &mut RouterCore, fingerprint: WorkId, names: &[&str]) {
+fn crash_under(router: &mut RouterCore, fingerprint: RequestFingerprint, names: &[&str]) {
     for (number, name) in names.iter().enumerate() {
         let now = at(1_000 * (1 + number as u64));
         router.on_back_end_crashed(now, &InstanceId::new(name), &[(fingerprint, now)]);
@@ -47,8 +50,14 @@
 fn a_router_that_saw_no_crash_refuses_a_fingerprint(#[case] by_count: bool) {
     let mut router = router();
     if by_count {
-        let work = fingerprint("a");
-        router.on_fingerprint_suspicions(at(1), &[WorkSuspicion { work, ends: 3 }]);
+        let suspected = fingerprint("a");
+        router.on_fingerprint_suspicions(
+            at(1),
+            &[FingerprintSuspicion {
+                fingerprint: suspected,
+                crashes: 3,
+            }],
+        );
     } else {
         update(
             &mut router,
@@ -60,10 +69,10 @@
     assert_eq!(refused, Err(ChoiceError::Quarantined));
 }
 
-fn with_quarantine(since: u64, revision: u64, fingerprints: &[WorkId]) -> Changes {
-    let works = List::new(fingerprints.to_vec());
+fn with_quarantine(since: u64, revision: u64, fingerprints: &[RequestFingerprint]) -> Changes {
+    let fingerprints = List::new(fingerprints.to_vec());
     Changes {
-        quarantine: List::new(vec![Quarantine { works }]),
+        quarantine: List::new(vec![Quarantine { fingerprints }]),
         ..changes(since, revision, Vec::new())
     }
 }
@@ -109,7 +118,7 @@
     let earlier = EarlierAttempts {
         tried: if broken > 0 { &tried } else { &[] },
         arrived: broken,
-        work: Some(fingerprint("a")),
+        fingerprint: Some(fingerprint("a")),
         ends_before_call,
         broken,
     };
@@ -131,9 +140,9 @@
             in_flight: 2,
         });
     router.set_others_loads(true, &loads.collect::<Vec<_>>());
-    let suspicion = WorkSuspicion {
-        work: fingerprint("a"),
-        ends: 2,
+    let suspicion = FingerprintSuspicion {
+        fingerprint: fingerprint("a"),
+        crashes: 2,
     };
     router.on_fingerprint_suspicions(at(1), &[suspicion]);
     let admission = admit(&mut router, at(1), "/a/b/x");
@@ -188,8 +197,8 @@
     assert!(router.on_fingerprint_completed(at(3_100), fingerprint("a")));
     assert!(choose(&mut router, first_attempt(fingerprint("a"))).is_ok());
     let reports = router.fingerprint_reports_since(at(3_200), &mut 3);
-    let events: Vec<WorkEvent> = reports.iter().map(|report| report.event).collect();
-    assert_eq!(events, [WorkEvent::Completed]);
+    let events: Vec<FingerprintEvent> = reports.iter().map(|report| report.event).collect();
+    assert_eq!(events, [FingerprintEvent::Completed]);
 }
 
 /// A permit allows one trial, which is placed as a suspected request, and it expires.
@@ -274,19 +283,28 @@
     router.on_fingerprint_completed(at(900), fingerprint("common"));
     let mut cursor = 0;
     if suspicion {
-        let work = fingerprint("common");
-        router.on_fingerprint_suspicions(at(1_000), &[WorkSuspicion { work, ends: 3 }]);
+        let suspected = fingerprint("common");
+        router.on_fingerprint_suspicions(
+            at(1_000),
+            &[FingerprintSuspicion {
+                fingerprint: suspected,
+                crashes: 3,
+            }],
+        );
     } else {
         let quarantined =
             with_quarantine(10, 11, &[fingerprint("common"), fingerprint("crashing")]);
         update(&mut router, at(1_000), quarantined);
     }
     let reports = router.fingerprint_reports_since(at(1_000), &mut cursor);
-    let events: Vec<(WorkId, WorkEvent)> = reports
+    let events: Vec<(RequestFingerprint, FingerprintEvent)> = reports
         .iter()
-        .map(|report| (report.work, report.event))
+        .map(|report| (report.fingerprint, report.event))
         .collect();
-    assert_eq!(events, [(fingerprint("common"), WorkEvent::Completed)]);
+    assert_eq!(
+        events,
+        [(fingerprint("common"), FingerprintEvent::Completed)]
+    );
     assert_eq!(
         choose(&mut router, first_attempt(fingerprint("common"))).is_ok(),
         suspicion
--- a/crates/gateway-core/src/router/view.rs
+++ b/crates/gateway-core/src/router/view.rs
@@ -6,7 +6,9 @@
 
 use drumshore_core::Timestamp;
 
-use crate::{Changes, Document, InstanceRecord, InvalidDocument, Position, Route, Tenant, WorkKey};
+use crate::{
+    Changes, Document, FingerprintKey, InstanceRecord, InvalidDocument, Position, Route, Tenant,
+};
 
 /// Error for changes that cannot be applied to the view.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -41,8 +43,8 @@
 #[derive(Debug, Default)]
 pub(super) struct View {
     revision: u64,
-    /// See [`Position::begun`].
-    begun: u64,
+    /// See [`Position::source_revision`].
+    source_revision: u64,
     /// When the latest request was sent whose answer confirmed the held revision as current.
     confirmed: Option<Timestamp>,
     /// Confirmations of revisions that have not arrived yet, each with the time of its request.
@@ -55,7 +57,7 @@
     instances: BTreeMap<String, Rc<InstanceRecord>>,
     /// Versions of the weights by model, in the order in which they were received.
     named_versions: HashMap<String, Vec<NamedVersion>>,
-    work_key: Option<WorkKey>,
+    fingerprint_key: Option<FingerprintKey>,
 }
 
 impl View {
@@ -66,7 +68,7 @@
     pub fn position(&self) -> Position {
         Position {
             held: self.revision,
-            begun: self.begun,
+            source_revision: self.source_revision,
         }
     }
 
@@ -95,8 +97,8 @@
         self.instances.get(instance)
     }
 
-    pub fn work_key(&self) -> Option<&WorkKey> {
-        self.work_key.as_ref()
+    pub fn fingerprint_key(&self) -> Option<&FingerprintKey> {
+        self.fingerprint_key.as_ref()
     }
 
     /// The route of the host with the longest prefix of the path.
@@ -157,7 +159,7 @@
         }
         if changes.since == 0 {
             self.instances.clear();
-            self.begun = changes.newest;
+            self.source_revision = changes.newest;
         }
         for removed in &changes.removed.items {
             self.instances.remove(removed.as_str());
@@ -166,8 +168,8 @@
             let name = record.instance.as_str().to_owned();
             self.instances.insert(name, Rc::new(record.clone()));
         }
-        if let Some(key) = changes.work_key.items.first() {
-            self.work_key = Some(key.clone());
+        if let Some(key) = changes.fingerprint_key.items.first() {
+            self.fingerprint_key = Some(key.clone());
         }
         self.record_weights(now, changes);
         self.revision = changes.revision;
--- a/crates/gateway/src/control/applied.rs
+++ b/crates/gateway/src/control/applied.rs
@@ -56,7 +56,7 @@
                 "control: a back end became unresponsive"
             );
         }
-        Command::NameWeights { model, version } => {
+        Command::SetTargetWeights { model, version } => {
             tracing::info!(
                 event = "weights_applied",
                 position,
@@ -65,14 +65,14 @@
                 "control: a model has a new version of its weights"
             );
         }
-        Command::SetWorkKey { .. } => {
+        Command::SetFingerprintKey { .. } => {
             tracing::info!(
                 event = "work_key_set",
                 position,
                 "control: the key for request fingerprints is in force"
             );
         }
-        Command::Quarantine { work } => {
+        Command::Quarantine { fingerprint: work } => {
             tracing::info!(
                 event = "work_quarantined",
                 position,
@@ -80,7 +80,7 @@
                 "control: a request fingerprint was quarantined"
             );
         }
-        Command::Release { work } => {
+        Command::Release { fingerprint: work } => {
             tracing::info!(
                 event = "work_released",
                 position,
--- a/crates/gateway/src/control/quarantine_tests.rs
+++ b/crates/gateway/src/control/quarantine_tests.rs
@@ -22,7 +22,7 @@
 #[case::prefix_as_logged(
     Method::DELETE,
     "/quarantine/0123456789ab",
-    Some(QuarantineCall::Release(WorkIdPrefix::parse("0123456789ab")))
+    Some(QuarantineCall::Release(FingerprintPrefix::parse("0123456789ab")))
 )]
 fn a_request_maps_to_a_call(
     #[case] method: Method,
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -55,7 +55,7 @@
     /// An operator reads the configuration.
     GetConfiguration,
     /// An operator sets the version of a model's weights that back ends are to load.
-    NameWeights,
+    SetTargetWeights,
     /// A back end reports that it is running.
     Heartbeat(InstanceId),
     /// A back end reports that it has stopped.
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -142,7 +142,7 @@
     /// Receives the first message from a router or control machine, which determines the layout of those that follow.
     pub async fn receive_first(&mut self) -> Result<(RouterWire, Message), FrameError> {
         let payload = self.receive_payload().await?;
-        let first = RouterWire::of_first(&payload).ok_or_else(unknown_message)?;
+        let first = RouterWire::detect_from_router(&payload).ok_or_else(unknown_message)?;
         self.wire = first.0;
         Ok(first)
     }
@@ -150,7 +150,7 @@
     /// Receives the first message from a control machine to a router, which determines the layout of those that follow.
     pub async fn receive_first_of_control(&mut self) -> Result<(RouterWire, Message), FrameError> {
         let payload = self.receive_payload().await?;
-        let first = RouterWire::of_control(&payload).ok_or_else(unknown_message)?;
+        let first = RouterWire::detect_from_control(&payload).ok_or_else(unknown_message)?;
         self.wire = first.0;
         Ok(first)
     }
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -8,7 +8,8 @@
 
 use drumshore_core::Timestamp;
 use drumshore_gateway_core::{
-    Changes, Message, Progress, ReportedLoads, RouterWire, Step, ViewLinks, WorkSuspicion,
+    Changes, FingerprintSuspicion, LinkAction, Message, Progress, ReportedLoads, RouterWire,
+    ViewLinks,
 };
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
@@ -116,38 +117,38 @@
     }
 }
 
-fn execute_step(router: &Router, links: &Links, step: Step) {
+fn execute_step(router: &Router, links: &Links, step: LinkAction) {
     match step {
-        Step::Ping { to, sequence } => {
+        LinkAction::Ping { to, sequence } => {
             links.send(to, &Message::Ping { sequence });
         }
-        Step::Follow { to, following } => {
+        LinkAction::Follow { to, following } => {
             if links.send(to, &Message::Follow(following)) {
-                links.view_links.borrow_mut().on_told(to, following);
+                links.view_links.borrow_mut().on_follow_sent(to, following);
                 tracing::info!(event = "control_followed", address = %to, ?following,
                     "router: told a control machine which updates to send");
             }
         }
-        Step::Fetch {
+        LinkAction::Fetch {
             to,
             position,
             is_followed,
         } => {
             let message = Message::Fetch {
                 since: position.held,
-                begun: position.begun,
+                source_revision: position.source_revision,
             };
             if links.send(to, &message) {
                 links
                     .view_links
                     .borrow_mut()
-                    .on_asked(router.clock.now(), to);
+                    .on_fetch_sent(router.clock.now(), to);
                 router.metrics.count_fetch("asked");
                 tracing::info!(event = "changes_asked", address = %to, held = position.held, is_followed,
                     "router: requested changes from a control machine");
             }
         }
-        Step::GiveUp { to } => {
+        LinkAction::Close { to } => {
             if let Some(link) = links.open_links.borrow().get(&to) {
                 link.close_requested.notify_one();
             }
@@ -318,10 +319,10 @@
                 "router: back ends are declining other routers' requests"
             );
         }
-        Message::WorkSuspicions(suspicions) => {
+        Message::FingerprintSuspicions(suspicions) => {
             on_fingerprint_suspicions(router, address, &suspicions.items);
         }
-        Message::TryWork(work) => {
+        Message::PermitTrial(work) => {
             let now = router.clock.now();
             router.core.borrow_mut().on_trial_permitted(now, work);
             tracing::info!(event = "work_trial", %work, by = %address,
@@ -351,15 +352,23 @@
     }
 }
 
-fn on_fingerprint_suspicions(router: &Router, address: Ipv4Addr, suspicions: &[WorkSuspicion]) {
+fn on_fingerprint_suspicions(
+    router: &Router,
+    address: Ipv4Addr,
+    suspicions: &[FingerprintSuspicion],
+) {
     let now = router.clock.now();
     router
         .core
         .borrow_mut()
         .on_fingerprint_suspicions(now, suspicions);
     router.crash_reports_changed.notify_waiters();
-    for WorkSuspicion { work, ends } in suspicions {
-        tracing::info!(event = "work_suspected", %work, ends, by = %address,
+    for FingerprintSuspicion {
+        fingerprint,
+        crashes,
+    } in suspicions
+    {
+        tracing::info!(event = "work_suspected", work = %fingerprint, ends = crashes, by = %address,
             "router: a control machine reported a suspected request fingerprint");
     }
 }
--- a/crates/gateway/src/router/crash_detection.rs
+++ b/crates/gateway/src/router/crash_detection.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use drumshore_core::Timestamp;
-use drumshore_gateway_core::{InstanceId, WorkId};
+use drumshore_gateway_core::{InstanceId, RequestFingerprint};
 
 use super::Router;
 use crate::sockets;
@@ -28,7 +28,7 @@
     /// The request's identifier.
     pub id: String,
     /// The request's fingerprint; `None` before the key for fingerprints is known.
-    pub fingerprint: Option<WorkId>,
+    pub fingerprint: Option<RequestFingerprint>,
     /// When it was sent.
     pub sent_at: Timestamp,
 }
@@ -126,7 +126,8 @@
         run.fingerprint
             .map(|fingerprint| (fingerprint, run.sent_at))
     };
-    let fingerprints: Vec<(WorkId, Timestamp)> = runs.iter().filter_map(with_fingerprint).collect();
+    let fingerprints: Vec<(RequestFingerprint, Timestamp)> =
+        runs.iter().filter_map(with_fingerprint).collect();
     let now = router.clock.now();
     let mut core = router.core.borrow_mut();
     for (fingerprint, ends) in core.on_back_end_crashed(now, instance, &fingerprints) {
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use drumshore_core::{Execution, Timestamp};
 use drumshore_gateway_core::{
-    Admission, Choice, Prompt, Refusal, RequestHead, RequestKind, Work, WorkId,
+    Admission, Choice, FingerprintInput, Prompt, Refusal, RequestFingerprint, RequestHead,
+    RequestKind,
 };
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
@@ -42,7 +43,7 @@
     pub parts: Parts,
     pub body: Bytes,
     /// The request's fingerprint; `None` before the key for fingerprints is known.
-    pub fingerprint: Option<WorkId>,
+    pub fingerprint: Option<RequestFingerprint>,
     /// Times before this call at which back ends crashed while serving a request with this fingerprint.
     pub ends_before_call: u32,
 }
@@ -208,10 +209,10 @@
     parts: &Parts,
     admission: &Admission,
     body: &Bytes,
-) -> Option<WorkId> {
+) -> Option<RequestFingerprint> {
     let target = parts.uri.path_and_query();
     let tenant = admission.tenant.as_ref();
-    router.core.borrow().identify(&Work {
+    router.core.borrow().identify(&FingerprintInput {
         method: parts.method.as_str(),
         host: &admission.route.host,
         target: target.map_or("", |target| target.as_str()),
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -98,7 +98,7 @@
             .core
             .borrow()
             .fingerprint_reports_since(now, &mut cursor);
-        if !reports.is_empty() && !sender.send(&Message::WorkReports(List::new(reports))) {
+        if !reports.is_empty() && !sender.send(&Message::FingerprintReports(List::new(reports))) {
             return "closed";
         }
         router.crash_reports_changed.notified().await;
