--- a/crates/gateway-core/src/lib.rs
+++ b/crates/gateway-core/src/lib.rs
@@ -43,7 +43,7 @@
 };
 pub use notice::{BackEndNotice, RequestRate};
 pub use router::{
-    Admission, Backoff, BelievedParts, Charge, Choice, ChoiceError, EarlierAttempts, LimitChange,
+    Admission, Backoff, CacheEstimate, Charge, Choice, ChoiceError, EarlierAttempts, LimitChange,
     NoticeChange, Outcome, OverLimit, Overload, Prompt, PromptPart, Refusal, ReportedLoads,
     RequestHead, RouterCore, RouterParams, RunCopy, ViewError,
 };
--- a/crates/gateway-core/src/router/candidate.rs
+++ b/crates/gateway-core/src/router/candidate.rs
@@ -26,7 +26,7 @@
     pub instance: InstanceId,
     pub address: String,
     pub version: Option<u64>,
-    pub heard: Rc<Cell<Timestamp>>,
+    pub last_received_at: Rc<Cell<Timestamp>>,
     pub in_flight: u32,
     pub rank: usize,
     /// Tokens that it is expected to read.
@@ -41,7 +41,7 @@
             instance: self.id.clone(),
             address: self.endpoint.record.address.as_str().to_owned(),
             version: self.version,
-            heard: Rc::clone(&self.endpoint.heard),
+            last_received_at: Rc::clone(&self.endpoint.last_received_at),
             in_flight: self.endpoint.in_flight,
             rank,
             tokens: 0,
--- a/crates/gateway-core/src/router/choice.rs
+++ b/crates/gateway-core/src/router/choice.rs
@@ -29,13 +29,13 @@
     /// The store that this is, when it is not another back end.
     pub fetches_from_store: Option<StoreId>,
     /// Shared parts that the back end is believed to hold, and those that the source is.
-    pub believed: BelievedParts,
+    pub cache_estimate: CacheEstimate,
     /// A store to save the prompt to.
     pub save_to: Option<String>,
     /// Where the run is copied as it grows, so that it can go on when its back end is lost.
     pub copy: Option<RunCopy>,
     /// When bytes of an answer came last from the back end.
-    pub heard: Rc<Cell<Timestamp>>,
+    pub last_received_at: Rc<Cell<Timestamp>>,
     /// Why: the requests in flight here, and the rank of the prompt's home, for logs.
     pub in_flight: u32,
     /// 0 when the back end is the first home of the prompt.
@@ -55,7 +55,7 @@
 
 /// Leading shared parts of a prompt that are believed to be held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BelievedParts {
+pub struct CacheEstimate {
     /// At the chosen back end.
     pub here: usize,
     /// At the back end to fetch from, when one is believed to hold more.
--- a/crates/gateway-core/src/router/endpoint.rs
+++ b/crates/gateway-core/src/router/endpoint.rs
@@ -105,7 +105,7 @@
     /// What it said of itself to this router.
     pub notices: HeldNotices,
     /// When bytes of an answer came last; shared with the answers that are passed on.
-    pub heard: Rc<Cell<Timestamp>>,
+    pub last_received_at: Rc<Cell<Timestamp>>,
 }
 
 impl Endpoint {
@@ -125,7 +125,7 @@
             misdirected_until: Timestamp::default(),
             stay: FIRST_STAY,
             notices,
-            heard: Rc::default(),
+            last_received_at: Rc::default(),
         }
     }
 
--- a/crates/gateway-core/src/router/endpoints.rs
+++ b/crates/gateway-core/src/router/endpoints.rs
@@ -117,7 +117,7 @@
 
     /// Requests of all routers, waiting or running, for each slot of the back ends of a pool that
     /// take requests. Those that do not say how many slots they have do not count.
-    pub fn part_of_slots_taken(&self, now: Timestamp, pool: &PoolName) -> f64 {
+    pub fn slot_utilization(&self, now: Timestamp, pool: &PoolName) -> f64 {
         let pool = NameHash::of(pool.as_str());
         let takes_requests = |endpoint: &&Endpoint| {
             endpoint.summary.pool == pool
@@ -212,7 +212,7 @@
             return false;
         };
         let is_lost = matches!(outcome, Outcome::Broken | Outcome::TimedOut);
-        let silent_since = endpoint.heard.get().max(begun);
+        let silent_since = endpoint.last_received_at.get().max(begun);
         let fell_silent = is_lost && now.since(silent_since) >= SILENCE;
         let outcome = if fell_silent {
             Outcome::TimedOut
@@ -283,7 +283,7 @@
 
     /// A back end has ended. What stands for it may be wrong, so it is avoided as a silent one is, until
     /// its heartbeats are heard again.
-    pub fn on_ended(&mut self, now: Timestamp, instance: &InstanceId) {
+    pub fn on_crashed(&mut self, now: Timestamp, instance: &InstanceId) {
         if let Some(endpoint) = self.by_id.get_mut(instance) {
             endpoint.avoid_as_silent(now);
         }
@@ -295,7 +295,7 @@
         let mut silent = Vec::new();
         for key in keys {
             self.change_with_key(*key, |id, endpoint| {
-                let is_heard = now.since(endpoint.heard.get()) < HEARD_LATELY;
+                let is_heard = now.since(endpoint.last_received_at.get()) < HEARD_LATELY;
                 if !is_heard {
                     endpoint.avoid_as_silent(now);
                     silent.push(id.clone());
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -43,7 +43,7 @@
 };
 
 pub use accounts::{Charge, OverLimit};
-pub use choice::{BelievedParts, Choice, RunCopy};
+pub use choice::{CacheEstimate, Choice, RunCopy};
 pub use endpoint::Outcome;
 pub use notices::{LimitChange, NoticeChange};
 pub use reported_loads::ReportedLoads;
@@ -262,7 +262,7 @@
     }
 
     /// An admitted request ran nowhere: its tenant's limit is as before.
-    pub fn pay_back(&mut self, now: Timestamp, admission: &Admission) {
+    pub fn refund(&mut self, now: Timestamp, admission: &Admission) {
         if let Some(charge) = admission.charge {
             self.tenant_accounts.pay_back(now, charge);
         }
@@ -344,7 +344,7 @@
     }
 
     /// What this router learned of them and the others do not know yet.
-    pub fn take_holder_news(&mut self) -> Vec<HolderEntry> {
+    pub fn take_holder_reports(&mut self) -> Vec<HolderEntry> {
         self.holders.take_news()
     }
 
--- a/crates/gateway-core/src/router/overload.rs
+++ b/crates/gateway-core/src/router/overload.rs
@@ -166,7 +166,7 @@
         let spread = 1.0 - SPREAD + 2.0 * SPREAD * draw / refused;
         Err(ChoiceError::Overloaded(Overload {
             retry_after: load.stay.mul_f64(spread),
-            taken_percent: percent(taken),
+            utilization_percent: percent(taken),
             refused_percent: percent(refused),
         }))
     }
@@ -184,7 +184,7 @@
         let Some(pool) = document.and_then(|document| document.pool(&admission.pool)) else {
             return Ok(());
         };
-        let taken = self.endpoints.part_of_slots_taken(now, &pool.name);
+        let taken = self.endpoints.slot_utilization(now, &pool.name);
         let draw = self.random.random();
         let loads = &mut self.pool_loads;
         let urgency = Urgency::of(admission);
--- a/crates/gateway-core/src/router/overload_tests.rs
+++ b/crates/gateway-core/src/router/overload_tests.rs
@@ -89,7 +89,10 @@
     let latest = refused(&mut loads, MOST_URGENT, FULL, 0.314).unwrap();
     assert!((990..=1_010).contains(&soonest.retry_after.as_millis()));
     assert!((2_900..=3_010).contains(&latest.retry_after.as_millis()));
-    assert_eq!((soonest.taken_percent, soonest.refused_percent), (120, 31));
+    assert_eq!(
+        (soonest.utilization_percent, soonest.refused_percent),
+        (120, 31)
+    );
 }
 
 #[test]
--- a/crates/gateway-core/src/router/placement.rs
+++ b/crates/gateway-core/src/router/placement.rs
@@ -8,7 +8,7 @@
 use super::holders::{self, Held};
 use super::homes::weight;
 use super::summary::NameHash;
-use super::{Admission, BelievedParts, Choice, ChoiceError, EarlierAttempts, Prompt, RouterCore};
+use super::{Admission, CacheEstimate, Choice, ChoiceError, EarlierAttempts, Prompt, RouterCore};
 use crate::{LoadEntry, Pool};
 
 /// Connections to one back end when its pool sets no bound.
@@ -38,7 +38,7 @@
             candidates.retain(|candidate| !earlier.tried.contains(candidate.id));
         }
         let usable = prefer_sound(now, candidates);
-        if self.is_suspected(earlier.work) {
+        if self.is_suspected(earlier.fingerprint) {
             return self.place_suspected(now, admission, prompt, &usable, draw);
         }
         let placed = match prompt {
@@ -99,7 +99,7 @@
         let cache = prompt.zip(cache_salt.as_deref());
         let prefixes = cache.map(|(prompt, salt)| holders::prefixes(prompt, salt));
         let prefixes = prefixes.unwrap_or_default();
-        let (believed, holder) = self.best_holder(now, &prefixes, &placed, usable);
+        let (cache_estimate, holder) = self.best_holder(now, &prefixes, &placed, usable);
         let others = OtherCaches {
             holder,
             home: placed.home.as_deref(),
@@ -114,13 +114,13 @@
             expected_version: placed.version,
             cache_salt,
             prefixes,
-            believed,
+            cache_estimate,
             tokens: placed.tokens,
             fetches_from_store: cache.from_store,
             fetch_from: cache.fetch_from,
             save_to: cache.save_to,
             copy: None,
-            heard: placed.heard,
+            last_received_at: placed.last_received_at,
             in_flight: placed.in_flight,
             rank: placed.rank,
         }
@@ -134,7 +134,7 @@
         prefixes: &[u32],
         placed: &Placed,
         usable: &[Candidate<'a>],
-    ) -> (BelievedParts, Option<&'a str>) {
+    ) -> (CacheEstimate, Option<&'a str>) {
         let held = self.holders.held(now, prefixes);
         let own = LoadEntry::key_of(placed.instance.as_str());
         let here = held.iter().find(|held| held.key == own);
@@ -148,13 +148,13 @@
         let more = held.iter().filter(|held| held.parts > here);
         let sources = more.filter_map(|held| at(held).map(|endpoint| (held, endpoint)));
         let best = sources.max_by_key(|(held, _)| (held.parts, held.used_at));
-        let believed = BelievedParts {
+        let cache_estimate = CacheEstimate {
             here,
             at_source: best.map_or(0, |(held, _)| held.parts),
             age_ms: best.map_or(0, |(held, _)| now.since(held.used_at).as_millis() as u64),
         };
         let address = best.map(|(_, endpoint)| endpoint.record.address.as_str());
-        (believed, address)
+        (cache_estimate, address)
     }
 
     pub(super) fn pool(&self, admission: &Admission) -> Option<&Pool> {
--- a/crates/gateway-core/src/router/request.rs
+++ b/crates/gateway-core/src/router/request.rs
@@ -86,12 +86,12 @@
 
 /// Why a request is refused while its pool has too much work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("pool overloaded: {taken_percent} % of its slots taken, {refused_percent} % refused")]
+#[error("pool overloaded: {utilization_percent} % of its slots taken, {refused_percent} % refused")]
 pub struct Overload {
     /// When the caller is to try again.
     pub retry_after: Duration,
     /// Requests at the pool's back ends, of 100 slots.
-    pub taken_percent: u32,
+    pub utilization_percent: u32,
     /// Requests of this urgency that are refused, of 100.
     pub refused_percent: u32,
 }
@@ -104,9 +104,9 @@
     /// Attempts that arrived at one of them, also when it turned the request away.
     pub arrived: u32,
     /// What the request carries.
-    pub work: Option<WorkId>,
+    pub fingerprint: Option<WorkId>,
     /// Moments at which back ends had ended under it before this call.
-    pub ends_before_call: u32,
+    pub crashes_before_call: u32,
     /// Attempts of this call that broke when they may have run.
     pub broken: u32,
 }
--- a/crates/gateway-core/src/router/suspected_work.rs
+++ b/crates/gateway-core/src/router/suspected_work.rs
@@ -134,7 +134,7 @@
         now: Timestamp,
         earlier: &EarlierAttempts<'_>,
     ) -> Result<(), ChoiceError> {
-        let Some(work) = earlier.work else {
+        let Some(work) = earlier.fingerprint else {
             return Ok(());
         };
         if self.suspected_work.is_quarantined(work) {
@@ -145,7 +145,7 @@
             return Err(ChoiceError::Quarantined);
         }
         let ends = self.suspected_work.ends(work);
-        let ends = ends.max(earlier.ends_before_call + earlier.broken);
+        let ends = ends.max(earlier.crashes_before_call + earlier.broken);
         if earlier.broken > 0 && ends >= ENDS_FOR_SUSPICION {
             return Err(ChoiceError::Suspected);
         }
@@ -176,7 +176,7 @@
         works: &[(WorkId, Timestamp)],
     ) -> Vec<(WorkId, u32)> {
         let back_end = LoadEntry::key_of(instance.as_str());
-        self.endpoints.on_ended(now, instance);
+        self.endpoints.on_crashed(now, instance);
         self.suspect(back_end);
         let suspected = &mut self.suspected_work;
         let works: BTreeMap<WorkId, Timestamp> = works.iter().copied().collect();
--- a/crates/gateway-core/src/router/tests/caches.rs
+++ b/crates/gateway-core/src/router/tests/caches.rs
@@ -211,8 +211,8 @@
         .choose(at(3), &admission, Some(&prompt), EarlierAttempts::default())
         .unwrap();
     assert_ne!(away.instance, first.instance);
-    assert_eq!(away.believed.here, 0);
-    assert_eq!(away.believed.at_source, 1);
+    assert_eq!(away.cache_estimate.here, 0);
+    assert_eq!(away.cache_estimate.at_source, 1);
     assert_eq!(away.fetch_from.as_deref(), Some(first.address.as_str()));
     assert_eq!(away.fetches_from_store, None);
 }
@@ -221,21 +221,21 @@
 fn what_other_routers_learned_is_used_as_well() {
     let prompt = prompt("shared", 10);
     let (mut other, _, first) = router_with_a_busy_home(&prompt);
-    let learned = other.take_holder_news();
+    let learned = other.take_holder_reports();
     assert_eq!(learned.len(), 1);
-    assert!(other.take_holder_news().is_empty());
+    assert!(other.take_holder_reports().is_empty());
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     router.on_holders(at(1), &learned);
     let tried = [first.instance];
     let away = router.choose(at(2), &admission, Some(&prompt), after(&tried));
     assert_eq!(
-        away.unwrap().believed.at_source,
+        away.unwrap().cache_estimate.at_source,
         0,
         "a tried one is no source"
     );
     let known = router.choose(at(2), &admission, Some(&prompt), EarlierAttempts::default());
-    assert_eq!(known.unwrap().believed.here, 1);
+    assert_eq!(known.unwrap().cache_estimate.here, 1);
 }
 
 #[test]
@@ -250,7 +250,7 @@
         .choose(at(3), &admission, Some(&prompt), EarlierAttempts::default())
         .unwrap();
     assert_ne!(away.instance, first.instance);
-    assert_eq!(away.believed.at_source, 0);
+    assert_eq!(away.cache_estimate.at_source, 0);
     assert_ne!(away.fetch_from.as_deref(), Some(first.address.as_str()));
 }
 
--- a/crates/gateway-core/src/router/tests/failures.rs
+++ b/crates/gateway-core/src/router/tests/failures.rs
@@ -179,7 +179,7 @@
         .choose(at(1), &admission, None, after(&tried))
         .unwrap();
     assert_eq!(heard.instance, lost.instance);
-    heard.heard.set(at(heard_by_other_at));
+    heard.last_received_at.set(at(heard_by_other_at));
     let silent = other.on_suspects(ended, &router.take_suspects());
     assert!(router.take_suspects().is_empty());
     (fell_silent, silent == [lost.instance])
--- a/crates/gateway-core/src/router/tests/suspected_work.rs
+++ b/crates/gateway-core/src/router/tests/suspected_work.rs
@@ -12,7 +12,7 @@
 
 fn first_of(work: WorkId) -> EarlierAttempts<'static> {
     EarlierAttempts {
-        work: Some(work),
+        fingerprint: Some(work),
         ..EarlierAttempts::default()
     }
 }
@@ -96,7 +96,7 @@
 #[case::one_before_the_call(1, 1, false)]
 #[case::not_broken_yet(2, 0, true)]
 fn a_call_does_not_send_suspected_work_on(
-    #[case] ends_before_call: u32,
+    #[case] crashes_before_call: u32,
     #[case] broken: u32,
     #[case] goes_on: bool,
 ) {
@@ -105,8 +105,8 @@
     let earlier = EarlierAttempts {
         tried: if broken > 0 { &tried } else { &[] },
         arrived: broken,
-        work: Some(work("a")),
-        ends_before_call,
+        fingerprint: Some(work("a")),
+        crashes_before_call,
         broken,
     };
     let chosen = choose(&mut router, earlier);
--- a/crates/gateway-core/tests/limits.rs
+++ b/crates/gateway-core/tests/limits.rs
@@ -475,7 +475,7 @@
     };
     for _ in 0..3 {
         let admission = fleet.routers[0].admit(now, head).unwrap();
-        fleet.routers[0].pay_back(now, &admission);
+        fleet.routers[0].refund(now, &admission);
     }
     assert!(fleet.routers[0].take_usage(now).is_empty());
     fleet.routers[0].admit(now, head).unwrap();
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -44,7 +44,7 @@
     /// Stands for what the request carries; `None` before the key for that is known.
     pub work: Option<WorkId>,
     /// Moments at which back ends had ended under it before this call.
-    pub ends_before_call: u32,
+    pub crashes_before_call: u32,
 }
 
 /// Counts a request as open until its answer has ended.
@@ -140,7 +140,7 @@
     };
     let admission = router.core.borrow_mut().admit(now, head)?;
     if router.stops_before(admission.route.kind) {
-        router.core.borrow_mut().pay_back(now, &admission);
+        router.core.borrow_mut().refund(now, &admission);
         return Err(Refused::Stopping);
     }
     if let Some((tenant, charge)) = admission.tenant.as_ref().zip(admission.charge) {
@@ -189,11 +189,11 @@
     };
     let work = identify(router, &parts, &admission, &body);
     let core = router.core.borrow();
-    let ends_before_call = work.map_or(0, |work| core.ends_under(work));
+    let crashes_before_call = work.map_or(0, |work| core.ends_under(work));
     Ok(Call {
         id,
         work,
-        ends_before_call,
+        crashes_before_call,
         received,
         deadline: received.plus(held),
         admission,
@@ -302,8 +302,8 @@
         attempts = attempts.tried.len(), rank = choice.rank, in_flight = choice.in_flight,
         limit = limit.map(tracing::field::display),
         version = choice.expected_version, read_tokens = choice.tokens, fetch = choice.fetch_source(), fetch_from = choice.fetch_from,
-        held_here = choice.believed.here, held_at_source = choice.believed.at_source,
-        belief_age_ms = choice.believed.age_ms, copied_to = choice.copy.as_ref().map(|copy| copy.instance.as_str()), stores = choice.save_to.is_some(),
+        held_here = choice.cache_estimate.here, held_at_source = choice.cache_estimate.at_source,
+        belief_age_ms = choice.cache_estimate.age_ms, copied_to = choice.copy.as_ref().map(|copy| copy.instance.as_str()), stores = choice.save_to.is_some(),
         elapsed_ms = elapsed.as_millis() as u64, revision = router.core.borrow().revision(),
         "router: answered");
     let (mut head, body) = response.into_parts();
--- a/crates/gateway/src/router/refusal.rs
+++ b/crates/gateway/src/router/refusal.rs
@@ -59,7 +59,7 @@
 ) -> Response<AnswerBody> {
     let now = router.clock.now();
     if worst == Execution::NotRun {
-        router.core.borrow_mut().pay_back(now, &call.admission);
+        router.core.borrow_mut().refund(now, &call.admission);
     }
     let elapsed = now.since(call.received);
     let given_up = final_answer(worst, error, now >= call.deadline);
--- a/crates/gateway/src/router/refusal_tests.rs
+++ b/crates/gateway/src/router/refusal_tests.rs
@@ -11,7 +11,7 @@
 
 const OVERLOADED: Option<ChoiceError> = Some(ChoiceError::Overloaded(Overload {
     retry_after: Duration::from_millis(1_300),
-    taken_percent: 110,
+    utilization_percent: 110,
     refused_percent: 30,
 }));
 
--- a/crates/gateway/src/router/relay.rs
+++ b/crates/gateway/src/router/relay.rs
@@ -59,7 +59,7 @@
 
     /// Bytes of the answer have come.
     fn heard(&self) {
-        self.choice.heard.set(self.router.clock.now());
+        self.choice.last_received_at.set(self.router.clock.now());
     }
 
     fn note_answered(&mut self, took: Option<Duration>) {
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -65,7 +65,7 @@
         if !refusing.is_empty() && !sender.send(&Message::Refusing(List::new(refusing))) {
             return "closed";
         }
-        let learned = router.core.borrow_mut().take_holder_news();
+        let learned = router.core.borrow_mut().take_holder_reports();
         if !learned.is_empty() && !sender.send(&Message::Holders(List::new(learned))) {
             return "closed";
         }
--- a/crates/gateway/src/router/resume.rs
+++ b/crates/gateway/src/router/resume.rs
@@ -44,8 +44,8 @@
         EarlierAttempts {
             tried: &self.tried,
             arrived: self.sent,
-            work: call.work,
-            ends_before_call: call.ends_before_call,
+            fingerprint: call.work,
+            crashes_before_call: call.crashes_before_call,
             broken: self.broken,
         }
     }
