--- a/crates/gateway-core/src/router/cache.rs
+++ b/crates/gateway-core/src/router/cache.rs
@@ -1,38 +1,38 @@
-//! Where the cached parts of a prompt come from and go to.
+//! The caches that a back end fetches the shared parts of a prompt from, and the store that it saves them to.
 
 use drumshore_core::Timestamp;
 
-use super::homes::{home_key, weight};
+use super::homes::{home_key, rendezvous_score};
 use super::stores::StoreUse;
 use super::summary::NameHash;
 use super::{Admission, Prompt, RouterCore};
 use crate::{CacheStore, StoreId};
 
-/// Where a prompt's cached parts come from and go to.
+/// Source and destination of a prompt's cached parts.
 #[derive(Default)]
 pub(super) struct CacheUse {
-    /// A back end or a store, IP:PORT.
+    /// Address of a back end or store to fetch from, IP:PORT.
     pub fetch_from: Option<String>,
-    /// The store that this is, when it is not another back end.
+    /// The store at `fetch_from`; `None` when that is a back end.
     pub from_store: Option<StoreId>,
-    /// A store, IP:PORT.
+    /// Address of the store to save to, IP:PORT.
     pub save_to: Option<String>,
 }
 
-/// Back ends that may hold a prompt's shared parts, IP:PORT.
+/// Addresses of other back ends that may hold a prompt's shared parts, IP:PORT.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OtherCaches<'a> {
-    /// Believed to hold more of them than the chosen back end.
+    /// The back end that is estimated to hold more of them than the chosen one.
     pub holder: Option<&'a str>,
-    /// The prompt's home, when that is not the chosen one.
+    /// The prompt's home, if it is not the chosen back end.
     pub home: Option<&'a str>,
 }
 
 impl RouterCore {
-    /// The store gives what it is known to hold. When that is not all that is shared, or the store
-    /// is slow, another back end is the better source: one that is believed to hold more than the
-    /// chosen one, else the prompt's home. With no such back end a slow fetch still costs less than
-    /// to read the prompt again.
+    /// Chooses the source of a prompt's cached parts. The store is used if it holds all shared parts and is not slow.
+    /// Otherwise another back end is the better source: one that is estimated to hold more parts than the chosen one,
+    /// else the prompt's home. Without such a back end the store is used if it holds any of them, because a
+    /// slow fetch still costs less than prefilling the prompt again.
     pub(super) fn cache_use(
         &self,
         now: Timestamp,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The store of a prompt, IP:PORT, and what it is good for.
+    /// The store that is assigned to a prompt, its address (IP:PORT) and what it holds of the prompt.
     pub(super) fn store_use(
         &self,
         now: Timestamp,
@@ -75,19 +75,19 @@
         Some((id, address, self.stores.use_for(now, id, prompt, salt)))
     }
 
-    /// The zone of a prompt's home, also while that is loading weights or does not answer: the
-    /// place of what is stored should not change with it.
+    /// The zone of a prompt's home, even while the home is loading weights or unresponsive, so that the store
+    /// of a prompt does not change with the state of its home.
     fn home_zone(&self, admission: &Admission, key: u64) -> Option<&str> {
         let pool = NameHash::of(admission.pool.as_str());
         let pool = self
             .endpoints
             .iter()
             .filter(|(_, endpoint)| endpoint.summary.pool == pool && endpoint.summary.is_ready);
-        let home = pool.max_by_key(|(id, _)| weight(id, key));
+        let home = pool.max_by_key(|(id, _)| rendezvous_score(id, key));
         home.map(|(_, endpoint)| endpoint.record.zone.as_str())
     }
 
-    /// The stores that the pool of a request may use.
+    /// The stores that the pool of a request may use; none for a pool without models.
     fn cache_stores(&self, admission: &Admission) -> impl Iterator<Item = &CacheStore> {
         let has_models = self
             .pool(admission)
@@ -98,8 +98,8 @@
     }
 }
 
-/// What was cached under other weights, or by another tenant when one is isolated, has another
-/// salt and so is never used.
+/// The cache salt of a prompt. Parts cached under other weights, or by another tenant if the tenant is isolated, have
+/// another salt and are never used.
 pub(super) fn salt(admission: &Admission, prompt: &Prompt, version: Option<u64>) -> String {
     let model = prompt.model.as_str();
     let version = version.unwrap_or(0);
--- a/crates/gateway-core/src/router/candidate.rs
+++ b/crates/gateway-core/src/router/candidate.rs
@@ -1,4 +1,4 @@
-//! Back ends that may get a request.
+//! Selection of the back ends that may receive a request.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -11,17 +11,17 @@
 use super::{Admission, Prompt, RouterCore};
 use crate::InstanceId;
 
-/// A back end whose share of failures is above this is used only when no other is left.
-const TOO_MANY_FAILURES: f64 = 0.4;
+/// A back end whose failure rate is at least this is used only when no healthy one is left.
+const FAILURE_RATE_THRESHOLD: f64 = 0.4;
 
-/// A back end that may get a request.
+/// A back end that may receive a request, with the version of the model weights that it holds.
 pub(super) struct Candidate<'a> {
     pub id: &'a InstanceId,
     pub endpoint: &'a Endpoint,
     pub version: Option<u64>,
 }
 
-/// A back end that gets a request.
+/// The back end that a request is assigned to.
 pub(super) struct Placed {
     pub instance: InstanceId,
     pub address: String,
@@ -29,9 +29,9 @@
     pub last_received_at: Rc<Cell<Timestamp>>,
     pub in_flight: u32,
     pub rank: usize,
-    /// Tokens that it is expected to read.
+    /// Prompt tokens that it is expected to prefill.
     pub tokens: u32,
-    /// Where the prompt's home listens, when that is another back end with the same weights.
+    /// Address of the prompt's home, when that is another back end with the same weights.
     pub home: Option<String>,
 }
 
@@ -51,8 +51,9 @@
 }
 
 impl RouterCore {
-    /// The back ends that a request may go to. Those that asked this router for no requests, or say that they
-    /// leave, are left out for good, not only while there are others: what all paths choose from comes from here.
+    /// The back ends that a request may be sent to. Back ends that asked this router to back off, or announced that
+    /// they are leaving, are always left out, even if no others remain. Every choice of a back end starts from
+    /// this list.
     pub(super) fn candidates<'a>(
         &'a self,
         now: Timestamp,
@@ -64,7 +65,7 @@
         candidates
     }
 
-    /// The back ends of the request's pool that are ready and hold weights that are new enough.
+    /// The back ends of the request's pool that are ready and hold recent enough weights.
     pub(super) fn eligible<'a>(
         &'a self,
         now: Timestamp,
@@ -96,7 +97,7 @@
                 });
             }
         }
-        if self.endpoints.share_addresses() {
+        if self.endpoints.has_shared_addresses() {
             keep_latest_at_address(candidates)
         } else {
             candidates
@@ -104,7 +105,7 @@
     }
 }
 
-/// Of two incarnations at one address only the one that registered later can be there.
+/// Keeps, of several incarnations at one address, the one that registered last: only that one can be running.
 fn keep_latest_at_address(candidates: Vec<Candidate<'_>>) -> Vec<Candidate<'_>> {
     let mut latest: HashMap<&str, u64> = HashMap::with_capacity(candidates.len());
     for candidate in &candidates {
@@ -121,16 +122,17 @@
         .collect()
 }
 
-/// Leaves out those that failed lately, while there are others.
-pub(super) fn prefer_sound(
+/// Removes back ends that failed recently, as long as others remain.
+pub(super) fn prefer_healthy(
     now: Timestamp,
     mut candidates: Vec<Candidate<'_>>,
 ) -> Vec<Candidate<'_>> {
-    let is_sound = |candidate: &Candidate<'_>| {
-        candidate.endpoint.avoided_until <= now && candidate.endpoint.failures < TOO_MANY_FAILURES
+    let is_healthy = |candidate: &Candidate<'_>| {
+        candidate.endpoint.avoided_until <= now
+            && candidate.endpoint.failure_rate < FAILURE_RATE_THRESHOLD
     };
-    if candidates.iter().any(is_sound) {
-        candidates.retain(is_sound);
+    if candidates.iter().any(is_healthy) {
+        candidates.retain(is_healthy);
     }
     candidates
 }
--- a/crates/gateway-core/src/router/choice.rs
+++ b/crates/gateway-core/src/router/choice.rs
@@ -1,4 +1,4 @@
-//! What a router decided for one attempt of a request.
+//! The back end that a router chooses for one attempt of a request.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,67 +7,68 @@
 
 use crate::{InstanceId, StoreId};
 
-/// Where a request goes, and what goes with it.
+/// The chosen back end, and what an attempt to send the request there needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The back end.
+    /// The chosen back end.
     pub instance: InstanceId,
-    /// IP:PORT.
+    /// Its address, IP:PORT.
     pub address: String,
-    /// Connections that this router may have open to it.
+    /// Number of connections that this router may have open to it.
     pub connections: usize,
-    /// The weights that the back end must hold.
+    /// Version of the model weights that the back end must hold; `None` for a request without a model.
     pub expected_version: Option<u64>,
-    /// Cached prompts are shared under the same salt only.
+    /// Cached prompt parts are shared only between requests with the same salt.
     pub cache_salt: Option<String>,
-    /// Stand for the shared parts of a long prompt under its salt, the shortest prefix first.
+    /// Hashes of the prefixes of a long prompt's shared parts under the salt, the shortest prefix first.
     pub prefixes: Vec<u32>,
-    /// Tokens that the back end is expected to read.
+    /// Prompt tokens that the back end is expected to prefill.
     pub tokens: u32,
-    /// A store to fetch the prompt from.
+    /// Address of a cache store or back end to fetch cached prompt parts from.
     pub fetch_from: Option<String>,
-    /// The store that this is, when it is not another back end.
-    pub fetches_from_store: Option<StoreId>,
-    /// Shared parts that the back end is believed to hold, and those that the source is.
+    /// The store at `fetch_from`; `None` when that is a back end.
+    pub fetch_store: Option<StoreId>,
+    /// Estimated number of shared parts that the back end and the source of the fetch have cached.
     pub cache_estimate: CacheEstimate,
-    /// A store to save the prompt to.
+    /// Address of a cache store to save the prompt to.
     pub save_to: Option<String>,
-    /// Where the run is copied as it grows, so that it can go on when its back end is lost.
+    /// Back end that receives a copy of the run's cache as it grows and continues the run if the chosen back end
+    /// is lost.
     pub copy: Option<RunCopy>,
-    /// When bytes of an answer came last from the back end.
+    /// Time at which the router last received response bytes from the back end.
     pub last_received_at: Rc<Cell<Timestamp>>,
-    /// Why: the requests in flight here, and the rank of the prompt's home, for logs.
+    /// Requests of this router in flight at the back end before this one, for logs.
     pub in_flight: u32,
-    /// 0 when the back end is the first home of the prompt.
+    /// Rank of the back end among the homes of the prompt, for logs; 0 is the first home.
     pub rank: usize,
 }
 
-/// A back end that keeps a copy of another one's run.
+/// The back end that keeps a copy of a run on another back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunCopy {
-    /// The back end.
+    /// The back end that keeps the copy.
     pub instance: InstanceId,
-    /// IP:PORT.
+    /// Its address, IP:PORT.
     pub address: String,
-    /// The weights of the run; a copy is of no use under others.
+    /// Version of the weights that the run uses. A copy cannot be used under another version.
     pub version: Option<u64>,
 }
 
-/// Leading shared parts of a prompt that are believed to be held.
+/// Estimated number of leading shared parts of a prompt that back ends have cached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheEstimate {
-    /// At the chosen back end.
+    /// Parts at the chosen back end.
     pub here: usize,
-    /// At the back end to fetch from, when one is believed to hold more.
+    /// Parts at the back end to fetch from; 0 when no other one is estimated to have more than the chosen one.
     pub at_source: usize,
-    /// Age of that belief, in milliseconds.
+    /// Milliseconds since that back end was last seen to use them.
     pub age_ms: u64,
 }
 
 impl Choice {
-    /// Where shared parts are fetched from, for logs.
+    /// The kind of source of a fetch, as written to logs.
     pub fn fetch_source(&self) -> &'static str {
-        match (&self.fetch_from, self.fetches_from_store) {
+        match (&self.fetch_from, self.fetch_store) {
             (Some(_), Some(_)) => "store",
             (Some(_), None) => "home",
             (None, _) => "none",
--- a/crates/gateway-core/src/router/copies.rs
+++ b/crates/gateway-core/src/router/copies.rs
@@ -1,40 +1,40 @@
-//! Copies of runs, with which a stream goes on when its back end is lost.
+//! Copies of runs on second back ends, so that streams continue when their back end is lost.
 //!
-//! A run that may not be repeated is lost with its back end, unless another one has a copy of its
-//! memory. The copy continues the same run: nothing runs twice. Where a stream may be resumed any
-//! back end can read it again, and no copy is kept: those prompts are long.
+//! A run that must not be repeated is lost with its back end unless another one has a copy of its cached tokens. The
+//! copy continues the same run, so nothing runs twice. No copy is kept of a resumable stream: its prompts
+//! are long, and any back end can prefill them again.
 
 use drumshore_core::Timestamp;
 
 use super::candidate::{Candidate, Placed};
-use super::homes::weight;
-use super::least::least_by_key;
+use super::homes::rendezvous_score;
+use super::k_smallest::k_smallest_by_key;
 use super::summary::NameHash;
 use super::{Admission, Choice, ChoiceError, EarlierAttempts, Prompt, RouterCore, RunCopy};
 use crate::RequestKind;
 
-/// Back ends that are drawn as targets of a copy; the one with fewer requests is taken.
-const DRAWN_FOR_COPY: usize = 2;
-/// Runs are copied while no more than this part of the pool's slots is taken: a copy takes memory
-/// that a busy pool needs for prompts.
-const MOST_SLOTS_TAKEN: f64 = 0.35;
-/// Of a back end's memory, what one copy may take at most. It is memory that prompts lack.
-const MOST_OF_MEMORY: f64 = 0.05;
+/// Number of back ends that are sampled as targets of a copy; the one with fewer requests is chosen.
+const SAMPLED_COPY_TARGETS: usize = 2;
+/// Runs are copied only up to this utilization of the pool's slots: a copy takes memory that a busy pool needs for
+/// prompts.
+const MAX_UTILIZATION_FOR_COPIES: f64 = 0.35;
+/// Maximum fraction of a back end's cache that one copy may take, because prompts cannot use that memory.
+const MAX_COPY_MEMORY_FRACTION: f64 = 0.05;
 
 impl RouterCore {
-    /// Where the run of a request is to be copied, when it may not be repeated.
+    /// The back end to copy the run of a request to, if the request must not be repeated and the pool has room.
     pub(super) fn copy_target(
         &self,
         admission: &Admission,
         prompt: Option<&Prompt>,
         placed: &Placed,
         usable: &[Candidate<'_>],
-        draw: u64,
+        sample: u64,
     ) -> Option<RunCopy> {
         let models = self.pool(admission)?.models.as_ref()?;
         let prompt = prompt.filter(|_| admission.route.kind == RequestKind::Stream)?;
         let size = f64::from(prompt.tokens() + prompt.output);
-        let is_small = size <= models.cache_tokens as f64 * MOST_OF_MEMORY;
+        let is_small = size <= models.cache_tokens as f64 * MAX_COPY_MEMORY_FRACTION;
         if !models.copies_runs || !is_small || !has_spare_slots(usable) {
             return None;
         }
@@ -44,11 +44,11 @@
             !is_same && other.version == placed.version && !other.endpoint.is_limited()
         });
         // Copies within a zone are cheaper.
-        let drawn = least_by_key(others, DRAWN_FOR_COPY, |other| {
+        let sampled = k_smallest_by_key(others, SAMPLED_COPY_TARGETS, |other| {
             let is_remote = other.endpoint.summary.zone != zone;
-            (is_remote, weight(other.id, !draw))
+            (is_remote, rendezvous_score(other.id, !sample))
         });
-        let target = drawn
+        let target = sampled
             .into_iter()
             .min_by_key(|other| other.endpoint.all_in_flight())?;
         Some(RunCopy {
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Chooses the back end that has a copy of a run, and counts the request there until
+    /// Chooses the back end that has a copy of a run, and counts the request as in flight there until
     /// [`RouterCore::finished`].
     pub fn choose_copy(
         &mut self,
@@ -79,7 +79,7 @@
         let placed = holder.ok_or(ChoiceError::NoneLeft)?.placed(0);
         let choice = Choice {
             fetch_from: None,
-            fetches_from_store: None,
+            fetch_store: None,
             save_to: None,
             ..self.choice(now, admission, prompt, placed, &candidates)
         };
@@ -90,13 +90,13 @@
 }
 
 fn has_spare_slots(usable: &[Candidate<'_>]) -> bool {
-    let (mut slots, mut taken) = (0, 0);
+    let (mut slots, mut occupied) = (0, 0);
     for candidate in usable {
         let endpoint = candidate.endpoint;
         slots += endpoint.record.slots.min(endpoint.slots());
-        taken += candidate.endpoint.all_in_flight();
+        occupied += candidate.endpoint.all_in_flight();
     }
-    f64::from(taken) <= f64::from(slots) * MOST_SLOTS_TAKEN
+    f64::from(occupied) <= f64::from(slots) * MAX_UTILIZATION_FOR_COPIES
 }
 
 #[cfg(test)]
--- a/crates/gateway-core/src/router/copies_tests.rs
+++ b/crates/gateway-core/src/router/copies_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of which runs are copied, and where they go on.
+//! Tests of the conditions for copying a run and of continuing it from the copy.
 
 use drumshore_core::Timestamp;
 use rstest::rstest;
@@ -50,7 +50,7 @@
     assert_eq!(choose(&mut router, &admission, &prompt_of(600)).copy, None);
 }
 
-/// The first back end has broken off: the copy goes on, and is asked for nothing else.
+/// After the first back end broke off, the copy continues the run and is told to fetch, save and copy nothing.
 #[test]
 fn a_run_goes_on_where_its_copy_is() {
     let mut router = router_for_copies();
@@ -75,7 +75,7 @@
     assert!(!router.finished(at(3), &next.instance, began, Outcome::Answered));
 }
 
-/// A copy is of no use under other weights, or at a back end that leaves.
+/// A copy cannot be used under other weights than those of the run.
 #[test]
 fn a_copy_at_a_back_end_that_is_gone_is_not_asked() {
     let mut router = router_for_copies();
--- a/crates/gateway-core/src/router/endpoint.rs
+++ b/crates/gateway-core/src/router/endpoint.rs
@@ -1,4 +1,5 @@
-//! One back end as one router sees it: requests in flight, what they cost a further one, and until when it is avoided.
+//! The state that one router keeps for one back end: its load, the cost that this load adds to a further request,
+//! and the time until which the router avoids it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,58 +12,60 @@
 use super::summary::Summary;
 use crate::{InstanceRecord, LoadEntry};
 
-const SHED_PAUSE: Duration = Duration::from_millis(150);
-const BROKEN_PAUSE: Duration = Duration::from_millis(400);
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-const MISDIRECTED_PAUSE: Duration = Duration::from_secs(30);
-/// A stream costs those who share its back end about as much as so many tokens to read.
-const STREAM_TOKENS: f64 = 60.0;
-/// Back ends read prompts in pieces of so many tokens; a short prompt waits for
-/// the one that is being read.
-const PIECE_TOKENS: f64 = 4_096.0;
-/// Part of the reads that wait at a back end which a short prompt pays for all the same: they make
-/// each step of its stream longer.
-const STALLING_PART: f64 = 0.1;
-/// How long a back end that the leader calls silent is avoided. The leader says it again each
-/// second until the back end is heard; one message may be late or lost.
-const SUSPECT_PAUSE: Duration = Duration::from_secs(2);
-/// How long a request stays at a back end that has answered none.
-const FIRST_STAY: Duration = Duration::from_millis(800);
-/// The weight of the newest answer in the mean time that requests stay.
-const STAY_WEIGHT: f64 = 0.1;
-/// The weight of the newest answer in the share of failures.
+// Cooldowns: the router avoids a back end for this long after an attempt ended in this way. The cooldown after a
+// connection failure or timeout doubles with each further one in a row, from the minimum to the maximum.
+const SHED_COOLDOWN: Duration = Duration::from_millis(150);
+const BROKEN_COOLDOWN: Duration = Duration::from_millis(400);
+const MIN_UNREACHABLE_COOLDOWN: Duration = Duration::from_millis(500);
+const MAX_UNREACHABLE_COOLDOWN: Duration = Duration::from_secs(5);
+const MISDIRECTED_COOLDOWN: Duration = Duration::from_secs(30);
+/// A stream slows the other requests at its back end by about as much as the prefill of this many tokens.
+const STREAM_COST_TOKENS: f64 = 60.0;
+/// Back ends prefill prompts in chunks of this many tokens. A short prompt waits for the chunk in progress.
+const PREFILL_CHUNK_TOKENS: f64 = 4_096.0;
+/// Fraction of a back end's waiting prefill tokens that also adds to the cost of a short prompt, because
+/// prefilling them makes each step of its stream longer.
+const PREFILL_STALL_FRACTION: f64 = 0.1;
+/// Cooldown of a back end that the leader reports as unresponsive. The leader repeats the report each second
+/// until the back end responds, and one message may be late or lost.
+const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(2);
+/// Assumed mean service time of a back end that has not answered a request yet.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(800);
+/// Weight of the newest request in the moving average of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
+/// Weight of the newest request in the moving average of the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
 
-/// How a request left its back end.
+/// How a request ended at its back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The back end answered it completely.
     Answered,
-    /// The back end answered that it failed.
+    /// The back end answered with an error of its own.
     Failed,
-    /// The back end turned it away: it has not run.
+    /// The back end rejected it without running it.
     Shed,
-    /// Another incarnation listens there: it has not run.
+    /// Another incarnation is listening at the address; the request has not run.
     Misdirected,
-    /// The back end holds other weights than expected: it has not run.
+    /// The back end holds other weights than expected; the request has not run.
     OtherWeights,
-    /// No connection came about: it has not run.
+    /// No connection could be established; the request has not run.
     Unreachable,
-    /// All connections that this router may have there are in use: it has not run.
+    /// All connections that this router may have to the back end are in use; the request has not run.
     NoFreeConnection,
-    /// The back end asked for no requests while this one waited for a connection: it was not sent.
+    /// The back end asked for a backoff, or announced that it is leaving, while the request waited for a connection;
+    /// the request was not sent.
     Withheld,
-    /// The connection broke, or bytes came that are no answer.
+    /// The connection broke, or the response was malformed.
     Broken,
-    /// No answer within the time that was left.
+    /// No complete response before the deadline.
     TimedOut,
-    /// The caller left, or the router gave up for a reason of its own.
+    /// The client disconnected, or the router gave up for a reason unrelated to the back end.
     Abandoned,
 }
 
 impl Outcome {
-    /// False when nothing of the request went out.
+    /// False for outcomes where no byte of the request was sent.
     fn was_sent(self) -> bool {
         !matches!(
             self,
@@ -71,45 +74,45 @@
     }
 }
 
-/// What a request that is to be placed makes of the load of back ends.
+/// Properties of a request to be placed that decide how much a back end's load delays it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Newcomer {
-    /// It is read in one piece, between the pieces of long prompts.
+pub(super) struct RequestProfile {
+    /// The prompt is prefilled in one chunk, between the chunks of long prompts.
     pub is_short: bool,
-    /// How long the pool's streams keep their slots on the mean, in tokens that could be read
-    /// meanwhile.
-    pub stream_length: f64,
+    /// Mean time for which the pool's streams occupy a slot, as the number of tokens that could be prefilled
+    /// in that time.
+    pub slot_time_tokens: f64,
 }
 
-/// A back end.
+/// A back end as this router sees it.
 #[derive(Debug)]
 pub(super) struct Endpoint {
     pub record: Rc<InstanceRecord>,
     pub summary: Summary,
-    /// Of its name; the low half is [`LoadEntry::key_of`].
+    /// Hash of its name; the low half is [`LoadEntry::key_of`].
     pub name_hash: u64,
     pub key: u32,
-    /// Requests of this router.
+    /// Requests of this router in flight at the back end.
     pub in_flight: u32,
-    /// Tokens of this router's prompts that were sent and not answered.
+    /// Prompt tokens of this router's requests whose response has not begun.
     pub pending_tokens: u32,
-    /// What the other routers put on it.
+    /// Load that the other routers put on it, as last reported.
     pub others: LoadEntry,
     pub avoided_until: Timestamp,
-    /// Smoothed share of requests that failed there.
-    pub failures: f64,
+    /// Moving average of the fraction of requests that failed there.
+    pub failure_rate: f64,
     unreachable_in_a_row: u32,
     pub misdirected_until: Timestamp,
-    /// How long this router's requests stay there, on the mean.
-    stay: Duration,
-    /// What it said of itself to this router.
+    /// Moving average of the time that this router's requests spend there.
+    service_time: Duration,
+    /// The status headers that it sent to this router: backoff, leaving and rate limit.
     pub notices: HeldNotices,
-    /// When bytes of an answer came last; shared with the answers that are passed on.
+    /// Time at which response bytes were last received; shared with the responses being relayed.
     pub last_received_at: Rc<Cell<Timestamp>>,
 }
 
 impl Endpoint {
-    /// One that is new, and what it said of itself before.
+    /// A back end that control machines have just announced; `notices` are those that it sent before.
     pub fn new(record: &Rc<InstanceRecord>, notices: HeldNotices) -> Self {
         Self {
             record: Rc::clone(record),
@@ -120,74 +123,75 @@
             pending_tokens: 0,
             others: LoadEntry::default(),
             avoided_until: Timestamp::default(),
-            failures: 0.0,
+            failure_rate: 0.0,
             unreachable_in_a_row: 0,
             misdirected_until: Timestamp::default(),
-            stay: FIRST_STAY,
+            service_time: INITIAL_SERVICE_TIME,
             notices,
             last_received_at: Rc::default(),
         }
     }
 
-    pub fn note_outcome(&mut self, now: Timestamp, outcome: Outcome) {
+    pub fn record_outcome(&mut self, now: Timestamp, outcome: Outcome) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if !outcome.was_sent() {
             self.notices.on_not_sent(now);
         }
-        let pause = match outcome {
+        let cooldown = match outcome {
             Outcome::Answered => {
                 self.unreachable_in_a_row = 0;
-                self.note(false);
+                self.update_failure_rate(false);
                 return;
             }
             Outcome::Abandoned | Outcome::Withheld => return,
             Outcome::Failed => {
-                self.note(true);
+                self.update_failure_rate(true);
                 return;
             }
-            Outcome::Shed | Outcome::OtherWeights | Outcome::NoFreeConnection => SHED_PAUSE,
+            Outcome::Shed | Outcome::OtherWeights | Outcome::NoFreeConnection => SHED_COOLDOWN,
             Outcome::Broken => {
-                self.note(true);
-                BROKEN_PAUSE
+                self.update_failure_rate(true);
+                BROKEN_COOLDOWN
             }
             Outcome::TimedOut | Outcome::Unreachable => {
-                self.note(true);
-                self.longer_pause()
+                self.update_failure_rate(true);
+                self.next_unreachable_cooldown()
             }
             Outcome::Misdirected => {
-                self.misdirected_until = now.plus(MISDIRECTED_PAUSE);
-                MISDIRECTED_PAUSE
+                self.misdirected_until = now.plus(MISDIRECTED_COOLDOWN);
+                MISDIRECTED_COOLDOWN
             }
         };
-        self.avoided_until = self.avoided_until.max(now.plus(pause));
+        self.avoided_until = self.avoided_until.max(now.plus(cooldown));
     }
 
-    /// Whether it may be sent a request, by what it said of itself to this router.
+    /// Whether the back end's notices to this router permit a further request.
     pub fn permission(&self, now: Timestamp) -> Permission {
         self.notices.permission(now, self.in_flight)
     }
 
-    /// False while what it said of itself to this router keeps requests from it.
+    /// False while its notices to this router forbid further requests.
     pub fn takes_requests(&self, now: Timestamp) -> bool {
         self.permission(now) == Permission::Granted
     }
 
-    /// True while it names a limit. Copies of runs and fetches of cached parts are work that it has no room for, and
-    /// that no answer to this router counts.
+    /// True while it announces a rate limit. Copies of runs and fetches from its cache are load that its limit leaves
+    /// no room for and that no answer to this router accounts for.
     pub fn is_limited(&self) -> bool {
         self.notices.limit().is_some()
     }
 
-    pub fn note_stay(&mut self, stay: Duration) {
-        self.stay = self.stay.mul_f64(1.0 - STAY_WEIGHT) + stay.mul_f64(STAY_WEIGHT);
+    pub fn record_service_time(&mut self, service_time: Duration) {
+        self.service_time = self.service_time.mul_f64(1.0 - SERVICE_TIME_WEIGHT)
+            + service_time.mul_f64(SERVICE_TIME_WEIGHT);
     }
 
-    pub fn avoid_as_silent(&mut self, now: Timestamp) {
-        self.avoided_until = self.avoided_until.max(now.plus(SUSPECT_PAUSE));
+    pub fn avoid_as_unresponsive(&mut self, now: Timestamp) {
+        self.avoided_until = self.avoided_until.max(now.plus(UNRESPONSIVE_COOLDOWN));
         self.unreachable_in_a_row = self.unreachable_in_a_row.max(1);
     }
 
-    /// False once it could not be reached, until it answers again.
+    /// False after a connection failure, a timeout or a report that it is unresponsive, until it answers again.
     pub fn is_reachable(&self) -> bool {
         self.unreachable_in_a_row == 0
     }
@@ -196,54 +200,55 @@
         self.others.pending > 0 || self.others.in_flight > 0
     }
 
-    /// Requests of all routers, as far as they have told.
+    /// Requests of all routers in flight, as far as the others have reported.
     pub fn all_in_flight(&self) -> u32 {
         self.in_flight + u32::from(self.others.in_flight)
     }
 
-    /// Requests that it runs at once: no more than stay there at the rate that it limits itself to (Little's law).
-    /// It has few requests and would look idle otherwise.
+    /// Number of requests that it runs at once. Under a rate limit this is at most the rate times the mean service
+    /// time (Little's law); otherwise a limited back end, which has few requests, would look idle.
     pub fn slots(&self) -> u32 {
         let slots = self.record.slots.max(1);
         let limit = self.notices.limit();
         limit.map_or(slots, |rate| {
-            let at_once = rate.as_per_second() * self.stay.as_secs_f64();
+            let at_once = rate.as_per_second() * self.service_time.as_secs_f64();
             (at_once.ceil() as u32).clamp(1, slots)
         })
     }
 
-    /// Tokens of prompts of all routers that are still to be read.
+    /// Prompt tokens of all routers that wait for prefill.
     fn all_pending_tokens(&self) -> u32 {
         self.pending_tokens + u32::from(self.others.pending) * LoadEntry::TOKENS
     }
 
-    /// What the requests of all routers there cost a further one, in tokens to be read.
-    pub fn cost_of_load(&self, newcomer: Newcomer) -> f64 {
+    /// Cost that the requests of all routers at this back end add to a further one, in prefill tokens.
+    pub fn cost_of_load(&self, profile: RequestProfile) -> f64 {
         let pending = f64::from(self.all_pending_tokens());
-        let reads_first = if newcomer.is_short {
-            pending.min(PIECE_TOKENS) + pending * STALLING_PART
+        let prefill_wait = if profile.is_short {
+            pending.min(PREFILL_CHUNK_TOKENS) + pending * PREFILL_STALL_FRACTION
         } else {
             pending
         };
-        let streams = f64::from(self.all_in_flight()) * STREAM_TOKENS;
-        reads_first + streams + self.wait_for_slot(newcomer.stream_length)
+        let streams = f64::from(self.all_in_flight()) * STREAM_COST_TOKENS;
+        prefill_wait + streams + self.wait_for_slot(profile.slot_time_tokens)
     }
 
-    /// What a further request waits until one of those before it has ended and left its slot.
-    fn wait_for_slot(&self, stream_length: f64) -> f64 {
+    /// Expected wait of a further request for a free slot, in prefill tokens.
+    fn wait_for_slot(&self, slot_time_tokens: f64) -> f64 {
         let slots = self.slots();
         let before = (self.all_in_flight() + 1).saturating_sub(slots);
-        f64::from(before) * stream_length / f64::from(slots)
+        f64::from(before) * slot_time_tokens / f64::from(slots)
     }
 
-    fn note(&mut self, failed: bool) {
+    fn update_failure_rate(&mut self, failed: bool) {
         let sample = if failed { 1.0 } else { 0.0 };
-        self.failures += FAILURE_WEIGHT * (sample - self.failures);
+        self.failure_rate += FAILURE_WEIGHT * (sample - self.failure_rate);
     }
 
-    fn longer_pause(&mut self) -> Duration {
-        let doubled = FIRST_PAUSE * 2_u32.saturating_pow(self.unreachable_in_a_row.min(8));
+    fn next_unreachable_cooldown(&mut self) -> Duration {
+        let doubled =
+            MIN_UNREACHABLE_COOLDOWN * 2_u32.saturating_pow(self.unreachable_in_a_row.min(8));
         self.unreachable_in_a_row += 1;
-        doubled.min(LONGEST_PAUSE)
+        doubled.min(MAX_UNREACHABLE_COOLDOWN)
     }
 }
--- a/crates/gateway-core/src/router/endpoints.rs
+++ b/crates/gateway-core/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! All back ends as one router sees them, by their names and keys.
+//! All back ends that one router knows, by name and by key, with the state that it keeps for each.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,34 +12,34 @@
 use super::summary::{NameHash, Summary};
 use crate::{BackEndNotice, InstanceId, InstanceRecord, LoadEntry, PoolName};
 
-/// A back end that lost a request and sent nothing for so long, while that waited, has fallen
-/// silent: answers of one that works come every few tens of milliseconds.
-const SILENCE: Duration = Duration::from_millis(1_000);
-/// One that was heard within this time is not taken for silent on another router's word.
-const HEARD_LATELY: Duration = Duration::from_millis(600);
-/// How long a back end that turned another router's request away is avoided: about as long as a
-/// load of weights takes.
-const REFUSING_PAUSE: Duration = Duration::from_millis(400);
+/// A back end is unresponsive if it sent no bytes for this long before a request to it broke off or timed out.
+/// A working one sends response bytes every few tens of milliseconds.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_000);
+/// Another router's report of an unresponsive back end is ignored if this router received bytes from the back end
+/// within this time.
+const RECENTLY_RECEIVED: Duration = Duration::from_millis(600);
+/// Cooldown of a back end that rejected another router's request: about as long as it takes to load weights.
+const REFUSING_COOLDOWN: Duration = Duration::from_millis(400);
 
-/// All back ends.
+/// The back ends and the indexes over them.
 #[derive(Debug, Default)]
 pub(super) struct Endpoints {
     by_id: BTreeMap<InstanceId, Endpoint>,
-    /// By [`LoadEntry::key_of`], which several may share.
+    /// Index by [`LoadEntry::key_of`]; several back ends may have the same key.
     by_key: BTreeSet<(u32, InstanceId)>,
-    /// Those that have requests of this router.
+    /// Back ends at which this router has requests in flight.
     in_use: BTreeSet<InstanceId>,
-    /// Those on which others are known to put load.
+    /// Keys of the back ends on which other routers report load.
     loaded_by_others: BTreeSet<u32>,
     addresses: Addresses,
-    /// Of back ends that control machines do not name at present.
+    /// Notices of back ends that control machines do not announce at present.
     notices_of_absent: NoticesOfAbsent,
-    /// Those that name a limit.
+    /// Back ends that announce a rate limit.
     limited: BTreeSet<InstanceId>,
 }
 
 impl Endpoints {
-    /// Takes in the back ends that there are; what was learned of those that stay is kept.
+    /// Replaces the set of back ends; the state of those that remain is kept.
     pub fn replace_all<'a>(&mut self, records: impl Iterator<Item = &'a Rc<InstanceRecord>>) {
         let earlier = std::mem::take(self);
         self.notices_of_absent = earlier.notices_of_absent;
@@ -47,7 +47,7 @@
         for record in records {
             let id = InstanceId::new(record.instance.as_str());
             if let Some(endpoint) = earlier.remove(&id) {
-                self.keep(id, endpoint);
+                self.add(id, endpoint);
             }
             self.insert(record);
         }
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Keeps a back end with all that was learned of it.
-    fn keep(&mut self, id: InstanceId, endpoint: Endpoint) {
+    /// Adds a back end with its state and updates the indexes.
+    fn add(&mut self, id: InstanceId, endpoint: Endpoint) {
         self.addresses.add(endpoint.record.address.as_str());
         self.by_key.insert((endpoint.key, id.clone()));
         if endpoint.in_flight > 0 {
@@ -72,12 +72,12 @@
         self.by_id.insert(id, endpoint);
     }
 
-    /// Takes in one back end that is new or has changed.
+    /// Adds a back end, or updates the record of one that is known.
     pub fn insert(&mut self, record: &Rc<InstanceRecord>) {
         let id = InstanceId::new(record.instance.as_str());
         let Some(endpoint) = self.by_id.get_mut(&id) else {
             let notices = self.notices_of_absent.restore(&id);
-            self.keep(id, Endpoint::new(record, notices));
+            self.add(id, Endpoint::new(record, notices));
             return;
         };
         self.addresses.add(record.address.as_str());
@@ -86,12 +86,12 @@
         endpoint.summary = Summary::of(record);
     }
 
-    /// Whether several back ends are known at any one address.
-    pub fn share_addresses(&self) -> bool {
+    /// Whether any address is shared by several back ends.
+    pub fn has_shared_addresses(&self) -> bool {
         self.addresses.any_shared()
     }
 
-    /// A back end has gone.
+    /// Removes a back end; its notices are kept in case it is announced again.
     pub fn remove(&mut self, instance: &str) {
         let id = InstanceId::new(instance);
         if let Some(endpoint) = self.by_id.remove(&id) {
@@ -112,11 +112,13 @@
     }
 
     pub fn in_flight(&self) -> u32 {
-        self.used().map(|endpoint| endpoint.in_flight).sum()
+        self.in_use_endpoints()
+            .map(|endpoint| endpoint.in_flight)
+            .sum()
     }
 
-    /// Requests of all routers, waiting or running, for each slot of the back ends of a pool that
-    /// take requests. Those that do not say how many slots they have do not count.
+    /// Requests of all routers, waiting or running, divided by the slots of the pool's back ends that take requests.
+    /// Above 1 while requests wait for slots. Back ends that declare no slots are not counted.
     pub fn slot_utilization(&self, now: Timestamp, pool: &PoolName) -> f64 {
         let pool = NameHash::of(pool.as_str());
         let takes_requests = |endpoint: &&Endpoint| {
@@ -128,12 +130,12 @@
                 && endpoint.avoided_until <= now
                 && endpoint.notices.allow_requests(now)
         };
-        let (mut taken, mut slots) = (0, 0);
+        let (mut occupied, mut slots) = (0, 0);
         for endpoint in self.by_id.values().filter(takes_requests) {
-            taken += endpoint.all_in_flight();
+            occupied += endpoint.all_in_flight();
             slots += endpoint.slots();
         }
-        f64::from(taken) / f64::from(slots.max(1))
+        f64::from(occupied) / f64::from(slots.max(1))
     }
 
     pub fn started(&mut self, now: Timestamp, instance: &InstanceId, tokens: u32) {
@@ -145,17 +147,17 @@
         }
     }
 
-    /// The answer to a request has begun: its prompt has been read.
+    /// The response to a request has begun, so its prompt has been prefilled.
     pub fn answered(&mut self, instance: &InstanceId, tokens: u32) {
         if let Some(endpoint) = self.by_id.get_mut(instance) {
             endpoint.pending_tokens = endpoint.pending_tokens.saturating_sub(tokens);
         }
     }
 
-    /// What this router puts on back ends.
+    /// This router's load on each back end where it has requests in flight.
     pub fn own_loads(&self) -> Vec<LoadEntry> {
         let narrow = |value: u32| u16::try_from(value).unwrap_or(u16::MAX);
-        let loads = self.used().map(|endpoint| LoadEntry {
+        let loads = self.in_use_endpoints().map(|endpoint| LoadEntry {
             key: endpoint.key,
             pending: narrow(endpoint.pending_tokens.div_ceil(LoadEntry::TOKENS)),
             in_flight: narrow(endpoint.in_flight),
@@ -163,30 +165,30 @@
         loads.collect()
     }
 
-    /// Back ends that have requests of this router.
-    fn used(&self) -> impl Iterator<Item = &Endpoint> {
+    /// Back ends at which this router has requests in flight.
+    fn in_use_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.in_use.iter().filter_map(|id| self.by_id.get(id))
     }
 
-    /// Back ends that a key stands for.
-    fn with_key(&self, key: u32) -> Vec<InstanceId> {
+    /// Names of the back ends with a key.
+    fn ids_with_key(&self, key: u32) -> Vec<InstanceId> {
         let from = (key, InstanceId::new(""));
-        let with_key = self.by_key.range(from..);
-        let with_key = with_key.take_while(|(other, _)| *other == key);
-        with_key.map(|(_, id)| id.clone()).collect()
+        let entries = self.by_key.range(from..);
+        let entries = entries.take_while(|(other, _)| *other == key);
+        entries.map(|(_, id)| id.clone()).collect()
     }
 
     fn change_with_key(&mut self, key: u32, mut change: impl FnMut(&InstanceId, &mut Endpoint)) {
-        for id in self.with_key(key) {
+        for id in self.ids_with_key(key) {
             if let Some(endpoint) = self.by_id.get_mut(&id) {
                 change(&id, endpoint);
             }
         }
     }
 
-    /// Takes in what the other routers put on back ends. Those not named are free of it when the
-    /// list is whole, else as before. Only those that are or were loaded are touched: lists come
-    /// several times a second, and a pool may have thousands.
+    /// Records the load that the other routers put on back ends. Back ends that are not listed have none if the list is
+    /// whole; otherwise their load is unchanged. Only back ends with old or new load are updated: lists
+    /// arrive several times a second, and a pool may have thousands of back ends.
     pub fn set_others(&mut self, is_whole: bool, loads: &[LoadEntry]) {
         if is_whole {
             for key in std::mem::take(&mut self.loaded_by_others) {
@@ -199,8 +201,8 @@
         }
     }
 
-    /// A request that was sent at `begun` has left its back end. True when that has fallen silent,
-    /// so that what this router keeps open to it is worth nothing.
+    /// A request that was sent at `begun` has ended at its back end. Returns true if the back end has become
+    /// unresponsive; the caller should then close its idle connections to it.
     pub fn finished(
         &mut self,
         now: Timestamp,
@@ -212,31 +214,31 @@
             return false;
         };
         let is_lost = matches!(outcome, Outcome::Broken | Outcome::TimedOut);
-        let silent_since = endpoint.last_received_at.get().max(begun);
-        let fell_silent = is_lost && now.since(silent_since) >= SILENCE;
-        let outcome = if fell_silent {
+        let last_activity = endpoint.last_received_at.get().max(begun);
+        let became_unresponsive = is_lost && now.since(last_activity) >= UNRESPONSIVE_AFTER;
+        let outcome = if became_unresponsive {
             Outcome::TimedOut
         } else {
             outcome
         };
         if outcome == Outcome::Answered {
-            endpoint.note_stay(now.since(begun));
+            endpoint.record_service_time(now.since(begun));
         }
-        endpoint.note_outcome(now, outcome);
+        endpoint.record_outcome(now, outcome);
         if endpoint.in_flight == 0 {
             self.in_use.remove(instance);
         }
-        fell_silent
+        became_unresponsive
     }
 
-    /// A back end has accepted a request.
+    /// A back end has accepted a request, which widens its window after a backoff.
     pub fn accepted(&mut self, instance: &InstanceId) {
         if let Some(endpoint) = self.by_id.get_mut(instance) {
             endpoint.notices.on_accepted(endpoint.record.slots);
         }
     }
 
-    /// Takes in what a back end said of itself to this router.
+    /// Records the notices in a response of a back end.
     pub fn on_notice(
         &mut self,
         instance: &InstanceId,
@@ -256,7 +258,7 @@
         change
     }
 
-    /// So many routers share the limits that back ends name.
+    /// Sets the number of routers that share the limits of back ends.
     pub fn set_routers(&mut self, now: Timestamp, routers: u16) {
         self.notices_of_absent.set_routers(now, routers);
         for id in &self.limited {
@@ -266,42 +268,42 @@
         }
     }
 
-    /// False once a back end has asked this router for no requests, or says that it leaves.
+    /// False while a back end asks this router to back off or announces that it is leaving.
     pub fn allows_requests(&self, now: Timestamp, instance: &InstanceId) -> bool {
         let endpoint = self.by_id.get(instance);
         endpoint.is_none_or(|endpoint| endpoint.notices.allow_requests(now))
     }
 
-    /// Other routers' requests were turned away by back ends.
+    /// Avoids, for a short time, back ends that rejected requests of other routers.
     pub fn on_refusing(&mut self, now: Timestamp, keys: &[u32]) {
         for key in keys {
             self.change_with_key(*key, |_, endpoint| {
-                endpoint.avoided_until = endpoint.avoided_until.max(now.plus(REFUSING_PAUSE));
+                endpoint.avoided_until = endpoint.avoided_until.max(now.plus(REFUSING_COOLDOWN));
             });
         }
     }
 
-    /// A back end has ended. What stands for it may be wrong, so it is avoided as a silent one is, until
-    /// its heartbeats are heard again.
+    /// A back end is believed to have crashed. As that may be wrong, it is only avoided, like an unresponsive one,
+    /// until its heartbeats arrive again.
     pub fn on_crashed(&mut self, now: Timestamp, instance: &InstanceId) {
         if let Some(endpoint) = self.by_id.get_mut(instance) {
-            endpoint.avoid_as_silent(now);
+            endpoint.avoid_as_unresponsive(now);
         }
     }
 
-    /// Another router found back ends silent. Those that were not heard here since are avoided as
-    /// well, and returned.
+    /// Another router found back ends unresponsive. Those from which this router received no bytes recently are
+    /// avoided too, and returned.
     pub fn on_suspects(&mut self, now: Timestamp, keys: &[u32]) -> Vec<InstanceId> {
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         for key in keys {
             self.change_with_key(*key, |id, endpoint| {
-                let is_heard = now.since(endpoint.last_received_at.get()) < HEARD_LATELY;
-                if !is_heard {
-                    endpoint.avoid_as_silent(now);
-                    silent.push(id.clone());
+                let is_responsive = now.since(endpoint.last_received_at.get()) < RECENTLY_RECEIVED;
+                if !is_responsive {
+                    endpoint.avoid_as_unresponsive(now);
+                    unresponsive.push(id.clone());
                 }
             });
         }
-        silent
+        unresponsive
     }
 }
--- a/crates/gateway-core/src/router/holders.rs
+++ b/crates/gateway-core/src/router/holders.rs
@@ -1,10 +1,10 @@
-//! Which back ends are believed to hold the shared parts of long prompts.
+//! An estimate of which back ends have the shared parts of long prompts in their caches.
 //!
-//! A router learns it from the answers that it passes on: a back end whose answer has begun has
-//! read the prompt. It tells the others through the leader, sooner than any event of a back end
-//! could. A belief stands for a salt, and so for one version of the weights and, where tenants are
-//! isolated, for one tenant; a back end that has started again has another name. A wrong belief
-//! costs a look in vain, never a rule.
+//! A router learns this from the responses that it relays: a back end whose response has begun has prefilled the
+//! prompt. It reports this to the other routers through the leader, which is faster than any event from a back end.
+//! An entry is valid for one salt, and so for one version of the weights and, if the tenant is isolated, for one
+//! tenant. A back end that restarts gets another name, so old entries do not apply to it. A wrong entry costs a
+//! useless lookup and never breaks a rule such as the isolation of tenants.
 
 use std::time::Duration;
 
@@ -15,48 +15,49 @@
 use super::Prompt;
 use crate::{HolderEntry, LoadEntry, StoredKey};
 
-/// Prefixes remembered, some ten bytes each and eight for each holder.
-const REMEMBERED_PREFIXES: usize = 8_192;
-/// Back ends remembered for one prefix.
+/// Maximum number of prefixes, of some ten bytes each plus eight for each holder.
+const MAX_PREFIXES: usize = 8_192;
+/// Maximum number of back ends that are kept for one prefix.
 const HOLDERS_PER_PREFIX: usize = 4;
-/// What a back end has not been seen to use for so long may have given way to other prompts.
-const LIFETIME: Duration = Duration::from_secs(8);
-/// What was told is told again when it is used after so long, before others forget it.
-const TOLD_AGAIN_AFTER: Duration = Duration::from_secs(4);
-/// News that wait to be told; beyond it the oldest are dropped.
-const MOST_NEWS: usize = 256;
-
-/// A back end that is believed to hold the first parts of a prompt.
+/// A back end that has not been seen to use a prefix for this long may have evicted it.
+const ENTRY_LIFETIME: Duration = Duration::from_secs(8);
+/// An entry that was reported is reported again if it is used after this time, before the other routers drop it.
+const REPORT_AGAIN_AFTER: Duration = Duration::from_secs(4);
+/// Maximum number of entries that wait to be reported; further ones are not reported.
+const MAX_PENDING_REPORTS: usize = 256;
+
+/// A back end that is estimated to hold the leading parts of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Held {
-    /// Stands for the back end; see [`LoadEntry::key_of`].
+    /// Key of the back end; see [`LoadEntry::key_of`].
     pub key: u32,
-    /// How many of the shared parts.
+    /// Number of leading shared parts.
     pub parts: usize,
-    /// When it was last seen to use them.
+    /// Time at which it was last seen to use them.
     pub used_at: Timestamp,
 }
 
-/// What one router believes.
+/// The entries of one router, and those that it has not reported yet.
 pub(super) struct Holders {
     index: BeliefIndex,
-    news: Vec<HolderEntry>,
+    pending_reports: Vec<HolderEntry>,
 }
 
 impl Default for Holders {
     fn default() -> Self {
         let params = BeliefParams {
-            capacity: REMEMBERED_PREFIXES,
+            capacity: MAX_PREFIXES,
             holders_per_prefix: HOLDERS_PER_PREFIX,
         };
         Self {
             index: BeliefIndex::new(params),
-            news: Vec::new(),
+            pending_reports: Vec::new(),
         }
     }
 }
 
-/// The prefixes of a prompt that are worth a belief, shortest first: its shared parts under a salt.
+/// Hashes of the prefixes of a prompt that are tracked, shortest first: its shared parts under a salt. Short prompts
+/// have none.
 pub(super) fn prefixes(prompt: &Prompt, salt: &str) -> Vec<u32> {
     if prompt.is_short() {
         return Vec::new();
@@ -73,7 +74,7 @@
 }
 
 impl Holders {
-    /// A back end has read all of a prompt.
+    /// Records that a back end has prefilled a whole prompt.
     pub fn on_read(&mut self, now: Timestamp, prefixes: &[u32], instance: &str) {
         let key = LoadEntry::key_of(instance);
         for prefix in prefixes {
@@ -81,29 +82,29 @@
                 prefix: *prefix,
                 key,
             };
-            if self.is_news(now, entry) && self.news.len() < MOST_NEWS {
-                self.news.push(entry);
+            if self.should_report(now, entry) && self.pending_reports.len() < MAX_PENDING_REPORTS {
+                self.pending_reports.push(entry);
             }
-            self.believe(now, entry);
+            self.record(now, entry);
         }
     }
 
-    /// Other routers have seen back ends read prompts.
-    pub fn on_news(&mut self, now: Timestamp, entries: &[HolderEntry]) {
+    /// Records entries that other routers reported.
+    pub fn on_remote_reports(&mut self, now: Timestamp, entries: &[HolderEntry]) {
         for entry in entries {
-            self.believe(now, *entry);
+            self.record(now, *entry);
         }
     }
 
-    /// What the other routers do not know yet.
-    pub fn take_news(&mut self) -> Vec<HolderEntry> {
-        std::mem::take(&mut self.news)
+    /// Takes the entries that are not reported yet.
+    pub fn take_reports(&mut self) -> Vec<HolderEntry> {
+        std::mem::take(&mut self.pending_reports)
     }
 
-    /// The back ends that hold some of the prefixes, each with the longest.
+    /// The back ends that hold any of the prefixes, each with the number of parts in the longest one.
     pub fn held(&self, now: Timestamp, prefixes: &[u32]) -> Vec<Held> {
         let overlaps = self.index.overlaps(&chain(prefixes)).into_iter();
-        let fresh = overlaps.filter(|overlap| now.since(overlap.used_at) < LIFETIME);
+        let fresh = overlaps.filter(|overlap| now.since(overlap.used_at) < ENTRY_LIFETIME);
         fresh
             .map(|overlap| Held {
                 key: overlap.engine.0 as u32,
@@ -113,20 +114,20 @@
             .collect()
     }
 
-    /// A prefix that many share is soon held everywhere. As many holders as are remembered are
-    /// enough, and the traffic is left to the others.
-    fn is_news(&self, now: Timestamp, entry: HolderEntry) -> bool {
+    /// Whether other routers need this entry. A widely shared prefix is soon held by most back ends; reports beyond the
+    /// number of holders kept per prefix would only displace reports on other prefixes.
+    fn should_report(&self, now: Timestamp, entry: HolderEntry) -> bool {
         let held = self.held(now, &[entry.prefix]);
-        let lately = held
+        let recent = held
             .iter()
-            .filter(|held| now.since(held.used_at) < TOLD_AGAIN_AFTER);
-        let is_told = held
+            .filter(|held| now.since(held.used_at) < REPORT_AGAIN_AFTER);
+        let is_reported = held
             .iter()
-            .any(|held| held.key == entry.key && now.since(held.used_at) < TOLD_AGAIN_AFTER);
-        !is_told && lately.count() < HOLDERS_PER_PREFIX
+            .any(|held| held.key == entry.key && now.since(held.used_at) < REPORT_AGAIN_AFTER);
+        !is_reported && recent.count() < HOLDERS_PER_PREFIX
     }
 
-    fn believe(&mut self, now: Timestamp, entry: HolderEntry) {
+    fn record(&mut self, now: Timestamp, entry: HolderEntry) {
         let holder = Holder {
             engine: EngineId(u64::from(entry.key)),
             incarnation: Incarnation(0),
--- a/crates/gateway-core/src/router/holders_tests.rs
+++ b/crates/gateway-core/src/router/holders_tests.rs
@@ -35,7 +35,7 @@
     assert_eq!(held.len(), 1);
     assert_eq!(held[0].key, LoadEntry::key_of("i-1"));
     assert_eq!(held[0].parts, 2);
-    let forgotten = at(LIFETIME.as_millis() as u64);
+    let forgotten = at(ENTRY_LIFETIME.as_millis() as u64);
     assert!(holders.held(forgotten, &prefixes).is_empty());
 }
 
@@ -69,30 +69,30 @@
     let mut holders = Holders::default();
     let prefixes = prefixes(&long_prompt(), "salt");
     holders.on_read(at(0), &prefixes, "i-1");
-    assert_eq!(holders.take_news().len(), 2);
+    assert_eq!(holders.take_reports().len(), 2);
     holders.on_read(at(100), &prefixes, "i-1");
-    assert!(holders.take_news().is_empty());
+    assert!(holders.take_reports().is_empty());
     holders.on_read(at(200), &prefixes, "i-2");
-    assert_eq!(holders.take_news().len(), 2);
-    let later = 200 + TOLD_AGAIN_AFTER.as_millis() as u64;
+    assert_eq!(holders.take_reports().len(), 2);
+    let later = 200 + REPORT_AGAIN_AFTER.as_millis() as u64;
     holders.on_read(at(later), &prefixes, "i-2");
-    assert_eq!(holders.take_news().len(), 2);
-    holders.on_news(at(later), &[]);
+    assert_eq!(holders.take_reports().len(), 2);
+    holders.on_remote_reports(at(later), &[]);
 }
 
 #[test]
 fn news_that_nobody_takes_are_bounded() {
     let mut holders = Holders::default();
-    for number in 0..MOST_NEWS as u32 * 2 {
+    for number in 0..MAX_PENDING_REPORTS as u32 * 2 {
         holders.on_read(at(0), &[number], "i-1");
     }
-    assert_eq!(holders.take_news().len(), MOST_NEWS);
+    assert_eq!(holders.take_reports().len(), MAX_PENDING_REPORTS);
 }
 
 #[test]
 fn what_enough_back_ends_are_known_to_hold_is_no_news() {
-    // sqbc-large: the first part of 458 prompts a second, which four kinds share, took more than
-    // half of what may be told, and other beliefs were dropped.
+    // Guards against widely shared prefixes using up the reports: the first part of 458 prompts a second, common to
+    // four kinds of prompts, took more than half of the reports, and entries for other prefixes were dropped.
     let mut holders = Holders::default();
     let shared = prefixes(&long_prompt(), "salt");
     for n in 0..10 {
@@ -105,8 +105,8 @@
         assert_eq!(prefixes[0], shared[0]);
         holders.on_read(at(n), &prefixes, &format!("i-{n}"));
     }
-    let news = holders.take_news();
-    let of_first_part = news.iter().filter(|entry| entry.prefix == shared[0]);
+    let reports = holders.take_reports();
+    let of_first_part = reports.iter().filter(|entry| entry.prefix == shared[0]);
     assert_eq!(of_first_part.count(), HOLDERS_PER_PREFIX);
-    assert_eq!(news.len(), HOLDERS_PER_PREFIX + 10);
+    assert_eq!(reports.len(), HOLDERS_PER_PREFIX + 10);
 }
--- a/crates/gateway-core/src/router/homes.rs
+++ b/crates/gateway-core/src/router/homes.rs
@@ -1,13 +1,13 @@
-//! Homes of prompts: the back ends in the order of rendezvous hashing, the same on all routers.
+//! Homes of prompts: the back ends ranked by rendezvous hashing, in the same order on all routers.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::candidate::Candidate;
-use super::sides::Sides;
+use super::pool_partition::PoolPartition;
 use super::PromptPart;
 use crate::{InstanceId, ModelName};
 
-/// What requests with the same shared parts have in common; `None` when nothing is shared.
+/// A hash of the model and the shared parts, equal for prompts that share all of them; `None` when nothing is shared.
 pub(super) fn home_key(model: &ModelName, shared: &[PromptPart]) -> Option<u64> {
     let start = xxh3_64_with_seed(model.as_str().as_bytes(), 0);
     let key = shared.iter().fold(start, |seed, part| {
@@ -16,56 +16,61 @@
     (!shared.is_empty()).then_some(key)
 }
 
-/// The back ends of one side in the order of rendezvous hashing.
+/// The rendezvous scores of the back ends for one key.
 pub(super) struct Homes {
     required_weights: Option<u64>,
-    /// Of all candidates, in their order.
-    of_candidates: Vec<u64>,
-    /// Of those of the side, in no order.
-    of_side: Vec<u64>,
-    first: u64,
+    /// Scores of all candidates, in the order of the candidates.
+    scores: Vec<u64>,
+    /// Scores of the candidates in the prompt's partition, unordered.
+    partition_scores: Vec<u64>,
+    highest_score: u64,
 }
 
 impl Homes {
-    /// The order for one key; with `required_weights`, of those only that hold these weights, and
-    /// they have no side then.
+    /// Ranks the back ends of the prompt's partition for a key. With `required_weights`, ranks all back ends that hold
+    /// this version instead, regardless of partitions.
     pub fn new(
         key: u64,
         usable: &[Candidate<'_>],
-        sides: &Sides,
+        pool_partition: &PoolPartition,
         is_short: bool,
         required_weights: Option<u64>,
     ) -> Self {
-        let is_of_side = |candidate: &Candidate<'_>| match required_weights {
+        let is_in_partition = |candidate: &Candidate<'_>| match required_weights {
             Some(_) => candidate.version == required_weights,
-            None => sides.is_own(candidate.endpoint, is_short),
+            None => pool_partition.prefers(candidate.endpoint, is_short),
         };
-        let weights = usable.iter().map(|candidate| weight(candidate.id, key));
-        let of_candidates: Vec<u64> = weights.collect();
-        let all = usable.iter().zip(&of_candidates);
-        let of_side = all.filter(|(candidate, _)| is_of_side(candidate));
-        let of_side: Vec<u64> = of_side.map(|(_, weight)| *weight).collect();
+        let scores = usable
+            .iter()
+            .map(|candidate| rendezvous_score(candidate.id, key));
+        let scores: Vec<u64> = scores.collect();
+        let all = usable.iter().zip(&scores);
+        let partition_scores = all.filter(|(candidate, _)| is_in_partition(candidate));
+        let partition_scores: Vec<u64> = partition_scores.map(|(_, score)| *score).collect();
         Self {
             required_weights,
-            first: of_side.iter().copied().max().unwrap_or(0),
-            of_side,
-            of_candidates,
+            highest_score: partition_scores.iter().copied().max().unwrap_or(0),
+            partition_scores,
+            scores,
         }
     }
 
-    /// Whether none comes before the candidate at a position.
-    pub fn is_first(&self, position: usize, candidate: &Candidate<'_>) -> bool {
-        let may_be = self.has_weights(candidate) || self.of_side.is_empty();
-        may_be && self.of_candidates[position] >= self.first
+    /// Whether the candidate at a position scores at least as high as all ranked back ends.
+    pub fn is_first_home(&self, position: usize, candidate: &Candidate<'_>) -> bool {
+        let is_eligible = self.has_weights(candidate) || self.partition_scores.is_empty();
+        is_eligible && self.scores[position] >= self.highest_score
     }
 
-    /// How many come before it.
+    /// Number of ranked back ends that score higher than the candidate at a position.
     pub fn rank(&self, position: usize, candidate: &Candidate<'_>) -> usize {
         if !self.has_weights(candidate) {
-            return self.of_side.len();
+            return self.partition_scores.len();
         }
-        let own = self.of_candidates[position];
-        self.of_side.iter().filter(|weight| **weight > own).count()
+        let own = self.scores[position];
+        self.partition_scores
+            .iter()
+            .filter(|score| **score > own)
+            .count()
     }
 
     fn has_weights(&self, candidate: &Candidate<'_>) -> bool {
@@ -73,8 +78,8 @@
     }
 }
 
-/// Its place in the order of rendezvous hashing under a key, or under a draw: the same on all routers. The first
-/// home of a prompt is the back end with the highest weight.
-pub(super) fn weight(id: &InstanceId, key: u64) -> u64 {
+/// The rendezvous hash of a back end under a key or a random sample, equal on all routers. The back end with the
+/// highest score for a prompt's key is the prompt's first home.
+pub(super) fn rendezvous_score(id: &InstanceId, key: u64) -> u64 {
     xxh3_64_with_seed(id.as_str().as_bytes(), key)
 }
--- a/crates/gateway-core/src/router/least_tests.rs
+++ b/crates/gateway-core/src/router/k_smallest_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of finding the least few.
+//! Tests of the selection of the k smallest items.
 
 use proptest::prelude::*;
 
@@ -13,6 +13,6 @@
         let mut ordered = items.clone();
         ordered.sort();
         ordered.truncate(count);
-        prop_assert_eq!(least_by_key(items.into_iter(), count, |item| *item), ordered);
+        prop_assert_eq!(k_smallest_by_key(items.into_iter(), count, |item| *item), ordered);
     }
 }
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -1,4 +1,5 @@
-//! One router: what it knows, how long it may rely on it, and where requests go.
+//! The core of one router: its view of the configuration and the back ends, the time for which it may rely on
+//! that view, and the choice of a back end for each request.
 
 mod accounts;
 mod addresses;
@@ -11,17 +12,17 @@
 mod endpoints;
 mod holders;
 mod homes;
-mod least;
+mod k_smallest;
 mod notices;
 mod overload;
 mod placement;
+mod pool_partition;
 mod prompt_mix;
 mod prompt_placement;
 mod reads;
 mod reported_loads;
 mod request;
 mod router_count;
-mod sides;
 mod split;
 mod stores;
 mod summary;
@@ -66,32 +67,33 @@
 use suspected_work::SuspectedWork;
 use view::View;
 
-/// Bounds of a router.
+/// Zone, leases and retry limits of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterParams {
-    /// Its zone.
+    /// The zone in which the router runs; back ends in the same zone are preferred.
     pub zone: String,
-    /// How long keys are honoured after the view was last confirmed as current.
+    /// API keys are accepted for this long after a quorum last confirmed the view as current.
     pub key_lease: Duration,
-    /// How long after that the view may say that a route or key does not exist. One that was added since does.
+    /// For this long after the last confirmation, the router may answer that a route or key does not exist. An older
+    /// view may lack one that was added since.
     pub absence_lease: Duration,
-    /// How long after new weights are named a request may still begin on older ones.
+    /// A request may start on older weights for this long after new weights are named.
     pub version_grace: Duration,
-    /// Repeats that all routers together may add, as a share of requests.
+    /// Retries that all routers together may add, as a fraction of requests.
     pub retry_ratio: f64,
-    /// Repeats that all routers together may add beyond the share, in one window.
+    /// Retries that all routers together may add to that fraction in one window.
     pub retry_slack: f64,
-    /// The window.
+    /// Length of the window in which requests and retries are counted.
     pub retry_window: Duration,
 }
 
-/// A fetch from the store is slow when the answer takes more than so many times its target.
-const SLOW_FETCH: f64 = 1.3;
+/// A fetch from a store counts as slow when the answer takes longer than its target times this factor.
+const SLOW_FETCH_FACTOR: f64 = 1.3;
 
-/// Silent back ends, and refusing ones, that wait to be told.
-const MOST_SUSPECTS: usize = 64;
+/// Maximum number of unresponsive back ends, and of rejecting ones, that wait to be reported to the leader.
+const MAX_PENDING_SUSPECTS: usize = 64;
 
-/// A router.
+/// The state of one router, without I/O: callers pass in the time, messages and outcomes.
 pub struct RouterCore {
     params: RouterParams,
     view: View,
@@ -102,9 +104,9 @@
     pool_loads: PoolLoads,
     budget: RetryBudget,
     random: ChaCha8Rng,
-    /// Sets apart the back ends that this router prefers of equals.
-    first_draw: u64,
-    /// Routers that share limits, retries and connections.
+    /// Seed of the choice among equally loaded back ends; routers with different seeds prefer different ones.
+    preference_seed: u64,
+    /// Number of routers that share limits, retries and connections.
     router_count: RouterCount,
     room_under_limits: RoomUnderLimits,
     stores: Stores,
@@ -115,7 +117,7 @@
 }
 
 impl RouterCore {
-    /// A router that knows nothing yet.
+    /// Creates a router without configuration or back ends.
     pub fn new(params: RouterParams, seed: u64) -> Self {
         Self {
             view: View::default(),
@@ -126,7 +128,7 @@
             pool_loads: PoolLoads::default(),
             budget: RetryBudget::new(&params),
             random: ChaCha8Rng::seed_from_u64(seed),
-            first_draw: xxh3_64(&seed.to_le_bytes()),
+            preference_seed: xxh3_64(&seed.to_le_bytes()),
             params,
             router_count: RouterCount::default(),
             room_under_limits: RoomUnderLimits::default(),
@@ -138,37 +140,37 @@
         }
     }
 
-    /// The revision of the view.
+    /// The revision of the replicated state that the view holds.
     pub fn revision(&self) -> u64 {
         self.view.revision()
     }
 
-    /// How far this router has come with the state; what it asks control machines for begins there.
+    /// The position of the view in the replicated state; the router asks control machines for changes from there.
     pub fn position(&self) -> Position {
         self.view.position()
     }
 
-    /// The version of the configuration; 0 before the first one.
+    /// The version of the configuration; 0 while none has been received.
     pub fn configuration_version(&self) -> u64 {
         self.view.document().map_or(0, |document| document.version)
     }
 
-    /// The configuration.
+    /// The configuration; `None` while none has been received.
     pub fn document(&self) -> Option<&Document> {
         self.view.document()
     }
 
-    /// How long ago the view was surely current; `None` when it never was.
+    /// Time since the view was last known to be current; `None` if it never was.
     pub fn view_age(&self, now: Timestamp) -> Option<Duration> {
         self.view.confirmed().map(|at| now.since(at))
     }
 
-    /// True once requests can be judged.
+    /// True once the router has a configuration and a recently confirmed view, so that it can admit requests.
     pub fn is_ready(&self, now: Timestamp) -> bool {
         self.view.document().is_some() && self.is_confirmed(now)
     }
 
-    /// Takes in what changed; `parse` reads a configuration.
+    /// Applies changes of the replicated state to the view; `parse` decodes a configuration.
     pub fn apply(
         &mut self,
         now: Timestamp,
@@ -185,8 +187,8 @@
         Ok(())
     }
 
-    /// Hundreds of changes a second come while thousands of back ends register, so only those that
-    /// changed are touched.
+    /// Updates only the changed back ends: while thousands of back ends register, hundreds of changes arrive each
+    /// second.
     fn update_endpoints(&mut self, changes: &Changes) {
         if changes.since == 0 {
             self.endpoints.replace_all(self.view.instances());
@@ -202,13 +204,14 @@
         }
     }
 
-    /// A quorum confirmed that nothing newer than `revision` was accepted before `asked`.
+    /// Records a quorum's confirmation, requested at `asked`, that no revision after `revision` had been accepted by
+    /// then. `routers` is the number of routers that a control machine counts.
     pub fn on_confirmed(&mut self, asked: Timestamp, revision: u64, routers: u16) {
         self.view.on_confirmed(asked, revision);
-        self.count_routers(asked, routers);
+        self.update_router_count(asked, routers);
     }
 
-    fn count_routers(&mut self, now: Timestamp, routers: u16) {
+    fn update_router_count(&mut self, now: Timestamp, routers: u16) {
         let earlier = self.router_count.get();
         self.router_count.note(now, routers);
         let count = self.router_count.get();
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Finds route, tenant and pool of a request, and charges it to its tenant's limit.
+    /// Finds the route, tenant and pool of a request and charges it to its tenant's rate limit.
     pub fn admit(&mut self, now: Timestamp, head: RequestHead<'_>) -> Result<Admission, Refusal> {
         if self.view.document().is_none() {
             return Err(Refusal::NoConfiguration);
@@ -229,14 +232,14 @@
         }
         let (route, tenant) = self
             .find(&head)
-            .map_err(|missing| self.if_surely_missing(now, missing))?;
+            .map_err(|missing| self.missing_or_unconfirmed(now, missing))?;
         let charge = match &tenant {
             Some(tenant) => self.charge(now, tenant, head.declared_tokens)?,
             None => None,
         };
         let pool = self.splitter.next(&route, &mut self.random);
-        let own = tenant.as_ref().and_then(|tenant| tenant.priority);
-        let priority = own.unwrap_or(route.priority);
+        let tenant_priority = tenant.as_ref().and_then(|tenant| tenant.priority);
+        let priority = tenant_priority.unwrap_or(route.priority);
         Ok(Admission {
             route,
             tenant,
@@ -246,8 +249,8 @@
         })
     }
 
-    /// True while a back end is known and has not said that it leaves, by a heartbeat or to this router. One that
-    /// has ends as announced, so its end speaks against nothing that it had in hand.
+    /// True while a back end is known and has not announced, by a heartbeat or to this router, that it is leaving.
+    /// After such an announcement its end is planned, and so no evidence against the requests in flight there.
     pub fn is_serving(&self, now: Timestamp, instance: &InstanceId) -> bool {
         let endpoint = self.endpoints.get(instance);
         endpoint.is_some_and(|endpoint| {
@@ -256,32 +259,32 @@
         })
     }
 
-    /// Identifies the work of a request; `None` before the key is known.
+    /// Computes the fingerprint of a request; `None` before the fingerprint key is known.
     pub fn identify(&self, work: &Work<'_>) -> Option<WorkId> {
         self.view.work_key().map(|key| key.identify(work))
     }
 
-    /// An admitted request ran nowhere: its tenant's limit is as before.
+    /// Refunds the charge of an admitted request that no back end has run.
     pub fn refund(&mut self, now: Timestamp, admission: &Admission) {
         if let Some(charge) = admission.charge {
             self.tenant_accounts.pay_back(now, charge);
         }
     }
 
-    /// What this router charged to the limits of tenants and the leader does not know yet.
+    /// Takes the charges to tenants' limits that are not reported to the leader yet.
     pub fn take_usage(&mut self, now: Timestamp) -> Vec<UsageEntry> {
         self.tenant_accounts.take_usage(now)
     }
 
-    /// Takes in how much is left of the limits of tenants.
+    /// Updates the remaining levels of the tenants' limits, as the leader reports them.
     pub fn on_account_levels(&mut self, now: Timestamp, levels: &[AccountLevel]) {
         self.tenant_accounts.on_levels(now, levels);
     }
 
-    /// Chooses a back end and counts the request there until [`RouterCore::finished`].
+    /// Chooses a back end and counts the request as in flight there until [`RouterCore::finished`].
     ///
-    /// Only an attempt after one that arrived at a back end is a retry: a connection that was
-    /// refused puts no load on the pool, and the retry budget bounds that load.
+    /// An attempt counts as a retry only if an earlier attempt reached a back end: a refused connection puts no load
+    /// on the pool, and the retry budget bounds that load.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -303,7 +306,7 @@
         if let Some(prompt) = prompt.filter(|_| earlier.tried.is_empty()) {
             let models = self.pool(admission).and_then(|pool| pool.models.as_ref());
             let slots = models.map_or(1, |models| models.slots);
-            self.prompt_mix.note(prompt, choice.tokens, slots);
+            self.prompt_mix.record_prompt(prompt, choice.tokens, slots);
         }
         if is_retry {
             self.budget.on_retry(now, &admission.pool);
@@ -315,8 +318,8 @@
         Ok(choice)
     }
 
-    /// The answer to a request that was chosen for has begun, or its attempt has ended. `took` is
-    /// the time since it was sent, when an answer came, and `target` the time it should take.
+    /// The response to a request has begun, or its attempt has ended without one. `took` is the time from sending
+    /// the request to the start of the response, if there is one, and `target` the time it should take.
     pub fn answered(
         &mut self,
         now: Timestamp,
@@ -325,41 +328,41 @@
         target: Duration,
     ) {
         self.endpoints.answered(&choice.instance, choice.tokens);
-        let slow = took.is_some_and(|took| took > target.mul_f64(SLOW_FETCH));
-        if let Some(store) = choice.fetches_from_store.filter(|_| slow) {
+        let slow = took.is_some_and(|took| took > target.mul_f64(SLOW_FETCH_FACTOR));
+        if let Some(store) = choice.fetch_store.filter(|_| slow) {
             self.stores.on_slow_fetch(now, store);
         }
     }
 
-    /// The back end that was chosen has accepted the request and read its prompt: a success has begun.
+    /// The chosen back end has accepted the request and prefilled its prompt: a successful response has begun.
     pub fn accepted(&mut self, now: Timestamp, choice: &Choice) {
         self.endpoints.accepted(&choice.instance);
         let instance = choice.instance.as_str();
         self.holders.on_read(now, &choice.prefixes, instance);
     }
 
-    /// Takes in what other routers learned of the caches of back ends.
+    /// Records which back ends have cached which prefixes, as reported by other routers.
     pub fn on_holders(&mut self, now: Timestamp, entries: &[HolderEntry]) {
-        self.holders.on_news(now, entries);
+        self.holders.on_remote_reports(now, entries);
     }
 
-    /// What this router learned of them and the others do not know yet.
+    /// Takes the cached prefixes that this router has observed at back ends and not reported yet.
     pub fn take_holder_reports(&mut self) -> Vec<HolderEntry> {
-        self.holders.take_news()
+        self.holders.take_reports()
     }
 
-    /// What this router puts on back ends.
+    /// This router's load on each back end where it has requests in flight.
     pub fn own_loads(&self) -> Vec<LoadEntry> {
         self.endpoints.own_loads()
     }
 
-    /// Takes in what the other routers put on back ends; `is_whole` when back ends that are not
-    /// named are free of it.
+    /// Records the load that the other routers put on back ends. With `is_whole`, back ends that are not listed have
+    /// none; otherwise the load of those is unchanged.
     pub fn set_others_loads(&mut self, is_whole: bool, loads: &[LoadEntry]) {
         self.endpoints.set_others(is_whole, loads);
     }
 
-    /// Takes in what a store holds. `known` is false when the store does not answer.
+    /// Updates the set of prompt parts that a store holds. `known` is false when the store is unresponsive.
     pub fn on_stored(
         &mut self,
         store: StoreId,
@@ -371,8 +374,8 @@
         self.stores.on_stored(store, known, reset, added, removed);
     }
 
-    /// Takes in what a back end said of itself to this router, in the answer to a request that was sent at `asked`;
-    /// an answer that may be to an earlier one is as old as can be.
+    /// Records the status headers in a back end's answer to a request that was sent at `asked`. If the answer may
+    /// belong to an earlier request, the caller passes the earliest possible time.
     pub fn on_notice(
         &mut self,
         now: Timestamp,
@@ -389,19 +392,19 @@
         self.endpoints.on_notice(instance, notice, hearing)
     }
 
-    /// Requests a second that a back end takes from all routers together, when it has named a limit.
+    /// The limit on requests per second from all routers together that a back end has announced, if any.
     pub fn limit_of(&self, instance: &InstanceId) -> Option<RequestRate> {
         self.endpoints.get(instance)?.notices.limit()
     }
 
-    /// False once a back end has asked this router for no requests, or says that it leaves. A request that was
-    /// placed there before and has not been sent must not be.
+    /// False while a back end asks this router to back off or announces that it is leaving. A request that was
+    /// assigned to it earlier and is still unsent must not be sent then.
     pub fn allows_requests(&self, now: Timestamp, instance: &InstanceId) -> bool {
         self.endpoints.allows_requests(now, instance)
     }
 
-    /// A request that was chosen for, and sent at `begun`, has left its back end. True when that
-    /// has fallen silent.
+    /// A request that was assigned to a back end, and sent at `begun`, has ended there. Returns true if the back end
+    /// has become unresponsive.
     pub fn finished(
         &mut self,
         now: Timestamp,
@@ -412,47 +415,48 @@
         if outcome == Outcome::Answered {
             self.note_stay(instance, now.since(begun));
         }
-        let fell_silent = self.endpoints.finished(now, instance, begun, outcome);
-        if fell_silent {
+        let became_unresponsive = self.endpoints.finished(now, instance, begun, outcome);
+        if became_unresponsive {
             self.suspect(LoadEntry::key_of(instance.as_str()));
         }
-        let is_refused = matches!(outcome, Outcome::Shed | Outcome::OtherWeights);
-        // One that asked for a pause meant this router. Others that avoided it as well would crowd the rest of the
-        // pool.
-        let is_for_all = is_refused && self.endpoints.allows_requests(now, instance);
-        if is_for_all && self.refusing.len() < MOST_SUSPECTS {
+        let is_rejected = matches!(outcome, Outcome::Shed | Outcome::OtherWeights);
+        // A back end that asked for a backoff addressed this router only. If the other routers avoided it too, they
+        // would overload the rest of the pool.
+        let is_for_all = is_rejected && self.endpoints.allows_requests(now, instance);
+        if is_for_all && self.refusing.len() < MAX_PENDING_SUSPECTS {
             self.refusing.push(LoadEntry::key_of(instance.as_str()));
         }
-        fell_silent
+        became_unresponsive
     }
 
     fn suspect(&mut self, back_end: u32) {
-        if self.suspects.len() < MOST_SUSPECTS {
+        if self.suspects.len() < MAX_PENDING_SUSPECTS {
             self.suspects.push(back_end);
         }
     }
 
-    /// Back ends that this router found silent, or that have ended, and the others do not know of yet.
+    /// Takes the back ends that this router found unresponsive or crashed and has not reported yet.
     pub fn take_suspects(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.suspects)
     }
 
-    /// Back ends that turned this router's requests away and the others do not know of yet.
+    /// Takes the back ends that rejected this router's requests and that it has not reported yet.
     pub fn take_refusing(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.refusing)
     }
 
-    /// Takes in which back ends turned other routers' requests away.
+    /// Avoids, for a short time, back ends that rejected requests of other routers.
     pub fn on_refusing(&mut self, now: Timestamp, keys: &[u32]) {
         self.endpoints.on_refusing(now, keys);
     }
 
-    /// Takes in which back ends another router found silent; returns those that may be.
+    /// Avoids back ends that another router found unresponsive, unless this router received data from them recently.
+    /// Returns those that it avoids.
     pub fn on_suspects(&mut self, now: Timestamp, keys: &[u32]) -> Vec<InstanceId> {
         self.endpoints.on_suspects(now, keys)
     }
 
-    /// Requests in flight from this router.
+    /// Number of this router's requests in flight at all back ends.
     pub fn in_flight(&self) -> u32 {
         self.endpoints.in_flight()
     }
@@ -468,21 +472,21 @@
         tenant: &Tenant,
         declared_tokens: Option<u32>,
     ) -> Result<Option<Charge>, Refusal> {
-        let draw = self.random.random();
+        let sample = self.random.random();
         let accounts = &mut self.tenant_accounts;
-        let admitted = accounts.admit(now, &tenant.name, declared_tokens, draw);
+        let admitted = accounts.admit(now, &tenant.name, declared_tokens, sample);
         admitted.map_err(Refusal::OverLimit)
     }
 
     fn find(&self, head: &RequestHead<'_>) -> Result<(Rc<Route>, Option<Rc<Tenant>>), Refusal> {
         let route = self.view.route(head.host, head.path);
         let route = route.ok_or(Refusal::NoRoute)?;
-        let tenant = self.judge_key(&route, head.key)?;
+        let tenant = self.authenticate(&route, head.key)?;
         Ok((route, tenant))
     }
 
-    /// Callers take it as final that something does not exist.
-    fn if_surely_missing(&self, now: Timestamp, missing: Refusal) -> Refusal {
+    /// Reports an entry as missing only while the view is recent enough, because clients take that answer as final.
+    fn missing_or_unconfirmed(&self, now: Timestamp, missing: Refusal) -> Refusal {
         let age = self.view_age(now);
         let is_sure = age.is_some_and(|age| age < self.params.absence_lease);
         if is_sure {
@@ -492,7 +496,11 @@
         }
     }
 
-    fn judge_key(&self, route: &Route, key: Option<&str>) -> Result<Option<Rc<Tenant>>, Refusal> {
+    fn authenticate(
+        &self,
+        route: &Route,
+        key: Option<&str>,
+    ) -> Result<Option<Rc<Tenant>>, Refusal> {
         if route.public || !self.view.has_tenants() {
             return Ok(None);
         }
--- a/crates/gateway-core/src/router/placement.rs
+++ b/crates/gateway-core/src/router/placement.rs
@@ -1,25 +1,26 @@
-//! Where a request goes, and what goes with it.
+//! The choice of a back end for one attempt, and what the attempt needs to know besides its address.
 
 use drumshore_core::Timestamp;
 use rand::Rng;
 
 use super::cache::{salt, OtherCaches};
-use super::candidate::{prefer_sound, Candidate, Placed};
+use super::candidate::{prefer_healthy, Candidate, Placed};
 use super::holders::{self, Held};
-use super::homes::weight;
+use super::homes::rendezvous_score;
 use super::summary::NameHash;
 use super::{Admission, CacheEstimate, Choice, ChoiceError, EarlierAttempts, Prompt, RouterCore};
 use crate::{LoadEntry, Pool};
 
-/// Connections to one back end when its pool sets no bound.
+/// Connections that a router may open to one back end when the pool sets no limit.
 const DEFAULT_CONNECTIONS: usize = 64;
-/// Part of a pool's connections that routers use, for those that count one another late.
-const CONNECTION_PART: f64 = 0.85;
-/// Back ends among which a router chooses while they have equally little to do. Few, so that it comes back to one
-/// while the connection is kept: a router that sends a request a second to hundreds of back ends by turns opens a
-/// connection for nearly each. Not one, so that a back end which answers badly gets a quarter of the requests of
-/// its routers at most.
-const PREFERRED: u64 = 4;
+/// Fraction of a pool's connections that the routers use together. The rest is for routers that the others do not
+/// count yet.
+const CONNECTION_FRACTION: f64 = 0.85;
+/// Number of back ends among which one router chooses while they are equally loaded. The number is small so that a
+/// router returns to a back end while its connection is still open: a router that spreads one request a second over
+/// hundreds of back ends opens a connection for nearly each request. It is greater than 1 so that a back end that
+/// answers badly gets at most a quarter of the requests of the routers that prefer it.
+const PREFERRED_BACK_ENDS: u64 = 4;
 
 impl RouterCore {
     pub(super) fn place(
@@ -29,58 +30,61 @@
         prompt: Option<&Prompt>,
         earlier: &EarlierAttempts<'_>,
     ) -> Result<Choice, ChoiceError> {
-        let draw = self.random.random();
+        let sample = self.random.random();
         let mut candidates = self.candidates(now, admission, prompt);
         if candidates.is_empty() {
-            return Err(self.none_takes_requests(now, admission, prompt, draw));
+            return Err(self.none_takes_requests(now, admission, prompt, sample));
         }
         if !earlier.tried.is_empty() {
             candidates.retain(|candidate| !earlier.tried.contains(candidate.id));
         }
-        let usable = prefer_sound(now, candidates);
+        let usable = prefer_healthy(now, candidates);
         if self.is_suspected(earlier.fingerprint) {
-            return self.place_suspected(now, admission, prompt, &usable, draw);
+            return self.place_suspected(now, admission, prompt, &usable, sample);
         }
         let placed = match prompt {
-            Some(prompt) => self.place_prompt(now, admission, prompt, &usable, draw),
-            None => self.place_by_load(&usable, self.preferred(draw)),
+            Some(prompt) => self.place_prompt(now, admission, prompt, &usable, sample),
+            None => self.place_by_load(&usable, self.preferred_sample(sample)),
         };
         let placed = placed.ok_or(ChoiceError::NoneLeft)?;
-        let copy = self.copy_target(admission, prompt, &placed, &usable, draw);
+        let copy = self.copy_target(admission, prompt, &placed, &usable, sample);
         let choice = self.choice(now, admission, prompt, placed, &usable);
         Ok(Choice { copy, ..choice })
     }
 
-    /// Where the fewest requests would be lost with the back end, and without a copy, which would be one
-    /// more that runs it.
+    /// Places a request with a suspected fingerprint on the least utilized back end, where a crash would end the fewest
+    /// other requests. It gets no copy, because a second back end would run it too.
     fn place_suspected(
         &self,
         now: Timestamp,
         admission: &Admission,
         prompt: Option<&Prompt>,
         usable: &[Candidate<'_>],
-        draw: u64,
+        sample: u64,
     ) -> Result<Choice, ChoiceError> {
         let mut placed = self
-            .place_by_load(usable, draw)
+            .place_by_load(usable, sample)
             .ok_or(ChoiceError::NoneLeft)?;
         placed.tokens = prompt.map_or(0, Prompt::tokens);
         Ok(self.choice(now, admission, prompt, placed, usable))
     }
 
-    /// One of the few draws of this router, so that it prefers few back ends, and other routers others.
-    fn preferred(&self, draw: u64) -> u64 {
-        self.first_draw.wrapping_add(draw % PREFERRED)
+    /// Maps a random sample to one of this router's few samples, so that it prefers few back ends and other
+    /// routers prefer others.
+    fn preferred_sample(&self, sample: u64) -> u64 {
+        self.preference_seed
+            .wrapping_add(sample % PREFERRED_BACK_ENDS)
     }
 
-    /// The fewest requests for its slots; of equals one in the same zone, then the first of those that are drawn.
-    fn place_by_load(&self, usable: &[Candidate<'_>], draw: u64) -> Option<Placed> {
+    /// The back end with the fewest requests per slot; among equals one in the same zone, then the one that comes first
+    /// by its rendezvous score under the sample.
+    fn place_by_load(&self, usable: &[Candidate<'_>], sample: u64) -> Option<Placed> {
         let zone = NameHash::of(&self.params.zone);
         let best = usable.iter().min_by_key(|candidate| {
             let slots = u64::from(candidate.endpoint.slots());
             let load = u64::from(candidate.endpoint.all_in_flight()) * 1_000 / slots;
             let remote = candidate.endpoint.summary.zone != zone;
-            (load, remote, weight(candidate.id, draw))
+            (load, remote, rendezvous_score(candidate.id, sample))
         })?;
         Some(best.placed(0))
     }
@@ -116,7 +120,7 @@
             prefixes,
             cache_estimate,
             tokens: placed.tokens,
-            fetches_from_store: cache.from_store,
+            fetch_store: cache.from_store,
             fetch_from: cache.fetch_from,
             save_to: cache.save_to,
             copy: None,
@@ -126,8 +130,9 @@
         }
     }
 
-    /// Of the back ends with the same weights, the one that is believed to hold more of a prompt
-    /// than the chosen one does: the most parts, then the latest use.
+    /// Estimates the cached parts of a prompt, and returns the address of the back end to fetch them from: of those
+    /// with the same weights that are estimated to hold more than the chosen one, the one with the most parts,
+    /// then with the latest use.
     fn best_holder<'a>(
         &self,
         now: Timestamp,
@@ -139,14 +144,14 @@
         let own = LoadEntry::key_of(placed.instance.as_str());
         let here = held.iter().find(|held| held.key == own);
         let here = here.map_or(0, |held| held.parts);
-        let at = |held: &Held| {
+        let source_of = |held: &Held| {
             let mut usable = usable.iter();
             let holder = usable.find(|other| other.endpoint.key == held.key)?;
-            let gives_it = holder.version == placed.version && !holder.endpoint.is_limited();
-            gives_it.then_some(holder.endpoint)
+            let can_serve = holder.version == placed.version && !holder.endpoint.is_limited();
+            can_serve.then_some(holder.endpoint)
         };
         let more = held.iter().filter(|held| held.parts > here);
-        let sources = more.filter_map(|held| at(held).map(|endpoint| (held, endpoint)));
+        let sources = more.filter_map(|held| source_of(held).map(|endpoint| (held, endpoint)));
         let best = sources.max_by_key(|(held, _)| (held.parts, held.used_at));
         let cache_estimate = CacheEstimate {
             here,
@@ -165,7 +170,7 @@
         if max_connections == 0 {
             return DEFAULT_CONNECTIONS;
         }
-        let all = f64::from(max_connections) * CONNECTION_PART;
+        let all = f64::from(max_connections) * CONNECTION_FRACTION;
         let own = all / f64::from(self.router_count.get());
         (own as usize).max(1)
     }
--- a/crates/gateway-core/src/router/prompt_mix_tests.rs
+++ b/crates/gateway-core/src/router/prompt_mix_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the work that short and long prompts make.
+//! Tests of the cost of short and long prompts.
 
 use rstest::rstest;
 
@@ -25,11 +25,11 @@
     #[case] slots: u32,
     #[case] expected: std::ops::Range<f64>,
 ) {
-    // Prompts of sqbc-large, as many short ones as long ones.
+    // As many short as long prompts, with typical token counts of a large deployment.
     let mut mix = PromptMix::default();
     for _ in 0..100 {
-        mix.note(&prompt(6_300, 2_890, 5), 4_465, slots);
-        mix.note(&prompt(198, 628, 29), 677, slots);
+        mix.record_prompt(&prompt(6_300, 2_890, 5), 4_465, slots);
+        mix.record_prompt(&prompt(198, 628, 29), 677, slots);
     }
     let share = mix.short_share().unwrap();
     assert!(expected.contains(&share), "{share}");
@@ -38,6 +38,6 @@
 #[test]
 fn prompts_of_one_kind_have_no_sides() {
     let mut mix = PromptMix::default();
-    (0..100).for_each(|_| mix.note(&prompt(6_300, 2_890, 5), 4_465, 16));
+    (0..100).for_each(|_| mix.record_prompt(&prompt(6_300, 2_890, 5), 4_465, 16));
     assert_eq!(mix.short_share(), None);
 }
--- a/crates/gateway-core/src/router/prompt_placement.rs
+++ b/crates/gateway-core/src/router/prompt_placement.rs
@@ -1,62 +1,62 @@
-//! Where a prompt goes: to its home while that has room, else to one of a few back ends that were
-//! drawn, whichever costs least.
+//! Placement of prompts: the back end with the lowest cost among the prompt's home and a few randomly sampled
+//! others.
 
 use std::collections::BTreeMap;
 
 use drumshore_core::Timestamp;
 
 use super::candidate::{Candidate, Placed};
-use super::endpoint::Newcomer;
-use super::homes::{home_key, weight, Homes};
-use super::least::least_by_key;
+use super::endpoint::RequestProfile;
+use super::homes::{home_key, rendezvous_score, Homes};
+use super::k_smallest::k_smallest_by_key;
+use super::pool_partition::PoolPartition;
 use super::reads::CachedParts;
-use super::sides::Sides;
 use super::summary::NameHash;
 use super::{Admission, Prompt, RouterCore};
 
-/// What it costs to place a prompt away from its home, for each token that it shares: the shared
-/// parts may have to be read there, and their copy takes room from other prompts.
+/// Cost of placing a prompt away from its home, per shared token: the shared parts may have to be prefilled there,
+/// and their copy displaces other prompts from the cache.
 const AWAY_FROM_HOME_FACTOR: f64 = 1.9;
-/// What it costs to fetch a token from another back end, as a part of what it costs to read it.
-const FETCH_FACTOR: f64 = 0.06;
-/// Tokens that may wait on the own side before the other side is better.
-const OTHER_SIDE_TOKENS: f64 = 3_000.0;
-/// Back ends of each side that a prompt may leave its home for, drawn anew for each request. Loads
-/// of other routers are known some hundred milliseconds late: if all routers chose the least loaded
-/// of the whole pool, all would choose the same one until they hear of it.
-const DRAWN_AWAY_FROM_HOME: usize = 2;
+/// Cost of fetching a token from another back end, as a fraction of the cost of its prefill.
+const FETCH_COST_FACTOR: f64 = 0.06;
+/// Cost of placing a prompt outside its partition, in tokens to prefill.
+const OTHER_PARTITION_PENALTY_TOKENS: f64 = 3_000.0;
+/// Back ends of each partition that are sampled at random for each request, as alternatives to the home. The loads
+/// of other routers are known with a delay of some hundred milliseconds: if all routers chose the least loaded back
+/// end of the whole pool, all would choose the same one until they received each other's loads.
+const SAMPLED_PER_PARTITION: usize = 2;
 
-/// A back end that a prompt may go to.
+/// A back end that a prompt may be placed on.
 struct Target<'a> {
     candidate: &'a Candidate<'a>,
-    /// Among all candidates.
+    /// Its index among all candidates.
     position: usize,
-    /// It is the first home of the prompt, which shares something.
+    /// It is the first home of the prompt; a prompt without shared parts has none.
     is_home: bool,
-    is_own_side: bool,
-    /// Drawn anew for each request.
-    tie: u64,
+    in_own_partition: bool,
+    /// Differs for each request; orders the back ends for sampling and breaks ties.
+    random_key: u64,
 }
 
 impl RouterCore {
-    /// The least expected cost, in tokens to be read before this prompt's answer begins. Reading
-    /// a long prompt holds up every stream of its back end, so long and short prompts are kept
-    /// apart as far as load allows: each has its side of the pool, on all routers the same.
+    /// Chooses the back end with the lowest expected cost, in tokens to prefill before this prompt's response begins.
+    /// The prefill of a long prompt delays every stream at its back end, so long and short prompts are kept
+    /// apart as far as the load allows: each kind has its partition of the pool, the same on all routers.
     pub(super) fn place_prompt(
         &self,
         now: Timestamp,
         admission: &Admission,
         prompt: &Prompt,
         usable: &[Candidate<'_>],
-        draw: u64,
+        sample: u64,
     ) -> Option<Placed> {
-        let sides = self.sides(admission);
+        let pool_partition = self.pool_partition(admission);
         let is_short = prompt.is_short();
-        let away_from_home = f64::from(prompt.shared_tokens()) * AWAY_FROM_HOME_FACTOR;
-        let homes = self.homes(admission, prompt, usable, &sides);
-        let newcomer = Newcomer {
+        let away_penalty = f64::from(prompt.shared_tokens()) * AWAY_FROM_HOME_FACTOR;
+        let homes = self.homes(admission, prompt, usable, &pool_partition);
+        let profile = RequestProfile {
             is_short,
-            stream_length: self.prompt_mix.stream_length(),
+            slot_time_tokens: self.prompt_mix.slot_time_tokens(),
         };
         let cached = self.cached_by_version(now, admission, prompt, usable);
         let targets = usable.iter().enumerate().map(|(position, candidate)| {
@@ -64,34 +64,34 @@
             Target {
                 candidate,
                 position,
-                is_home: homes.is_some_and(|homes| homes.is_first(position, candidate)),
-                is_own_side: sides.is_own(candidate.endpoint, is_short),
-                tie: weight(candidate.id, draw),
+                is_home: homes.is_some_and(|homes| homes.is_first_home(position, candidate)),
+                in_own_partition: pool_partition.prefers(candidate.endpoint, is_short),
+                random_key: rendezvous_score(candidate.id, sample),
             }
         });
         let targets: Vec<Target<'_>> = targets.collect();
-        // In tokens to be read before the answer begins.
+        // In tokens to prefill before the response begins.
         let cost = |target: &Target<'_>| {
             let endpoint = target.candidate.endpoint;
-            let moved = if target.is_home { 0.0 } else { away_from_home };
+            let away_cost = if target.is_home { 0.0 } else { away_penalty };
             let cached = &cached[&target.candidate.version];
-            let read = f64::from(cached.tokens_to_read());
-            let fetched = f64::from(cached.tokens_to_fetch(endpoint.key)) * FETCH_FACTOR;
-            let other_side = if target.is_own_side {
+            let prefill = f64::from(cached.tokens_to_read());
+            let fetch = f64::from(cached.tokens_to_fetch(endpoint.key)) * FETCH_COST_FACTOR;
+            let partition_cost = if target.in_own_partition {
                 0.0
             } else {
-                OTHER_SIDE_TOKENS
+                OTHER_PARTITION_PENALTY_TOKENS
             };
-            endpoint.cost_of_load(newcomer) + read + fetched + moved + other_side
+            endpoint.cost_of_load(profile) + prefill + fetch + away_cost + partition_cost
         };
-        let best = cheapest(home_and_drawn(&targets), cost)?;
+        let best = cheapest(home_and_sampled(&targets), cost)?;
         let homes = homes.as_ref();
         let rank = homes.map_or(0, |homes| homes.rank(best.position, best.candidate));
         let mut placed = best.candidate.placed(rank);
         placed.tokens = cached[&best.candidate.version].tokens_to_read();
         if rank > 0 {
             let mut targets = targets.iter();
-            let home = targets.find(|target| target.is_home && target.is_own_side);
+            let home = targets.find(|target| target.is_home && target.in_own_partition);
             let home = home.map(|home| home.candidate);
             let home =
                 home.filter(|home| home.version == placed.version && !home.endpoint.is_limited());
@@ -100,7 +100,7 @@
         Some(placed)
     }
 
-    /// What is cached of a prompt, by the weights that back ends hold.
+    /// The cached parts of a prompt for each version of the weights that the back ends hold.
     fn cached_by_version(
         &self,
         now: Timestamp,
@@ -118,35 +118,39 @@
         versions.into_iter().map(cached).collect()
     }
 
-    /// The back ends in the order in which they are homes of a prompt; none when nothing of it is
-    /// shared.
+    /// The order of the back ends as homes of a prompt; `None` when the prompt has no shared parts.
     fn homes(
         &self,
         admission: &Admission,
         prompt: &Prompt,
         usable: &[Candidate<'_>],
-        sides: &Sides,
+        pool_partition: &PoolPartition,
     ) -> Option<Homes> {
         let shared = prompt.shared_parts();
         let key = home_key(&prompt.model, shared)?;
         let is_short = prompt.is_short();
         let newest = usable.iter().filter_map(|candidate| candidate.version);
         let newest = newest.max();
-        let loading = self.weights_of_loading_home(admission, prompt, key, sides);
+        let loading = self.weights_of_loading_home(admission, prompt, key, pool_partition);
         let required_weights = loading
             .filter(|loading| newest >= Some(*loading))
             .and(newest);
-        Some(Homes::new(key, usable, sides, is_short, required_weights))
+        Some(Homes::new(
+            key,
+            usable,
+            pool_partition,
+            is_short,
+            required_weights,
+        ))
     }
 
-    /// The weights that the home of a prompt is loading, when that is what keeps it from being
-    /// chosen.
+    /// The version that the home of a prompt is loading, if that is why the home is not among the candidates.
     fn weights_of_loading_home(
         &self,
         admission: &Admission,
         prompt: &Prompt,
         key: u64,
-        sides: &Sides,
+        pool_partition: &PoolPartition,
     ) -> Option<u64> {
         let is_short = prompt.is_short();
         let pool = NameHash::of(admission.pool.as_str());
@@ -154,23 +158,25 @@
             endpoint.summary.pool == pool
                 && endpoint.summary.is_ready
                 && endpoint.is_reachable()
-                && sides.is_own(endpoint, is_short)
+                && pool_partition.prefers(endpoint, is_short)
         });
-        let (_, home) = pool.max_by_key(|(id, _)| weight(id, key))?;
+        let (_, home) = pool.max_by_key(|(id, _)| rendezvous_score(id, key))?;
         let loaded = home.record.model(prompt.model.as_str())?;
         (loaded.loading > loaded.version).then_some(loaded.loading)
     }
 }
 
-/// The home of a prompt and the few back ends that were drawn of each side.
-fn home_and_drawn<'a>(targets: &'a [Target<'a>]) -> Vec<&'a Target<'a>> {
-    let drawn = |is_own_side: bool| {
+/// The home of a prompt and the back ends sampled from each partition.
+fn home_and_sampled<'a>(targets: &'a [Target<'a>]) -> Vec<&'a Target<'a>> {
+    let sampled = |in_own_partition: bool| {
         let away = targets.iter().filter(|target| !target.is_home);
-        let of_side = away.filter(|target| target.is_own_side == is_own_side);
-        least_by_key(of_side, DRAWN_AWAY_FROM_HOME, |target| target.tie)
+        let in_partition = away.filter(|target| target.in_own_partition == in_own_partition);
+        k_smallest_by_key(in_partition, SAMPLED_PER_PARTITION, |target| {
+            target.random_key
+        })
     };
     let at_home = targets.iter().filter(|target| target.is_home);
-    at_home.chain(drawn(true)).chain(drawn(false)).collect()
+    at_home.chain(sampled(true)).chain(sampled(false)).collect()
 }
 
 fn cheapest<'a>(
@@ -179,7 +185,8 @@
 ) -> Option<&'a Target<'a>> {
     let priced = targets.into_iter().map(|target| (cost(target), target));
     let best = priced.min_by(|(cost, target), (other_cost, other)| {
-        cost.total_cmp(other_cost).then(target.tie.cmp(&other.tie))
+        cost.total_cmp(other_cost)
+            .then(target.random_key.cmp(&other.random_key))
     });
     best.map(|(_, target)| target)
 }
--- a/crates/gateway-core/src/router/request.rs
+++ b/crates/gateway-core/src/router/request.rs
@@ -1,4 +1,4 @@
-//! What a router knows of a request, and why it is not sent anywhere.
+//! Requests as a router sees them, and the reasons why it does not forward one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,135 +6,137 @@
 use super::{Charge, OverLimit};
 use crate::{InstanceId, ModelName, PoolName, Route, Tenant, WorkId};
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt, which other requests may have in common.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its identifier.
+    /// Identifies its content; requests that share the part carry the same identifier.
     pub id: String,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// What a request says of its prompt.
+/// The prompt of a request, divided into parts that back ends can cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model it is for.
+    /// The model that is to serve the request.
     pub model: ModelName,
-    /// Its parts in order; the last one is the request's own, or its session's.
+    /// The parts in order. The last one belongs to this request or its session alone.
     pub parts: Vec<PromptPart>,
-    /// Tokens that are expected to be generated.
+    /// Expected number of generated tokens.
     pub output: u32,
 }
 
-/// Why a request is not forwarded. None of these has run.
+/// Why a request is not forwarded. In all these cases no back end has run it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// No configuration has been received.
-    #[error("no configuration yet")]
+    /// This router has not received a configuration yet.
+    #[error("no configuration received yet")]
     NoConfiguration,
-    /// The view may be outdated.
-    #[error("view not confirmed in time")]
+    /// No quorum has confirmed this router's view recently enough, so it may be outdated.
+    #[error("the router's view was not confirmed by a quorum in time")]
     Unconfirmed,
-    /// No route matches.
-    #[error("no route")]
+    /// No route matches the request's host and path.
+    #[error("no route matches the request")]
     NoRoute,
-    /// No tenant holds the key.
-    #[error("unknown key")]
+    /// No tenant has this API key.
+    #[error("no tenant has this API key")]
     UnknownKey,
-    /// The tenant has used up its limit.
-    #[error("over the tenant's limit")]
+    /// The tenant has used up its rate limit.
+    #[error("the tenant has used up its rate limit")]
     OverLimit(OverLimit),
 }
 
-/// Why no back end was chosen. The request has not run there.
+/// Why no back end was chosen for an attempt. No back end has run this attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChoiceError {
-    /// No back end of the pool takes requests.
+    /// No back end of the pool is ready to take requests.
     #[error("no back end takes requests")]
     NoneReady,
-    /// All that take requests were tried.
+    /// All back ends that take requests were tried already.
     #[error("no other back end")]
     NoneLeft,
-    /// All back ends that could take it have asked this router for no requests, or limit what they take.
+    /// All back ends that could take the request asked this router to back off or are at their rate limit.
     #[error("{0}")]
     BackedOff(Backoff),
-    /// The pool has more work than it can serve in time.
+    /// The pool has more requests than it can serve in time.
     #[error("{0}")]
     Overloaded(Overload),
-    /// Too many back ends have ended under the same work.
+    /// Too many back ends have crashed while serving requests with this fingerprint.
     #[error("work is quarantined")]
     Quarantined,
-    /// Back ends have ended under the same work, so it is not sent on within a call.
+    /// Back ends have crashed while serving requests with this fingerprint, so the request is not retried within
+    /// the same call.
     #[error("work is suspected")]
     Suspected,
-    /// Retries are used up for now.
+    /// The pool's retry budget is used up for now.
     #[error("retry budget used up")]
     NoBudget,
 }
 
-/// Until when the back ends of a pool take no requests of this router.
+/// How long the back ends of a pool accept no requests from this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{back_ends} back ends take no requests now, the first one in {} ms", soonest.as_millis())]
+#[error("{back_ends} back ends accept no requests now; the first accepts again in {} ms", soonest.as_millis())]
 pub struct Backoff {
-    /// Those that could take the request otherwise.
+    /// Number of back ends that could take the request otherwise.
     pub back_ends: usize,
-    /// Until the first of them takes requests again.
+    /// Time until the first of them accepts requests again.
     pub soonest: Duration,
-    /// When the caller is to try again.
+    /// Time after which the client should retry.
     pub retry_after: Duration,
 }
 
-/// Why a request is refused while its pool has too much work.
+/// Why a request is refused while its pool is overloaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("pool overloaded: {utilization_percent} % of its slots taken, {refused_percent} % refused")]
+#[error("pool overloaded: {utilization_percent} % of its slots in use, {refused_percent} % of requests refused")]
 pub struct Overload {
-    /// When the caller is to try again.
+    /// Time after which the client should retry.
     pub retry_after: Duration,
-    /// Requests at the pool's back ends, of 100 slots.
+    /// Requests at the pool's back ends, as a percentage of its slots; above 100 while requests wait for slots.
     pub utilization_percent: u32,
-    /// Requests of this urgency that are refused, of 100.
+    /// Percentage of requests of this urgency that are refused.
     pub refused_percent: u32,
 }
 
-/// What was done for a request before another back end is chosen.
+/// The earlier attempts of a request, which limit the choice of the next back end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EarlierAttempts<'a> {
-    /// Back ends that were chosen.
+    /// Back ends that were chosen already.
     pub tried: &'a [InstanceId],
-    /// Attempts that arrived at one of them, also when it turned the request away.
+    /// Attempts that reached a back end, including those that it rejected.
     pub arrived: u32,
-    /// What the request carries.
+    /// The request's fingerprint; `None` when crashes are not tracked for it.
     pub fingerprint: Option<WorkId>,
-    /// Moments at which back ends had ended under it before this call.
+    /// Back-end crashes while serving requests with this fingerprint, as known when this call began. Crashes
+    /// at about the same time count once.
     pub crashes_before_call: u32,
-    /// Attempts of this call that broke when they may have run.
+    /// Attempts of this call that broke off after the back end may have started to run the request.
     pub broken: u32,
 }
 
-/// A request that may be forwarded.
+/// A request that was admitted and may be forwarded.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// Its route.
+    /// The route that matched its host and path.
     pub route: Rc<Route>,
-    /// Its tenant, when it needs a key.
+    /// The tenant that its API key belongs to; `None` when the route needs no key.
     pub tenant: Option<Rc<Tenant>>,
-    /// The pool that is to serve it.
+    /// The pool of back ends that is to serve it.
     pub pool: PoolName,
-    /// Its priority; 0 is most urgent.
+    /// Its priority: the tenant's, else the route's. 0 is the most urgent.
     pub priority: u8,
-    /// What it was charged to its tenant's limit.
+    /// The amount charged to the tenant's rate limit; `None` when the tenant has none.
     pub charge: Option<Charge>,
 }
 
-/// What decides whether a request is admitted, and where.
+/// The parts of a request that decide whether and where it is admitted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestHead<'a> {
-    /// The host that it names, without port.
+    /// The host that the request names, without port.
     pub host: &'a str,
-    /// Its path.
+    /// The path of its URL.
     pub path: &'a str,
-    /// The caller's key.
+    /// The API key that the client presented.
     pub key: Option<&'a str>,
-    /// Tokens of its prompt and the most that are generated, when it declares them.
+    /// Prompt tokens plus the maximum of generated tokens, when the request declares them.
     pub declared_tokens: Option<u32>,
 }
--- a/crates/gateway-core/src/router/summary.rs
+++ b/crates/gateway-core/src/router/summary.rs
@@ -1,11 +1,11 @@
-//! What every choice asks of every back end, kept beside its load: a look into its record costs two or three
-//! misses of the processor's cache, and a choice before a large pool looks at thousands.
+//! The properties of a back end that every choice reads, stored next to its load: reading them from its record costs
+//! two or three cache misses, and a choice in a large pool looks at thousands of back ends.
 
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{InstanceRecord, Lifecycle};
 
-/// Stands for the name of a pool, a zone or a model.
+/// Hash of the name of a pool, zone or model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct NameHash(u64);
 
@@ -15,14 +15,14 @@
     }
 }
 
-/// Of a record, what decides whether a request may go there.
+/// The properties of a record that decide whether the back end may receive a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Summary {
     pub pool: NameHash,
     pub zone: NameHash,
     pub is_ready: bool,
     pub is_loading: bool,
-    /// The weights that it holds when it holds those of one model, which nearly all do.
+    /// The model and version, if the back end holds exactly one model, as nearly all do.
     only_model: Option<(NameHash, u64)>,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The version of a model that is held; `hash` stands for its name.
+    /// The version of `model` that the back end holds; `hash` is the hash of the model's name.
     pub fn version(&self, record: &InstanceRecord, model: &str, hash: NameHash) -> Option<u64> {
         match self.only_model {
             Some((only, version)) => (only == hash).then_some(version),
--- a/crates/gateway-core/src/router/summary_tests.rs
+++ b/crates/gateway-core/src/router/summary_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is kept of records beside loads.
+//! Tests of the properties that are kept next to a back end's load.
 
 use drumshore_wire::{List, Text};
 use rstest::rstest;
--- a/crates/gateway-core/src/router/tests/caches.rs
+++ b/crates/gateway-core/src/router/tests/caches.rs
@@ -111,7 +111,7 @@
     let fetching = router
         .choose(at(2), &admission, Some(&prompt), EarlierAttempts::default())
         .unwrap();
-    assert_eq!(fetching.fetches_from_store, Some(store()));
+    assert_eq!(fetching.fetch_store, Some(store()));
     let target = Duration::from_millis(300);
     router.answered(at(300), &fetching, Some(2 * target), target);
     let busy_home = LoadEntry {
@@ -126,13 +126,13 @@
     };
     let away = choose(&mut router, at(400), &[busy_home]);
     assert_ne!(away.instance, fetching.instance);
-    assert_eq!(away.fetches_from_store, None);
+    assert_eq!(away.fetch_store, None);
     assert_eq!(away.fetch_from.as_deref(), Some(fetching.address.as_str()));
     let at_home = choose(&mut router, at(400), &[]);
     assert_eq!(at_home.instance, fetching.instance);
-    assert_eq!(at_home.fetches_from_store, Some(store()));
+    assert_eq!(at_home.fetch_store, Some(store()));
     let later = choose(&mut router, at(3_000), &[busy_home]);
-    assert_eq!(later.fetches_from_store, Some(store()));
+    assert_eq!(later.fetch_store, Some(store()));
 }
 
 /// A router that knows two stores, and what it says of `count` prompts that differ.
@@ -214,7 +214,7 @@
     assert_eq!(away.cache_estimate.here, 0);
     assert_eq!(away.cache_estimate.at_source, 1);
     assert_eq!(away.fetch_from.as_deref(), Some(first.address.as_str()));
-    assert_eq!(away.fetches_from_store, None);
+    assert_eq!(away.fetch_store, None);
 }
 
 #[test]
