--- a/crates/gateway-core/src/router/copies_tests.rs
+++ b/crates/gateway-core/src/router/copies_tests.rs
@@ -20,7 +20,7 @@
 #[case::may_not_be_repeated(RequestKind::Stream, 600, true)]
 #[case::can_be_read_again(RequestKind::ResumableStream, 600, false)]
 #[case::takes_too_much_memory(RequestKind::Stream, 9_000, false)]
-fn runs_that_would_be_lost_are_copied_while_they_are_small(
+fn only_small_runs_that_cannot_be_repeated_are_copied(
     #[case] kind: RequestKind,
     #[case] tokens: u32,
     #[case] is_copied: bool,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_busy_pool_keeps_its_memory_for_prompts() {
+fn runs_are_not_copied_in_a_busy_pool() {
     let mut router = router_for_copies();
     let admission = admission(&mut router, RequestKind::Stream);
     let loads: Vec<LoadEntry> = (4..=9)
@@ -52,7 +52,7 @@
 
 /// After the first back end broke off, the copy continues the run and is told to fetch, save and copy nothing.
 #[test]
-fn a_run_goes_on_where_its_copy_is() {
+fn a_run_continues_at_the_back_end_with_its_copy() {
     let mut router = router_for_copies();
     let admission = admission(&mut router, RequestKind::Stream);
     let prompt = prompt_of(600);
@@ -77,7 +77,7 @@
 
 /// A copy cannot be used under other weights than those of the run.
 #[test]
-fn a_copy_at_a_back_end_that_is_gone_is_not_asked() {
+fn a_copy_is_not_used_under_other_weights() {
     let mut router = router_for_copies();
     let admission = admission(&mut router, RequestKind::Stream);
     let prompt = prompt_of(600);
--- a/crates/gateway-core/src/router/holders_tests.rs
+++ b/crates/gateway-core/src/router/holders_tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_back_end_that_has_read_a_prompt_holds_its_shared_parts_for_a_while() {
+fn a_back_end_holds_shared_parts_for_a_while_after_prefill() {
     let mut holders = Holders::default();
     let prefixes = prefixes(&long_prompt(), "salt");
     assert_eq!(prefixes.len(), 2);
@@ -35,12 +35,12 @@
     assert_eq!(held.len(), 1);
     assert_eq!(held[0].key, LoadEntry::key_of("i-1"));
     assert_eq!(held[0].parts, 2);
-    let forgotten = at(ENTRY_LIFETIME.as_millis() as u64);
-    assert!(holders.held(forgotten, &prefixes).is_empty());
+    let expired = at(ENTRY_LIFETIME.as_millis() as u64);
+    assert!(holders.held(expired, &prefixes).is_empty());
 }
 
 #[test]
-fn prompts_that_share_the_first_part_only_are_held_as_far_as_that() {
+fn a_prompt_that_shares_only_the_first_part_matches_only_that_part() {
     let mut holders = Holders::default();
     holders.on_read(at(0), &prefixes(&long_prompt(), "salt"), "i-1");
     let other = prompt(&[("all", 2_500), ("other subject", 3_700), ("own", 2_900)]);
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn short_prompts_are_not_worth_a_belief() {
+fn short_prompts_are_not_tracked() {
     let short = prompt(&[("all", 100), ("subject", 80), ("own", 600)]);
     assert!(prefixes(&short, "salt").is_empty());
 }
 
 #[test]
-fn what_is_known_is_told_once_and_again_before_others_forget_it() {
+fn an_entry_is_reported_once_and_again_before_other_routers_drop_it() {
     let mut holders = Holders::default();
     let prefixes = prefixes(&long_prompt(), "salt");
     holders.on_read(at(0), &prefixes, "i-1");
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn news_that_nobody_takes_are_bounded() {
+fn reports_that_are_not_taken_are_bounded() {
     let mut holders = Holders::default();
     for number in 0..MAX_PENDING_REPORTS as u32 * 2 {
         holders.on_read(at(0), &[number], "i-1");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn what_enough_back_ends_are_known_to_hold_is_no_news() {
+fn a_prefix_with_enough_known_holders_is_not_reported() {
     // Guards against widely shared prefixes using up the reports: the first part of 458 prompts a second, common to
     // four kinds of prompts, took more than half of the reports, and entries for other prefixes were dropped.
     let mut holders = Holders::default();
--- a/crates/gateway-core/src/router/k_smallest_tests.rs
+++ b/crates/gateway-core/src/router/k_smallest_tests.rs
@@ -6,7 +6,7 @@
 
 proptest! {
     #[test]
-    fn the_least_few_are_those_that_come_first_in_order(
+    fn the_k_smallest_are_the_first_k_in_sorted_order(
         items in proptest::collection::vec(0_u32..50, 0..60),
         count in 0_usize..5,
     ) {
--- a/crates/gateway-core/src/router/prompt_mix_tests.rs
+++ b/crates/gateway-core/src/router/prompt_mix_tests.rs
@@ -21,7 +21,7 @@
 #[case::large_batches(64, 0.14..0.16)]
 #[case::small_batches(16, 0.17..0.20)]
 #[case::one_at_a_time(1, 0.50..0.60)]
-fn the_work_of_decoding_grows_as_batches_get_smaller(
+fn the_share_of_short_prompts_grows_as_batches_get_smaller(
     #[case] slots: u32,
     #[case] expected: std::ops::Range<f64>,
 ) {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn prompts_of_one_kind_have_no_sides() {
+fn a_pool_is_not_partitioned_for_prompts_of_one_kind() {
     let mut mix = PromptMix::default();
     (0..100).for_each(|_| mix.record_prompt(&prompt(6_300, 2_890, 5), 4_465, 16));
     assert_eq!(mix.short_share(), None);
--- a/crates/gateway-core/src/router/summary_tests.rs
+++ b/crates/gateway-core/src/router/summary_tests.rs
@@ -30,7 +30,7 @@
 #[case::of_another_than_the_only_one(&[("a", 3)], "b", None)]
 #[case::of_one_of_two(&[("a", 3), ("b", 5)], "b", Some(5))]
 #[case::without_any(&[], "a", None)]
-fn the_version_is_the_record_s(
+fn the_summary_returns_the_version_in_the_record(
     #[case] models: &[(&str, u64)],
     #[case] model: &str,
     #[case] expected: Option<u64>,
--- a/crates/gateway-core/src/router/tests/caches.rs
+++ b/crates/gateway-core/src/router/tests/caches.rs
@@ -1,4 +1,4 @@
-//! Tests of salts, stores and the back ends that are believed to hold prompts.
+//! Tests of cache salts, stores and the estimate of cached prefixes.
 
 use super::*;
 
@@ -59,10 +59,10 @@
     assert_eq!((lost.fetch_from, lost.save_to), (None, None));
 }
 
-/// A prompt that nobody has cached was charged a quarter of its shared part: a back end seemed to
-/// be done long before it was.
+/// Guards against underestimated load: a back end looked idle long before it was, because a prompt that no back end
+/// had cached counted only a quarter of its shared part.
 #[test]
-fn a_back_end_is_charged_what_it_is_expected_to_read() {
+fn pending_tokens_are_those_that_the_back_end_is_expected_to_prefill() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let prompt = prompt("shared", 10);
@@ -71,15 +71,15 @@
         choice.unwrap()
     };
     let first = choose(&mut router);
-    assert_eq!(first.tokens, 4_010, "nobody has it");
+    assert_eq!(first.tokens, 4_010, "no back end has cached it");
     router.accepted(at(3), &first);
-    assert_eq!(choose(&mut router).tokens, 10, "its home has read it");
+    assert_eq!(choose(&mut router).tokens, 10, "its home has cached it");
     router.finished(at(3), &first.instance, at(1), Outcome::Answered);
 }
 
-/// Short prompts are not followed: most of what they share is expected to be cached.
+/// No router tracks who has cached short prompts: most of their shared tokens are expected to be cached.
 #[test]
-fn a_short_prompt_is_charged_a_part_of_what_it_shares() {
+fn a_short_prompt_counts_a_fraction_of_its_shared_tokens() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let part = |id: &str, tokens| PromptPart {
@@ -96,9 +96,9 @@
 }
 
 #[test]
-fn a_slow_store_is_left_alone_for_a_while_where_the_home_can_give() {
-    // A full link of the store made a third of the requests wait 2 s (sqbc scale-2). At home
-    // there is no other source, and to read the prompt again holds up more (grown sqbc scale-1).
+fn a_slow_store_is_avoided_for_a_while_if_the_home_has_the_parts() {
+    // Guards against waiting for an overloaded store: when its link was saturated, a third of the requests waited
+    // 2 s. At the home there is no other source, and prefilling the prompt again would delay more requests.
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let prompt = prompt("shared", 10);
@@ -135,7 +135,7 @@
     assert_eq!(later.fetch_store, Some(store()));
 }
 
-/// A router that knows two stores, and what it says of `count` prompts that differ.
+/// The stores that a router with two configured stores, of which it knows `known`, saves `count` different prompts to.
 fn stores_used(known: &[&str], other_zone: &str, count: u32) -> Vec<String> {
     let mut router = router();
     let mut two = document();
@@ -160,8 +160,9 @@
 }
 
 #[test]
-fn stores_share_the_prompts_and_each_prompt_has_one() {
-    // Of three stores only the first was used: its link was full and it held half of the prompts.
+fn prompts_are_spread_over_stores_and_each_prompt_has_one_store() {
+    // Guards against one overloaded store: of three stores only the first was used, which saturated its link and held
+    // only half of the prompts.
     let used = stores_used(&[STORE, OTHER_STORE], "zone", 60);
     let other = used
         .iter()
@@ -173,20 +174,20 @@
 }
 
 #[test]
-fn a_store_that_does_not_answer_leaves_its_prompts_to_the_others() {
+fn prompts_of_an_unresponsive_store_go_to_the_other_stores() {
     let used = stores_used(&[OTHER_STORE], "zone", 20);
     assert_eq!(used, [OTHER_STORE; 20]);
 }
 
 #[test]
-fn a_prompt_is_kept_in_the_zone_of_its_home() {
+fn a_prompt_is_saved_in_the_zone_of_its_home() {
     let used = stores_used(&[STORE, OTHER_STORE], "other zone", 20);
     assert_eq!(used, [STORE; 20]);
     let used = stores_used(&[OTHER_STORE], "other zone", 20);
     assert_eq!(used, [OTHER_STORE; 20]);
 }
 
-/// A router that saw the home of a prompt read it, and whose home is busy now.
+/// A router that has seen the home of a prompt prefill it, and whose home is busy now.
 fn router_with_a_busy_home(prompt: &Prompt) -> (RouterCore, Admission, Choice) {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
@@ -204,7 +205,7 @@
 }
 
 #[test]
-fn a_prompt_away_from_home_is_fetched_from_who_has_read_it() {
+fn a_prompt_away_from_home_is_fetched_from_a_back_end_that_prefilled_it() {
     let prompt = prompt("shared", 10);
     let (mut router, admission, first) = router_with_a_busy_home(&prompt);
     let away = router
@@ -218,28 +219,28 @@
 }
 
 #[test]
-fn what_other_routers_learned_is_used_as_well() {
+fn entries_reported_by_other_routers_are_used() {
     let prompt = prompt("shared", 10);
     let (mut other, _, first) = router_with_a_busy_home(&prompt);
-    let learned = other.take_holder_reports();
-    assert_eq!(learned.len(), 1);
+    let reported = other.take_holder_reports();
+    assert_eq!(reported.len(), 1);
     assert!(other.take_holder_reports().is_empty());
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
-    router.on_holders(at(1), &learned);
+    router.on_holders(at(1), &reported);
     let tried = [first.instance];
     let away = router.choose(at(2), &admission, Some(&prompt), after(&tried));
     assert_eq!(
         away.unwrap().cache_estimate.at_source,
         0,
-        "a tried one is no source"
+        "a back end that was tried is not a source"
     );
     let known = router.choose(at(2), &admission, Some(&prompt), EarlierAttempts::default());
     assert_eq!(known.unwrap().cache_estimate.here, 1);
 }
 
 #[test]
-fn a_holder_that_loads_or_leaves_is_no_source() {
+fn a_draining_holder_is_not_a_source() {
     let prompt = prompt("shared", 10);
     let (mut router, admission, first) = router_with_a_busy_home(&prompt);
     let mut leaving = record(first.instance.as_str(), "models", 1);
@@ -255,8 +256,8 @@
 }
 
 #[test]
-fn prompts_of_a_home_that_loads_go_to_back_ends_with_the_new_weights() {
-    // What is read under weights that are about to be replaced has to be read again.
+fn prompts_of_a_loading_home_go_to_back_ends_with_the_new_weights() {
+    // A prompt that is prefilled under weights that are about to be replaced must be prefilled again.
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let prompts: Vec<Prompt> = (0..40)
--- a/crates/gateway-core/src/router/tests/mod.rs
+++ b/crates/gateway-core/src/router/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the router: what they share. One file a subject.
+//! Helpers shared by the tests of the router core; each submodule covers one subject.
 
 mod admission;
 mod caches;
@@ -38,7 +38,7 @@
     Timestamp(1 + milliseconds * 1_000)
 }
 
-/// Attempts that all arrived.
+/// Earlier attempts that all reached a back end.
 fn after(tried: &[InstanceId]) -> EarlierAttempts<'_> {
     EarlierAttempts {
         tried,
@@ -225,19 +225,19 @@
         .unwrap()
 }
 
-/// A router before six back ends that hold a model.
+/// A router in front of six back ends that hold a model.
 pub(super) fn router_for_copies() -> RouterCore {
     router()
 }
 
-/// A router before one back end that holds a model and says that it has so many slots.
+/// A router in front of one back end that holds a model and declares this many slots.
 pub(super) fn router_with_slots(slots: u32) -> RouterCore {
     let mut back_end = record("llm-1", "models", 1);
     back_end.slots = slots;
     router_with(vec![back_end])
 }
 
-/// An admitted request for the model whose route is of this kind.
+/// An admitted request for the model, on a route of this kind.
 pub(super) fn short_stream(router: &mut RouterCore, kind: RequestKind) -> Admission {
     let admission = admit(router, at(1), "/a/b/x");
     let route = Route {
@@ -250,7 +250,7 @@
     }
 }
 
-/// A prompt of so many tokens that shares nothing.
+/// A prompt of this many tokens without shared parts.
 pub(super) fn prompt_of(tokens: u32) -> Prompt {
     Prompt {
         model: ModelName::new("model"),
--- a/crates/gateway-core/src/router/tests/placement.rs
+++ b/crates/gateway-core/src/router/tests/placement.rs
@@ -1,11 +1,11 @@
-//! Tests of where requests go.
+//! Tests of the choice of back ends.
 
 use std::collections::BTreeMap;
 
 use super::*;
 
 #[test]
-fn draining_loading_and_replaced_back_ends_get_nothing() {
+fn draining_loading_and_replaced_back_ends_receive_no_requests() {
     let mut draining = record("draining", "models", 1);
     draining.lifecycle = Lifecycle::Draining;
     let mut loading = record("loading", "models", 2);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn one_that_another_incarnation_answered_for_is_left_alone() {
+fn a_back_end_is_avoided_after_another_incarnation_answered_for_it() {
     let old = record("old", "apps", 3);
     let mut new = record("new", "apps", 4);
     new.address = old.address.clone();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn old_weights_are_not_used_when_their_time_is_up() {
+fn old_weights_are_not_used_after_the_grace_period() {
     let mut router = router();
     let mut named = changes(10, 11, Vec::new());
     named.weights = List::new(vec![WeightsNotice {
@@ -67,7 +67,7 @@
         EarlierAttempts::default(),
     );
     assert_eq!(choice.unwrap().expected_version, Some(1));
-    // Two seconds of the grace were over when the name arrived here.
+    // The version was named 2 s before this router received it, so 2 s of the grace period had passed.
     let choice = router.choose(
         at(5_100),
         &admission,
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn requests_with_the_same_shared_parts_meet_at_one_back_end() {
+fn prompts_with_the_same_shared_parts_go_to_one_back_end() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let mut homes = std::collections::BTreeSet::new();
@@ -95,8 +95,8 @@
     assert_eq!(homes.len(), 1);
 }
 
-/// A router before so many back ends of the pool of models.
-fn router_before(back_ends: usize) -> RouterCore {
+/// A router in front of this many additional back ends of the pool of models.
+fn router_with_back_ends(back_ends: usize) -> RouterCore {
     let mut router = router();
     let others = (0..back_ends).map(|n| record(&format!("m-{n}"), "models", 1));
     let changes = Changes {
@@ -115,7 +115,7 @@
     router
 }
 
-/// Loads that keep all back ends of [`router_before`] 100 busy but `m-0`.
+/// Load that keeps all back ends of [`router_with_back_ends`] with 100 additional ones busy, except `m-0`.
 fn all_busy_but_one() -> Vec<LoadEntry> {
     let names = (4..=9).map(|n| format!("llm-{n}"));
     let names = names.chain((0..100).map(|n| format!("m-{n}")));
@@ -129,9 +129,9 @@
 
 #[test]
 fn prompts_that_leave_busy_homes_do_not_all_go_to_the_same_back_end() {
-    // sqbc-large: 295 routers hear of one another's loads 0.2 s late. All sent what left its home
-    // to the back end that was the least loaded then, and half of that was late.
-    let mut router = router_before(100);
+    // Guards against herding. 295 routers receive each other's loads 0.2 s late; when all of them sent the prompts
+    // that left their homes to the least loaded back end, half of those prompts were late.
+    let mut router = router_with_back_ends(100);
     let admission = admit(&mut router, at(1), "/a/b/x");
     router.set_others_loads(true, &all_busy_but_one());
     let mut chosen = std::collections::HashMap::new();
@@ -149,7 +149,7 @@
 
 #[test]
 fn prompts_that_share_nothing_do_not_all_go_to_the_same_back_end() {
-    let mut router = router_before(100);
+    let mut router = router_with_back_ends(100);
     let admission = admit(&mut router, at(1), "/a/b/x");
     router.set_others_loads(true, &all_busy_but_one());
     let own = PromptPart {
@@ -175,11 +175,9 @@
 #[rstest]
 #[case::much_is_shared(6_300, false)]
 #[case::little_is_shared(200, true)]
-fn a_prompt_leaves_a_busy_home_the_sooner_the_less_it_shares(
-    #[case] shared: u32,
-    #[case] leaves: bool,
-) {
-    // sqbc-large: prompts that share 198 tokens stayed at home until 12,000 waited there.
+fn a_prompt_leaves_a_busy_home_sooner_if_it_shares_less(#[case] shared: u32, #[case] leaves: bool) {
+    // Guards against prompts with few shared tokens waiting at a busy home: prompts that share 198 tokens stayed
+    // there until 12,000 tokens waited for prefill.
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let part = |id: &str, tokens| PromptPart {
@@ -209,7 +207,7 @@
 }
 
 #[test]
-fn a_list_of_changed_loads_leaves_the_others_as_they_were() {
+fn a_partial_load_list_leaves_unlisted_loads_unchanged() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let prompt = prompt("shared", 10);
@@ -244,7 +242,7 @@
 }
 
 #[test]
-fn a_home_that_others_keep_busy_is_passed_over() {
+fn a_prompt_leaves_a_home_that_other_routers_keep_busy() {
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let prompt = prompt("shared", 10);
@@ -263,12 +261,12 @@
         .unwrap();
     assert_ne!(away.instance, home.instance);
     assert!(away.rank > 0);
-    // The home has the shared parts, and many homes have more links than one store.
+    // The home has the shared parts, and the homes together have more network links than one store.
     assert_eq!(away.fetch_from, Some(home.address));
 }
 
-/// A pool without models, and a router in front of it.
-fn router_before_apps(count: usize, seed: u64) -> RouterCore {
+/// A router in front of a pool without models.
+fn router_with_apps(count: usize, seed: u64) -> RouterCore {
     let apps = (0..count).map(|number| record(&format!("app-{number}"), "apps", number as u64));
     let mut router = RouterCore::new(params(), seed);
     let all = changes(0, 10, apps.collect());
@@ -277,7 +275,7 @@
     router
 }
 
-/// Sends requests one after the other and counts where they go.
+/// Sends requests one after the other and counts them by back end.
 fn requests_by_back_end(router: &mut RouterCore, requests: usize) -> BTreeMap<InstanceId, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..requests {
@@ -291,8 +289,8 @@
 }
 
 #[test]
-fn a_router_with_few_requests_comes_back_to_few_back_ends() {
-    let mut router = router_before_apps(80, 7);
+fn a_router_with_few_requests_reuses_few_back_ends() {
+    let mut router = router_with_apps(80, 7);
     let counts = requests_by_back_end(&mut router, 100);
     assert!((2..=4).contains(&counts.len()), "{counts:?}");
 }
@@ -301,7 +299,7 @@
 fn routers_spread_over_all_back_ends() {
     let mut counts: BTreeMap<InstanceId, usize> = BTreeMap::new();
     for seed in 0..200 {
-        let mut router = router_before_apps(80, seed);
+        let mut router = router_with_apps(80, seed);
         for (instance, count) in requests_by_back_end(&mut router, 20) {
             *counts.entry(instance).or_default() += count;
         }
@@ -316,8 +314,8 @@
 }
 
 #[test]
-fn back_ends_that_are_preferred_get_no_more_than_the_others_when_they_are_busy() {
-    let mut router = router_before_apps(20, 7);
+fn preferred_back_ends_get_no_more_requests_than_others_under_load() {
+    let mut router = router_with_apps(20, 7);
     let mut placed: BTreeMap<InstanceId, usize> = BTreeMap::new();
     for _ in 0..40 {
         let admission = admit(&mut router, at(1), "/a/x");
@@ -328,11 +326,11 @@
     assert!(placed.values().all(|count| *count == 2), "{placed:?}");
 }
 
-/// How long one choice takes before a pool of a whole fleet, with long and short prompts in turn. A router with
-/// 0.12 of a core takes eight times as long.
+/// Prints the time of one choice in a pool as large as a whole fleet, with long and short prompts alternating. A
+/// router that has 0.12 of a core takes eight times as long.
 #[test]
 #[ignore = "prints figures; asserts nothing"]
-fn figures_of_a_choice_before_9_675_back_ends() {
+fn time_of_a_choice_among_9_675_back_ends() {
     const CHOICES: u32 = 400;
     let back_ends = (0..9_675).map(|number| {
         let mut back_end = record(&format!("i-{number:010x}"), "models", number);
