--- a/crates/gateway-core/src/router/copies_tests.rs
+++ b/crates/gateway-core/src/router/copies_tests.rs
@@ -18,7 +18,7 @@
 
 #[rstest]
 #[case::may_not_be_repeated(RequestKind::Stream, 600, true)]
-#[case::can_be_read_again(RequestKind::ResumableStream, 600, false)]
+#[case::can_be_prefilled_again(RequestKind::ResumableStream, 600, false)]
 #[case::takes_too_much_memory(RequestKind::Stream, 9_000, false)]
 fn only_small_runs_that_cannot_be_repeated_are_copied(
     #[case] kind: RequestKind,
--- a/crates/gateway-core/src/router/holders.rs
+++ b/crates/gateway-core/src/router/holders.rs
@@ -75,7 +75,7 @@
 
 impl Holders {
     /// Records that a back end has prefilled a whole prompt.
-    pub fn on_read(&mut self, now: Timestamp, prefixes: &[u32], instance: &str) {
+    pub fn on_prefilled(&mut self, now: Timestamp, prefixes: &[u32], instance: &str) {
         let key = LoadEntry::key_of(instance);
         for prefix in prefixes {
             let entry = HolderEntry {
--- a/crates/gateway-core/src/router/holders_tests.rs
+++ b/crates/gateway-core/src/router/holders_tests.rs
@@ -30,7 +30,7 @@
     let mut holders = Holders::default();
     let prefixes = prefixes(&long_prompt(), "salt");
     assert_eq!(prefixes.len(), 2);
-    holders.on_read(at(0), &prefixes, "i-1");
+    holders.on_prefilled(at(0), &prefixes, "i-1");
     let held = holders.held(at(1_000), &prefixes);
     assert_eq!(held.len(), 1);
     assert_eq!(held[0].key, LoadEntry::key_of("i-1"));
@@ -42,7 +42,7 @@
 #[test]
 fn a_prompt_that_shares_only_the_first_part_matches_only_that_part() {
     let mut holders = Holders::default();
-    holders.on_read(at(0), &prefixes(&long_prompt(), "salt"), "i-1");
+    holders.on_prefilled(at(0), &prefixes(&long_prompt(), "salt"), "i-1");
     let other = prompt(&[("all", 2_500), ("other subject", 3_700), ("own", 2_900)]);
     let held = holders.held(at(1), &prefixes(&other, "salt"));
     assert_eq!(held[0].parts, 1);
@@ -51,7 +51,7 @@
 #[test]
 fn other_weights_and_other_tenants_have_other_prefixes() {
     let mut holders = Holders::default();
-    holders.on_read(at(0), &prefixes(&long_prompt(), "model.1"), "i-1");
+    holders.on_prefilled(at(0), &prefixes(&long_prompt(), "model.1"), "i-1");
     for salt in ["model.2", "model.1.tenant"] {
         let held = holders.held(at(1), &prefixes(&long_prompt(), salt));
         assert!(held.is_empty(), "{salt}");
@@ -68,14 +68,14 @@
 fn an_entry_is_reported_once_and_again_before_other_routers_drop_it() {
     let mut holders = Holders::default();
     let prefixes = prefixes(&long_prompt(), "salt");
-    holders.on_read(at(0), &prefixes, "i-1");
+    holders.on_prefilled(at(0), &prefixes, "i-1");
     assert_eq!(holders.take_reports().len(), 2);
-    holders.on_read(at(100), &prefixes, "i-1");
+    holders.on_prefilled(at(100), &prefixes, "i-1");
     assert!(holders.take_reports().is_empty());
-    holders.on_read(at(200), &prefixes, "i-2");
+    holders.on_prefilled(at(200), &prefixes, "i-2");
     assert_eq!(holders.take_reports().len(), 2);
     let later = 200 + REPORT_AGAIN_AFTER.as_millis() as u64;
-    holders.on_read(at(later), &prefixes, "i-2");
+    holders.on_prefilled(at(later), &prefixes, "i-2");
     assert_eq!(holders.take_reports().len(), 2);
     holders.on_remote_reports(at(later), &[]);
 }
@@ -84,7 +84,7 @@
 fn reports_that_are_not_taken_are_bounded() {
     let mut holders = Holders::default();
     for number in 0..MAX_PENDING_REPORTS as u32 * 2 {
-        holders.on_read(at(0), &[number], "i-1");
+        holders.on_prefilled(at(0), &[number], "i-1");
     }
     assert_eq!(holders.take_reports().len(), MAX_PENDING_REPORTS);
 }
@@ -103,7 +103,7 @@
         ]);
         let prefixes = prefixes(&other, "salt");
         assert_eq!(prefixes[0], shared[0]);
-        holders.on_read(at(n), &prefixes, &format!("i-{n}"));
+        holders.on_prefilled(at(n), &prefixes, &format!("i-{n}"));
     }
     let reports = holders.take_reports();
     let of_first_part = reports.iter().filter(|entry| entry.prefix == shared[0]);
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -338,7 +338,7 @@
     pub fn accepted(&mut self, now: Timestamp, choice: &Choice) {
         self.endpoints.accepted(&choice.instance);
         let instance = choice.instance.as_str();
-        self.holders.on_read(now, &choice.prefixes, instance);
+        self.holders.on_prefilled(now, &choice.prefixes, instance);
     }
 
     /// Records which back ends have cached which prefixes, as reported by other routers.
