--- a/crates/gateway-core/src/router/prompt_mix_tests.rs
+++ b/crates/gateway-core/src/router/prompt_mix_tests.rs
@@ -25,7 +25,7 @@
     #[case] slots: u32,
     #[case] expected: std::ops::Range<f64>,
 ) {
-    // As many short as long prompts, with typical token counts of a large deployment.
+    // As many short prompts as long ones, with the token counts of the sqbc-large workload.
     let mut mix = PromptMix::default();
     for _ in 0..100 {
         mix.record_prompt(&prompt(6_300, 2_890, 5), 4_465, slots);
