--- a/crates/gateway-core/src/router/holders_tests.rs
+++ b/crates/gateway-core/src/router/holders_tests.rs
@@ -26,23 +26,23 @@
 }
 
 #[test]
-fn a_back_end_that_has_read_a_prompt_holds_its_shared_parts_for_a_while() {
+fn a_back_end_holds_shared_parts_for_a_while_after_prefill() {
     let mut holders = Holders::default();
     let prefixes = prefixes(&long_prompt(), "salt");
     assert_eq!(prefixes.len(), 2);
-    holders.on_read(at(0), &prefixes, "i-1");
+    holders.on_prefilled(at(0), &prefixes, "i-1");
     let held = holders.held(at(1_000), &prefixes);
     assert_eq!(held.len(), 1);
     assert_eq!(held[0].key, LoadEntry::key_of("i-1"));
     assert_eq!(held[0].parts, 2);
-    let forgotten = at(LIFETIME.as_millis() as u64);
-    assert!(holders.held(forgotten, &prefixes).is_empty());
+    let expired = at(ENTRY_LIFETIME.as_millis() as u64);
+    assert!(holders.held(expired, &prefixes).is_empty());
 }
 
 #[test]
-fn prompts_that_share_the_first_part_only_are_held_as_far_as_that() {
+fn a_prompt_that_shares_only_the_first_part_matches_only_that_part() {
     let mut holders = Holders::default();
-    holders.on_read(at(0), &prefixes(&long_prompt(), "salt"), "i-1");
+    holders.on_prefilled(at(0), &prefixes(&long_prompt(), "salt"), "i-1");
     let other = prompt(&[("all", 2_500), ("other subject", 3_700), ("own", 2_900)]);
     let held = holders.held(at(1), &prefixes(&other, "salt"));
     assert_eq!(held[0].parts, 1);
@@ -51,7 +51,7 @@
 #[test]
 fn other_weights_and_other_tenants_have_other_prefixes() {
     let mut holders = Holders::default();
-    holders.on_read(at(0), &prefixes(&long_prompt(), "model.1"), "i-1");
+    holders.on_prefilled(at(0), &prefixes(&long_prompt(), "model.1"), "i-1");
     for salt in ["model.2", "model.1.tenant"] {
         let held = holders.held(at(1), &prefixes(&long_prompt(), salt));
         assert!(held.is_empty(), "{salt}");
@@ -59,40 +59,40 @@
 }
 
 #[test]
-fn short_prompts_are_not_worth_a_belief() {
+fn short_prompts_are_not_tracked() {
     let short = prompt(&[("all", 100), ("subject", 80), ("own", 600)]);
     assert!(prefixes(&short, "salt").is_empty());
 }
 
 #[test]
-fn what_is_known_is_told_once_and_again_before_others_forget_it() {
+fn an_entry_is_reported_once_and_again_before_other_routers_drop_it() {
     let mut holders = Holders::default();
     let prefixes = prefixes(&long_prompt(), "salt");
-    holders.on_read(at(0), &prefixes, "i-1");
-    assert_eq!(holders.take_news().len(), 2);
-    holders.on_read(at(100), &prefixes, "i-1");
-    assert!(holders.take_news().is_empty());
-    holders.on_read(at(200), &prefixes, "i-2");
-    assert_eq!(holders.take_news().len(), 2);
-    let later = 200 + TOLD_AGAIN_AFTER.as_millis() as u64;
-    holders.on_read(at(later), &prefixes, "i-2");
-    assert_eq!(holders.take_news().len(), 2);
-    holders.on_news(at(later), &[]);
+    holders.on_prefilled(at(0), &prefixes, "i-1");
+    assert_eq!(holders.take_reports().len(), 2);
+    holders.on_prefilled(at(100), &prefixes, "i-1");
+    assert!(holders.take_reports().is_empty());
+    holders.on_prefilled(at(200), &prefixes, "i-2");
+    assert_eq!(holders.take_reports().len(), 2);
+    let later = 200 + REPORT_AGAIN_AFTER.as_millis() as u64;
+    holders.on_prefilled(at(later), &prefixes, "i-2");
+    assert_eq!(holders.take_reports().len(), 2);
+    holders.on_remote_reports(at(later), &[]);
 }
 
 #[test]
-fn news_that_nobody_takes_are_bounded() {
+fn reports_that_are_not_taken_are_bounded() {
     let mut holders = Holders::default();
-    for number in 0..MOST_NEWS as u32 * 2 {
-        holders.on_read(at(0), &[number], "i-1");
+    for number in 0..MAX_PENDING_REPORTS as u32 * 2 {
+        holders.on_prefilled(at(0), &[number], "i-1");
     }
-    assert_eq!(holders.take_news().len(), MOST_NEWS);
+    assert_eq!(holders.take_reports().len(), MAX_PENDING_REPORTS);
 }
 
 #[test]
-fn what_enough_back_ends_are_known_to_hold_is_no_news() {
-    // sqbc-large: the first part of 458 prompts a second, which four kinds share, took more than
-    // half of what may be told, and other beliefs were dropped.
+fn a_prefix_with_enough_known_holders_is_not_reported() {
+    // Guards against widely shared prefixes using up the reports: the first part of 458 prompts a second, common to
+    // four kinds of prompts, took more than half of the reports, and entries for other prefixes were dropped.
     let mut holders = Holders::default();
     let shared = prefixes(&long_prompt(), "salt");
     for n in 0..10 {
@@ -103,10 +103,10 @@
         ]);
         let prefixes = prefixes(&other, "salt");
         assert_eq!(prefixes[0], shared[0]);
-        holders.on_read(at(n), &prefixes, &format!("i-{n}"));
+        holders.on_prefilled(at(n), &prefixes, &format!("i-{n}"));
     }
-    let news = holders.take_news();
-    let of_first_part = news.iter().filter(|entry| entry.prefix == shared[0]);
+    let reports = holders.take_reports();
+    let of_first_part = reports.iter().filter(|entry| entry.prefix == shared[0]);
     assert_eq!(of_first_part.count(), HOLDERS_PER_PREFIX);
-    assert_eq!(news.len(), HOLDERS_PER_PREFIX + 10);
+    assert_eq!(reports.len(), HOLDERS_PER_PREFIX + 10);
 }
--- a/crates/gateway-core/src/router/overload.rs
+++ b/crates/gateway-core/src/router/overload.rs
@@ -170,7 +170,7 @@
         let spread = 1.0 - RETRY_JITTER + 2.0 * RETRY_JITTER * sample / refused;
         Err(ChoiceError::Overloaded(Overload {
             retry_after: load.service_time.mul_f64(spread),
-            taken_percent: percent(utilization),
+            utilization_percent: percent(utilization),
             refused_percent: percent(refused),
         }))
     }
@@ -188,7 +188,7 @@
         let Some(pool) = document.and_then(|document| document.pool(&admission.pool)) else {
             return Ok(());
         };
-        let utilization = self.endpoints.part_of_slots_taken(now, &pool.name);
+        let utilization = self.endpoints.slot_utilization(now, &pool.name);
         let sample = self.random.random();
         let loads = &mut self.pool_loads;
         let urgency = Urgency::of(admission);
--- a/crates/gateway-core/src/router/overload_tests.rs
+++ b/crates/gateway-core/src/router/overload_tests.rs
@@ -103,7 +103,7 @@
     assert!((990..=1_010).contains(&earliest.retry_after.as_millis()));
     assert!((2_900..=3_010).contains(&latest.retry_after.as_millis()));
     assert_eq!(
-        (earliest.taken_percent, earliest.refused_percent),
+        (earliest.utilization_percent, earliest.refused_percent),
         (120, 31)
     );
 }
--- a/crates/gateway-core/src/router/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/suspected_fingerprints.rs
@@ -172,7 +172,7 @@
             return Err(ChoiceError::Quarantined);
         }
         let crashes = self.suspected_fingerprints.crashes(fingerprint);
-        let crashes = crashes.max(earlier.ends_before_call + earlier.broken);
+        let crashes = crashes.max(earlier.crashes_before_call + earlier.broken);
         if earlier.broken > 0 && crashes >= CRASHES_FOR_SUSPICION {
             return Err(ChoiceError::Suspected);
         }
@@ -205,7 +205,7 @@
         fingerprints: &[(RequestFingerprint, Timestamp)],
     ) -> Vec<(RequestFingerprint, u32)> {
         let back_end = LoadEntry::key_of(instance.as_str());
-        self.endpoints.on_ended(now, instance);
+        self.endpoints.on_crashed(now, instance);
         self.suspect(back_end);
         let suspected = &mut self.suspected_fingerprints;
         let fingerprints: BTreeMap<RequestFingerprint, Timestamp> =
--- a/crates/gateway-core/src/router/tests/failures.rs
+++ b/crates/gateway-core/src/router/tests/failures.rs
@@ -182,7 +182,7 @@
         .choose(at(1), &admission, None, after(&tried))
         .unwrap();
     assert_eq!(chosen.instance, lost.instance);
-    chosen.heard.set(at(last_answer_to_other_ms));
+    chosen.last_received_at.set(at(last_answer_to_other_ms));
     let unresponsive = other.on_suspects(ended, &router.take_suspects());
     assert!(router.take_suspects().is_empty());
     (is_unresponsive, unresponsive == [lost.instance])
--- a/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
@@ -109,7 +109,7 @@
 #[case::one_crash_before_the_call(1, 1, false)]
 #[case::no_broken_attempt_yet(2, 0, true)]
 fn a_suspected_request_is_not_retried_within_its_call(
-    #[case] ends_before_call: u32,
+    #[case] crashes_before_call: u32,
     #[case] broken: u32,
     #[case] is_retried: bool,
 ) {
@@ -119,7 +119,7 @@
         tried: if broken > 0 { &tried } else { &[] },
         arrived: broken,
         fingerprint: Some(fingerprint("a")),
-        ends_before_call,
+        crashes_before_call,
         broken,
     };
     let chosen = choose(&mut router, earlier);
--- a/crates/gateway/src/router/forward.rs
+++ b/crates/gateway/src/router/forward.rs
@@ -45,7 +45,7 @@
     /// The request's fingerprint; `None` before the key for fingerprints is known.
     pub fingerprint: Option<RequestFingerprint>,
     /// Times before this call at which back ends crashed while serving a request with this fingerprint.
-    pub ends_before_call: u32,
+    pub crashes_before_call: u32,
 }
 
 /// Counts a request as open until its answer has ended.
@@ -141,7 +141,7 @@
     };
     let admission = router.core.borrow_mut().admit(now, head)?;
     if router.stops_too_soon_for(admission.route.kind) {
-        router.core.borrow_mut().pay_back(now, &admission);
+        router.core.borrow_mut().refund(now, &admission);
         return Err(Refused::Stopping);
     }
     if let Some((tenant, charge)) = admission.tenant.as_ref().zip(admission.charge) {
@@ -190,11 +190,11 @@
     };
     let fingerprint = fingerprint_of(router, &parts, &admission, &body);
     let core = router.core.borrow();
-    let ends_before_call = fingerprint.map_or(0, |fingerprint| core.crash_count(fingerprint));
+    let crashes_before_call = fingerprint.map_or(0, |fingerprint| core.crash_count(fingerprint));
     Ok(Call {
         id,
         fingerprint,
-        ends_before_call,
+        crashes_before_call,
         received,
         deadline: received.plus(time_limit),
         admission,
@@ -321,8 +321,8 @@
         attempts = attempts.tried.len(), rank = choice.rank, in_flight = choice.in_flight,
         limit = limit.map(tracing::field::display),
         version = choice.expected_version, read_tokens = choice.tokens, fetch = choice.fetch_source(), fetch_from = choice.fetch_from,
-        held_here = choice.believed.here, held_at_source = choice.believed.at_source,
-        belief_age_ms = choice.believed.age_ms, copied_to = choice.copy.as_ref().map(|copy| copy.instance.as_str()), stores = choice.save_to.is_some(),
+        held_here = choice.cache_estimate.here, held_at_source = choice.cache_estimate.at_source,
+        belief_age_ms = choice.cache_estimate.age_ms, copied_to = choice.copy.as_ref().map(|copy| copy.instance.as_str()), stores = choice.save_to.is_some(),
         elapsed_ms = elapsed.as_millis() as u64, revision = router.core.borrow().revision(),
         "router: a back end answered; forwarding the answer to the caller");
     let (mut head, body) = response.into_parts();
--- a/crates/gateway/src/router/refusal.rs
+++ b/crates/gateway/src/router/refusal.rs
@@ -59,7 +59,7 @@
 ) -> Response<AnswerBody> {
     let now = router.clock.now();
     if worst_execution == Execution::NotRun {
-        router.core.borrow_mut().pay_back(now, &call.admission);
+        router.core.borrow_mut().refund(now, &call.admission);
     }
     let elapsed = now.since(call.received);
     let own_answer = final_answer(worst_execution, error, now >= call.deadline);
--- a/crates/gateway/src/router/relay.rs
+++ b/crates/gateway/src/router/relay.rs
@@ -60,7 +60,7 @@
 
     /// Records that bytes of the answer have arrived.
     fn on_bytes_received(&self) {
-        self.choice.heard.set(self.router.clock.now());
+        self.choice.last_received_at.set(self.router.clock.now());
     }
 
     fn record_answered(&mut self, latency: Option<Duration>) {
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -67,7 +67,7 @@
         if !refusing.is_empty() && !sender.send(&Message::Refusing(List::new(refusing))) {
             return "closed";
         }
-        let learned = router.core.borrow_mut().take_holder_news();
+        let learned = router.core.borrow_mut().take_holder_reports();
         if !learned.is_empty() && !sender.send(&Message::Holders(List::new(learned))) {
             return "closed";
         }
--- a/crates/gateway/src/router/resume.rs
+++ b/crates/gateway/src/router/resume.rs
@@ -45,7 +45,7 @@
             tried: &self.tried,
             arrived: self.sent,
             fingerprint: call.fingerprint,
-            ends_before_call: call.ends_before_call,
+            crashes_before_call: call.crashes_before_call,
             broken: self.broken,
         }
     }
