--- a/crates/consensus-harness/src/cluster.rs
+++ b/crates/consensus-harness/src/cluster.rs
@@ -1,4 +1,5 @@
-//! A cluster of replicas on memory disks and a network that loses, repeats and reorders.
+//! A simulated cluster: replicas with in-memory disks and a network that loses, duplicates and
+//! reorders messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,69 +11,69 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What went wrong with one schedule.
+/// A safety or liveness violation found in one schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two replicas lead in one term.
+    /// Two replicas were leader in the same term.
     TwoLeaders {
         /// The term.
         term: Term,
     },
-    /// Two replicas applied different commands at one position.
+    /// Two replicas applied different commands at the same position.
     Diverged {
         /// The position.
         index: LogIndex,
     },
-    /// A command that was acknowledged is gone.
+    /// An acknowledged command is missing on a replica.
     LostAcknowledged {
         /// The command.
         value: u64,
     },
-    /// A read was confirmed at a position before what was acknowledged.
+    /// A read was confirmed at a position before a command that had been acknowledged.
     StaleRead {
-        /// Where it was confirmed.
+        /// The position at which it was confirmed.
         index: LogIndex,
-        /// What had been acknowledged when it was asked.
+        /// The last position acknowledged when the read was requested.
         acknowledged: LogIndex,
     },
-    /// An entry was counted as committed that could still be overwritten.
+    /// An entry that could still be overwritten was committed by counting replicas.
     CommittedByCounting {
         /// Its position.
         index: LogIndex,
     },
-    /// A healed cluster commits nothing.
+    /// The cluster commits no command after all faults are healed.
     NothingCommits,
 }
 
-/// One replica with its disk and its state machine.
+/// One simulated machine: a replica with its disk and state machine.
 pub struct Node {
-    /// Its disk; it outlives the process.
+    /// The disk. It keeps its synced content when the replica stops.
     pub disk: MemoryDirectory,
-    /// The running process.
+    /// The replica; `None` while it is stopped.
     pub replica: Option<Replica<MemoryDirectory>>,
-    /// The commands applied, by position.
+    /// The applied commands, by log position.
     pub state: BTreeMap<u64, u64>,
-    /// The last position applied.
+    /// The last applied position.
     pub applied: LogIndex,
 }
 
-/// A cluster.
+/// A simulated cluster with fault injection and invariant checks.
 pub struct Cluster {
-    /// Its replicas, by number.
+    /// The machines, by replica number.
     pub nodes: BTreeMap<u64, Node>,
-    /// Messages under way.
+    /// Messages in flight.
     pub network: Vec<Envelope>,
-    /// Pairs of sender and receiver whose messages are lost.
-    pub cut: BTreeSet<(u64, u64)>,
-    /// Decides all draws.
+    /// Pairs of sender and receiver whose messages are dropped.
+    pub blocked_links: BTreeSet<(u64, u64)>,
+    /// The source of all random choices.
     pub random: ChaCha8Rng,
-    /// The first rule seen broken.
+    /// The first violation found.
     pub violation: Option<Violation>,
-    /// Commands whose proposers have seen them committed.
+    /// Commands that their proposer has applied.
     pub acknowledged: BTreeSet<u64>,
     acknowledged_index: LogIndex,
     reads: BTreeMap<u64, LogIndex>,
-    chosen: BTreeMap<u64, u64>,
+    committed_values: BTreeMap<u64, u64>,
     leaders: BTreeMap<Term, ReplicaId>,
     proposed: BTreeMap<u64, u64>,
     next_value: u64,
@@ -98,18 +99,18 @@
 }
 
 impl Cluster {
-    /// A new cluster of voters 1, 2, 3 and so on.
+    /// Starts a cluster whose voters are numbered from 1.
     pub fn new(voters: u64, seed: u64) -> Self {
         let mut cluster = Self {
             nodes: BTreeMap::new(),
             network: Vec::new(),
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             violation: None,
             acknowledged: BTreeSet::new(),
             acknowledged_index: LogIndex(0),
             reads: BTreeMap::new(),
-            chosen: BTreeMap::new(),
+            committed_values: BTreeMap::new(),
             leaders: BTreeMap::new(),
             proposed: BTreeMap::new(),
             next_value: 1,
@@ -119,12 +120,12 @@
         };
         for id in 1..=voters {
             cluster.add_node(id);
-            cluster.start_as_founder(id);
+            cluster.start_as_initial_voter(id);
         }
         cluster
     }
 
-    /// Adds a machine with an empty disk that does not run yet.
+    /// Adds a stopped machine with an empty disk.
     pub fn add_node(&mut self, id: u64) {
         let node = Node {
             disk: MemoryDirectory::new(),
@@ -135,18 +136,19 @@
         self.nodes.insert(id, node);
     }
 
-    /// Starts a replica; on an empty disk it believes to be of the first voters.
-    pub fn start_as_founder(&mut self, id: u64) {
+    /// Starts a replica. On an empty disk it starts with the initial voters as its membership.
+    pub fn start_as_initial_voter(&mut self, id: u64) {
         let voters = self.voters.iter().map(|id| ReplicaId(*id));
         self.start(id, Membership::of_voters(voters));
     }
 
-    /// A replica without a membership: the way in which one that lost its disk comes back.
-    pub fn start_blank(&mut self, id: u64) {
+    /// Starts a replica that has no membership on an empty disk, as a replacement for a replica with a
+    /// lost disk must start.
+    pub fn start_without_membership(&mut self, id: u64) {
         self.start(id, Membership::default());
     }
 
-    /// Starts a replica.
+    /// Starts a replica; `membership` is used only if its disk is empty.
     pub fn start(&mut self, id: u64, membership: Membership) {
         self.starts += 1;
         let seed = self.random.random();
@@ -161,13 +163,13 @@
             ..Params::default()
         };
         let replica = Replica::open(node.disk.clone(), &identity, membership, params, seed);
-        node.replica = Some(replica.expect("a folder that was not damaged opens"));
+        node.replica = Some(replica.expect("an undamaged data folder opens"));
         node.state.clear();
         node.applied = LogIndex(0);
         self.flush(id);
     }
 
-    /// Ends a process; what was not synced is lost or torn.
+    /// Stops a replica. Its unsynced bytes are lost, or leave a torn write of random length.
     pub fn crash(&mut self, id: u64) {
         let torn = self.random.random_range(0..40);
         let node = self.nodes.get_mut(&id).expect("known node");
@@ -175,14 +177,14 @@
         node.disk.crash(torn);
     }
 
-    /// True while a replica runs.
+    /// True while a replica is running.
     pub fn is_up(&self, id: u64) -> bool {
         self.nodes
             .get(&id)
             .is_some_and(|node| node.replica.is_some())
     }
 
-    /// The leader of the highest term.
+    /// The running leader with the highest term.
     pub fn leader(&self) -> Option<u64> {
         let leading = self.nodes.iter().filter(|(_, node)| {
             node.replica
@@ -195,21 +197,21 @@
             .map(|(id, _)| *id)
     }
 
-    /// A running replica.
+    /// The replica with this number. Panics if it is not running.
     pub fn replica(&mut self, id: u64) -> &mut Replica<MemoryDirectory> {
         let node = self.nodes.get_mut(&id).expect("known node");
         node.replica.as_mut().expect("running node")
     }
 
-    /// Loses all messages from and to a replica.
-    pub fn cut_off(&mut self, id: u64) {
+    /// Drops all messages from and to a replica until `blocked_links` is cleared.
+    pub fn isolate(&mut self, id: u64) {
         for other in self.nodes.keys().copied().filter(|other| *other != id) {
-            self.cut.insert((id, other));
-            self.cut.insert((other, id));
+            self.blocked_links.insert((id, other));
+            self.blocked_links.insert((other, id));
         }
     }
 
-    /// Lets a tick pass at a replica.
+    /// Advances a replica by one tick, if it is running.
     pub fn tick(&mut self, id: u64) {
         if self.is_up(id) {
             self.replica(id).raft_mut().tick();
@@ -217,18 +219,19 @@
         }
     }
 
-    /// Delivers one message.
+    /// Takes the message at `position` from the network and delivers it, unless its link is blocked or
+    /// its receiver is stopped.
     pub fn deliver(&mut self, position: usize) {
         let message = self.network.swap_remove(position);
         let to = message.to.0;
-        let blocked = self.cut.contains(&(message.from.0, to));
+        let blocked = self.blocked_links.contains(&(message.from.0, to));
         if !blocked && self.is_up(to) {
             self.replica(to).raft_mut().step(message);
             self.flush(to);
         }
     }
 
-    /// Proposes the next command to a replica; `None` when it does not lead.
+    /// Proposes the next command to a replica; `None` if the replica is not the leader.
     pub fn propose(&mut self, id: u64) -> Option<u64> {
         if !self.is_up(id) {
             return None;
@@ -247,7 +250,7 @@
         accepted.then_some(value)
     }
 
-    /// Asks a replica for a confirmed read.
+    /// Requests a linearizable read from a replica.
     pub fn read(&mut self, id: u64) {
         if !self.is_up(id) {
             return;
@@ -259,7 +262,7 @@
         self.flush(id);
     }
 
-    /// Lets a replica store a snapshot.
+    /// Stores a snapshot of a replica's state machine and compacts its log.
     pub fn compact(&mut self, id: u64) {
         if !self.is_up(id) {
             return;
@@ -271,7 +274,7 @@
         replica.compact(applied, data).expect("memory disk works");
     }
 
-    /// Lets a replica store, send and apply.
+    /// Does a replica's pending work and checks the result for violations.
     pub fn flush(&mut self, id: u64) {
         let node = self.nodes.get_mut(&id).expect("known node");
         let Some(replica) = node.replica.as_mut() else {
@@ -281,11 +284,11 @@
         let output = replica
             .flush(&mut |message| network.push(message))
             .expect("memory disk works");
-        self.note_leader(id);
+        self.record_leader(id);
         self.apply(id, output);
     }
 
-    fn note_leader(&mut self, id: u64) {
+    fn record_leader(&mut self, id: u64) {
         let raft = self.replica(id).raft();
         if raft.role() != Role::Leader {
             return;
@@ -326,8 +329,8 @@
         if value > 0 {
             node.state.insert(entry.index.0, value);
         }
-        let chosen = *self.chosen.entry(entry.index.0).or_insert(value);
-        if chosen != value {
+        let committed_value = *self.committed_values.entry(entry.index.0).or_insert(value);
+        if committed_value != value {
             let diverged = Violation::Diverged { index: entry.index };
             self.violation = self.violation.take().or(Some(diverged));
         }
@@ -350,8 +353,9 @@
         }
     }
 
-    /// Runs without faults until `done`, at most `rounds` rounds; true when it came to be.
-    pub fn settle(&mut self, rounds: usize, done: impl Fn(&Self) -> bool) -> bool {
+    /// Runs without new faults until `done` holds, for at most `rounds` rounds; returns whether it
+    /// holds.
+    pub fn run_until(&mut self, rounds: usize, done: impl Fn(&Self) -> bool) -> bool {
         for _ in 0..rounds {
             if done(self) {
                 return true;
@@ -367,31 +371,31 @@
         done(self)
     }
 
-    /// Runs without faults until there is a leader.
-    pub fn settle_to_leader(&mut self) -> u64 {
+    /// Runs without new faults until there is a leader, and returns its number.
+    pub fn run_until_leader(&mut self) -> u64 {
         assert!(
-            self.settle(400, |cluster| cluster.leader().is_some()),
+            self.run_until(400, |cluster| cluster.leader().is_some()),
             "no leader"
         );
         self.leader().expect("leader")
     }
 
-    /// Proposes one value and waits until all running replicas have applied it.
+    /// Commits one command and runs until all running replicas have applied it.
     pub fn commit_one(&mut self) -> u64 {
         self.try_commit_one().expect("a healthy cluster commits")
     }
 
     fn try_commit_one(&mut self) -> Option<u64> {
         for _ in 0..50 {
-            self.settle(400, |cluster| cluster.leader().is_some());
+            self.run_until(400, |cluster| cluster.leader().is_some());
             let leader = self.leader()?;
             let Some(value) = self.propose(leader) else {
-                // Leadership is being handed over: give it time.
-                self.settle(5, |_| false);
+                // A leadership transfer is in progress; run on before the next attempt.
+                self.run_until(5, |_| false);
                 continue;
             };
-            let everywhere = |cluster: &Self| cluster.is_everywhere(value);
-            if self.settle(300, everywhere) {
+            let everywhere = |cluster: &Self| cluster.is_applied_everywhere(value);
+            if self.run_until(300, everywhere) {
                 return Some(value);
             }
         }
@@ -399,17 +403,18 @@
     }
 
     /// True when all running replicas have applied a command.
-    pub fn is_everywhere(&self, value: u64) -> bool {
+    pub fn is_applied_everywhere(&self, value: u64) -> bool {
         let mut running = self.nodes.values().filter(|node| node.replica.is_some());
         running.all(|node| node.state.values().any(|applied| *applied == value))
     }
 
-    /// Heals everything and checks that what was acknowledged is on every replica.
+    /// Clears all faults, restarts stopped replicas and checks that every replica has applied all
+    /// acknowledged commands.
     pub fn heal_and_check(&mut self) -> Result<(), Violation> {
-        self.cut.clear();
+        self.blocked_links.clear();
         for id in self.nodes.keys().copied().collect::<Vec<_>>() {
             if !self.is_up(id) {
-                self.start_as_founder(id);
+                self.start_as_initial_voter(id);
             }
         }
         let committed = self
@@ -426,14 +431,14 @@
         let acknowledged: Vec<u64> = self.acknowledged.iter().copied().collect();
         match acknowledged
             .into_iter()
-            .find(|value| !self.is_everywhere(*value))
+            .find(|value| !self.is_applied_everywhere(*value))
         {
             Some(value) => Err(Violation::LostAcknowledged { value }),
             None => Ok(()),
         }
     }
 
-    /// One random step: mostly messages and ticks, sometimes a fault.
+    /// Takes one random step: mostly a message or a tick, sometimes a fault.
     pub fn random_step(&mut self) {
         let ids: Vec<u64> = self.nodes.keys().copied().collect();
         let id = *ids.choose(&mut self.random).expect("nodes");
@@ -445,7 +450,7 @@
             }
             950..=969 => self.read(id),
             970..=989 => self.compact(id),
-            990..=993 => self.toggle_cut(id),
+            990..=993 => self.toggle_isolation(id),
             994..=998 => self.toggle_process(id),
             _ => self.random_transfer(id),
         }
@@ -455,7 +460,7 @@
         if self.network.is_empty() {
             return;
         }
-        // Mostly in order, as a connection would; sometimes from anywhere.
+        // Mostly in order, as over one connection; sometimes reordered.
         let anywhere = self.random.random_bool(0.2);
         let position = if anywhere {
             self.random.random_range(0..self.network.len())
@@ -474,11 +479,11 @@
         }
     }
 
-    fn toggle_cut(&mut self, id: u64) {
-        if self.cut.is_empty() {
-            self.cut_off(id);
+    fn toggle_isolation(&mut self, id: u64) {
+        if self.blocked_links.is_empty() {
+            self.isolate(id);
         } else {
-            self.cut.clear();
+            self.blocked_links.clear();
         }
     }
 
@@ -486,7 +491,7 @@
         if self.is_up(id) {
             self.crash(id);
         } else {
-            self.start_as_founder(id);
+            self.start_as_initial_voter(id);
         }
     }
 
@@ -500,7 +505,8 @@
     }
 }
 
-/// Runs one random schedule and heals; the violation found, if any.
+/// Runs one random schedule, heals the cluster and checks it. Returns the number of acknowledged
+/// commands, or the first violation.
 pub fn run_schedule(voters: u64, seed: u64, steps: usize) -> Result<usize, Violation> {
     let mut cluster = Cluster::new(voters, seed);
     for _ in 0..steps {
--- a/crates/consensus-harness/src/scripts.rs
+++ b/crates/consensus-harness/src/scripts.rs
@@ -1,5 +1,5 @@
-//! Single failures of the protocol, step by step. Each script finds nothing while every rule
-//! holds, and something when its rule is taken out.
+//! Scripts that each reproduce one failure of the protocol. A script reports no violation while all
+//! guards are enforced, and one when the guard that prevents its failure is disabled.
 
 use drumshore_consensus::{
     Body, DiskId, Entry, EntryKind, Envelope, HardState, LogIndex, Membership, Params, Raft,
@@ -8,38 +8,38 @@
 
 use crate::{Cluster, Violation};
 
-/// A replica comes back with an empty disk under its old number, see
-/// [`lose_a_disk_and_return`].
+/// A replica returns with an empty disk under its old number; see [`restart_with_empty_disk`].
+/// Detects a missing check of the disk identity.
 pub fn lost_disk(seed: u64) -> Result<(), Violation> {
     let mut cluster = Cluster::new(3, seed);
-    lose_a_disk_and_return(&mut cluster);
+    restart_with_empty_disk(&mut cluster);
     cluster.violation.map_or(Ok(()), Err)
 }
 
-/// 3 votes for the first candidate of a term and loses power before anything else. Back again,
-/// it is asked by another candidate of the same term.
+/// A follower votes for the first candidate of a term and then loses power. After its restart a second
+/// candidate of the same term requests its vote. Detects a vote that was sent before it was synced.
 pub fn double_vote(seed: u64) -> Result<(), Violation> {
     let mut cluster = Cluster::new(3, seed);
-    cluster.settle_to_leader();
+    cluster.run_until_leader();
     cluster.commit_one();
-    let leader = cluster.settle_to_leader();
+    let leader = cluster.run_until_leader();
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
     let (second, voter) = (others[0], others[1]);
-    // The old leader stands down; `second` waits outside while `leader` is elected anew.
-    cluster.cut_off(second);
+    // The old leader restarts as a follower; `second` is isolated while `leader` is elected again.
+    cluster.isolate(second);
     cluster.crash(leader);
-    cluster.start_as_founder(leader);
-    cluster.settle(400, |cluster| cluster.leader() == Some(leader));
+    cluster.start_as_initial_voter(leader);
+    cluster.run_until(400, |cluster| cluster.leader() == Some(leader));
     cluster.network.clear();
     power_loss(&mut cluster, voter);
-    cluster.start_as_founder(voter);
-    cluster.cut.clear();
-    cluster.cut_off(leader);
-    cluster.settle(400, |cluster| cluster.leader() == Some(second));
+    cluster.start_as_initial_voter(voter);
+    cluster.blocked_links.clear();
+    cluster.isolate(leader);
+    cluster.run_until(400, |cluster| cluster.leader() == Some(second));
     cluster.violation.map_or(Ok(()), Err)
 }
 
-/// Ends a process and loses everything that was not synced.
+/// Stops a replica and drops everything that it has not synced.
 fn power_loss(cluster: &mut Cluster, id: u64) {
     if let Some(node) = cluster.nodes.get_mut(&id) {
         node.replica = None;
@@ -47,31 +47,32 @@
     }
 }
 
-/// 1 and 2 commit while 3 is cut off; then 2 loses its disk and comes back under its old number
-/// while 1 is cut off. 2 and 3 together remember nothing of what was acknowledged. Returns the
-/// number that lost its disk.
-pub fn lose_a_disk_and_return(cluster: &mut Cluster) -> u64 {
+/// The leader and one follower commit a command while the other follower is isolated. The first
+/// follower then loses its disk and restarts under its old number while the leader is isolated, so that
+/// neither running replica has the acknowledged command. Returns the number of the replica that lost
+/// its disk.
+pub fn restart_with_empty_disk(cluster: &mut Cluster) -> u64 {
     cluster.commit_one();
-    cluster.settle(60, |_| false);
-    let leader = cluster.settle_to_leader();
+    cluster.run_until(60, |_| false);
+    let leader = cluster.run_until_leader();
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
-    cluster.cut_off(others[1]);
+    cluster.isolate(others[1]);
     let value = cluster.propose(leader);
     let acknowledged =
         |cluster: &Cluster| value.is_some_and(|value| cluster.acknowledged.contains(&value));
-    cluster.settle(50, acknowledged);
+    cluster.run_until(50, acknowledged);
     cluster.crash(others[0]);
     cluster.nodes[&others[0]].disk.wipe();
-    cluster.cut.clear();
-    cluster.cut_off(leader);
-    cluster.start_as_founder(others[0]);
-    cluster.settle(300, |_| false);
+    cluster.blocked_links.clear();
+    cluster.isolate(leader);
+    cluster.start_as_initial_voter(others[0]);
+    cluster.run_until(300, |_| false);
     if let Some(new) = (1..=3).find(|id| *id != leader && cluster.leader() == Some(*id)) {
         cluster.propose(new);
-        cluster.settle(50, |_| false);
+        cluster.run_until(50, |_| false);
     }
-    cluster.cut.clear();
-    cluster.settle(300, |_| false);
+    cluster.blocked_links.clear();
+    cluster.run_until(300, |_| false);
     others[0]
 }
 
@@ -85,8 +86,8 @@
     }
 }
 
-/// Figure 3.7 of the thesis: the leader of term 4 finds an entry of term 2 on a majority. It may
-/// still be overwritten by one of term 3, so it must not be committed by counting.
+/// Figure 3.7 of the thesis: the leader of term 4 learns that a majority has stored an entry of term 2.
+/// An entry of term 3 could still overwrite it, so it must not be committed by counting replicas.
 pub fn old_term_is_counted(seed: u64) -> Result<(), Violation> {
     let membership = Membership::of_voters([1, 2, 3, 4, 5].map(ReplicaId));
     let recovered = Recovered {
--- a/crates/consensus/examples/counter.rs
+++ b/crates/consensus/examples/counter.rs
@@ -1,5 +1,5 @@
-//! A replicated counter, as another project would embed the library: three replicas in one
-//! process, messages passed by hand, memory in place of disks.
+//! A replicated counter that shows how to embed the library: three replicas in one process, with
+//! messages passed directly and data folders in memory.
 
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
         for (id, replica) in &mut replicas {
             replica.raft_mut().tick();
             if round % 10 == 0 && replica.raft().role() == Role::Leader {
-                // Accepted only once it comes back as committed.
+                // The increment takes effect only once it is returned as committed.
                 let _ = replica.raft_mut().propose(1u64.to_le_bytes().to_vec());
             }
             let output = replica.flush(&mut |message| network.push(message))?;
--- a/crates/consensus/src/directory.rs
+++ b/crates/consensus/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where bytes go: a folder, or memory that can lose what was not synced.
+//! Storage for the write-ahead log: a folder on disk, or memory that simulates crashes.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -8,23 +8,24 @@
 
 use fail::fail_point;
 
-/// A folder of files that are appended to, or replaced as a whole.
+/// A folder of files. A file is appended to or replaced as a whole.
 pub trait Directory {
-    /// A file's bytes, or `None` when there is no such file.
+    /// Reads a whole file; `None` if the file does not exist.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// Adds bytes at the end; they may be lost until [`Directory::sync`] returns.
+    /// Appends bytes to a file, creating it if necessary. A crash may lose them until
+    /// [`Directory::sync`] returns.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Makes what was appended last.
+    /// Makes all appended bytes of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Replaces a file so that, whatever happens, either the old or the new bytes are there, and
-    /// the new ones once this returns.
+    /// Replaces a file atomically: after a crash it holds either the old or the new bytes. The new
+    /// bytes are durable once this returns.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// A folder on disk.
+/// A folder in the file system, with its append handles kept open.
 #[derive(Debug)]
 pub struct FileDirectory {
     root: PathBuf,
@@ -32,7 +33,7 @@
 }
 
 impl FileDirectory {
-    /// Opens a folder, making it if it is not there.
+    /// Opens a folder, creating it if it does not exist.
     pub fn open(root: impl Into<PathBuf>) -> io::Result<Self> {
         let root = root.into();
         fs::create_dir_all(&root)?;
@@ -58,7 +59,7 @@
         }
         self.open
             .get_mut(name)
-            .ok_or_else(|| io::Error::other("file handle vanished"))
+            .ok_or_else(|| io::Error::other("file handle is missing after opening the file"))
     }
 }
 
@@ -102,8 +103,8 @@
     synced: usize,
 }
 
-/// A folder in memory, shared by its clones, that can crash: what was not synced may be lost or
-/// torn. For tests and simulation.
+/// A folder in memory, shared by its clones, for tests and simulation. [`MemoryDirectory::crash`]
+/// loses unsynced bytes or leaves a torn write.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDirectory {
     files: Arc<Mutex<BTreeMap<String, MemoryFile>>>,
@@ -111,12 +112,12 @@
 }
 
 impl MemoryDirectory {
-    /// An empty folder.
+    /// Creates an empty folder.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Another folder with the same content, which shares nothing with this one.
+    /// Returns an independent folder with the same content. Unlike a clone, it shares no state.
     pub fn copy(&self) -> Self {
         Self {
             files: Arc::new(Mutex::new(self.files().clone())),
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Loses unsynced bytes of every file, except the first `torn_bytes` of them.
+    /// Simulates a power loss: drops the unsynced bytes of every file except the first
+    /// `torn_bytes` of them.
     pub fn crash(&self, torn_bytes: usize) {
         for file in self.files().values_mut() {
             let kept = (file.synced + torn_bytes).min(file.bytes.len());
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Flips one bit of a file, counted from its end.
-    pub fn flip(&self, name: &str, from_end: usize) {
+    /// Flips one bit of the byte that is `from_end` bytes before the last byte of a file.
+    pub fn flip_bit(&self, name: &str, from_end: usize) {
         if let Some(file) = self.files().get_mut(name) {
             let position = file.bytes.len().checked_sub(from_end + 1);
             if let Some(byte) = position.and_then(|position| file.bytes.get_mut(position)) {
@@ -143,12 +145,12 @@
         }
     }
 
-    /// Loses everything.
+    /// Removes all files.
     pub fn wipe(&self) {
         self.files().clear();
     }
 
-    /// Makes writes fail, as on a full disk, or work again.
+    /// Makes all writes fail as on a full disk, or succeed again.
     pub fn set_failing(&self, failing: bool) {
         *self.failing.lock().unwrap_or_else(PoisonError::into_inner) = failing;
     }
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, transfer, and the leader's check of its quorum.
+//! Elections: pre-votes, votes, leadership transfers and the leader's quorum check.
 
 use drumshore_guard::{enforced, Guard};
 
@@ -7,8 +7,9 @@
 use crate::{Body, EntryKind, LogIndex, Raft, ReplicaId, Role, Term};
 
 impl Raft {
-    /// Hands leadership to a voter, which is brought up to date first (§3.10). The transfer is
-    /// given up after an election timeout.
+    /// Starts a leadership transfer to a voter, which first receives all missing entries (§3.10). The
+    /// transfer is abandoned after `election_ticks`. No effect unless this replica leads and `to` is
+    /// another voter.
     pub fn transfer_leadership(&mut self, to: ReplicaId) {
         let possible = self.role == Role::Leader && to != self.id && self.membership().is_voter(to);
         if !possible {
@@ -19,21 +20,22 @@
         self.send_timeout_now_if_ready(to);
     }
 
-    /// Stands at once, without waiting for the timeout. For the only voter of a new cluster.
+    /// Campaigns at once instead of waiting for the election timeout. For the only voter of a new
+    /// cluster.
     pub fn campaign(&mut self) {
         self.start_pre_vote();
     }
 
-    /// Asks whether an election would succeed before any term is raised (§9.6): a replica that
-    /// was cut off cannot depose a working leader when it returns.
+    /// Asks the voters whether an election would succeed before raising the term (§9.6), so that a
+    /// replica that was partitioned cannot depose a working leader when it reconnects.
     pub(crate) fn start_pre_vote(&mut self) {
         self.role = Role::PreCandidate;
         self.leader = None;
         self.election_elapsed = 0;
-        self.draw_election_timeout();
+        self.reset_election_timeout();
         self.votes.clear();
         self.votes.insert(self.id, true);
-        if self.votes_are_enough() {
+        if self.has_vote_quorum() {
             self.start_election(false);
             return;
         }
@@ -56,7 +58,7 @@
         last_term: Term,
     ) {
         let granted = term > self.term
-            && self.remembers_its_promises()
+            && self.has_admitted_disk()
             && self.is_up_to_date(last_index, last_term);
         let body = Body::PreVoteReply {
             granted: u8::from(granted),
@@ -72,7 +74,7 @@
             return;
         }
         self.votes.insert(from, true);
-        if self.votes_are_enough() {
+        if self.has_vote_quorum() {
             self.start_election(false);
         }
     }
@@ -80,7 +82,7 @@
     pub(crate) fn on_vote(&mut self, from: ReplicaId, last_index: LogIndex, last_term: Term) {
         let free = self.vote == ReplicaId(0) || self.vote == from;
         let granted = free
-            && self.remembers_its_promises()
+            && self.has_admitted_disk()
             && self.is_up_to_date(last_index, last_term)
             && self.role == Role::Follower;
         if granted {
@@ -100,18 +102,19 @@
             return;
         }
         self.votes.insert(from, granted);
-        if self.votes_are_enough() {
+        if self.has_vote_quorum() {
             self.become_leader();
         }
     }
 
     pub(crate) fn on_timeout_now(&mut self) {
-        if self.membership().is_voter(self.id) && self.remembers_its_promises() {
+        if self.membership().is_voter(self.id) && self.has_admitted_disk() {
             self.start_election(true);
         }
     }
 
-    /// Heartbeats, the check of the quorum, and transfers that take too long.
+    /// Sends heartbeats, resends unanswered messages, checks the quorum and abandons leadership
+    /// transfers that take too long.
     pub(crate) fn tick_leader(&mut self) {
         self.heartbeat_elapsed += 1;
         if self.heartbeat_elapsed >= self.params.heartbeat_ticks {
@@ -122,22 +125,22 @@
         if self.election_elapsed >= self.params.election_ticks {
             self.election_elapsed = 0;
             self.transferring_to = None;
-            // A leader that no majority answers may have been replaced; it must not go on
-            // believing that it leads (§6.2).
-            if !self.quorum_heard_within(self.params.election_ticks) {
+            // A leader without replies from a majority may have been replaced, so it steps down
+            // (§6.2).
+            if !self.quorum_active_within(self.params.election_ticks) {
                 self.become_follower(self.term, None);
             }
         }
     }
 
-    pub(crate) fn quorum_heard_within(&self, ticks: u64) -> bool {
+    pub(crate) fn quorum_active_within(&self, ticks: u64) -> bool {
         let oldest = self.ticks.saturating_sub(ticks);
         is_quorum(self.membership(), |id| {
             id == self.id
                 || self
                     .progress
                     .get(&id)
-                    .is_some_and(|progress| progress.heard_at >= oldest)
+                    .is_some_and(|progress| progress.last_response_tick >= oldest)
         })
     }
 
@@ -157,10 +160,10 @@
         self.leader = None;
         self.vote = self.id;
         self.election_elapsed = 0;
-        self.draw_election_timeout();
+        self.reset_election_timeout();
         self.votes.clear();
         self.votes.insert(self.id, true);
-        if self.votes_are_enough() {
+        if self.has_vote_quorum() {
             self.become_leader();
             return;
         }
@@ -174,11 +177,12 @@
         }
     }
 
-    fn votes_are_enough(&self) -> bool {
+    fn has_vote_quorum(&self) -> bool {
         is_quorum(self.membership(), |id| self.votes.get(&id) == Some(&true))
     }
 
-    /// A candidate whose log is behind could lack committed entries (§5.4.1 of the Raft paper).
+    /// True when a candidate's log is at least as up to date as this replica's. An older log could
+    /// lack committed entries (§5.4.1 of the Raft paper).
     fn is_up_to_date(&self, last_index: LogIndex, last_term: Term) -> bool {
         let own = (self.log.last_term(), self.log.last_index());
         (last_term, last_index) >= own || !enforced(Guard::UpToDateVote)
@@ -187,7 +191,7 @@
     fn become_leader(&mut self) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.followed_since_start = true;
+        self.leader_known_since_start = true;
         self.heartbeat_elapsed = 0;
         self.election_elapsed = 0;
         let next = self.log.last_index().next();
@@ -196,7 +200,7 @@
             .into_iter()
             .map(|id| (id, Progress::new(next, self.ticks)))
             .collect();
-        // Entries of earlier terms commit only behind one of this term.
-        self.append_own(EntryKind::Barrier, Vec::new());
+        // Entries of earlier terms are committed only by committing an entry of this term.
+        self.append_new_entry(EntryKind::Barrier, Vec::new());
     }
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,15 +1,16 @@
-//! A replicated log as a pure state machine, after Raft (Ongaro, "Consensus: Bridging Theory and
-//! Practice", 2014; section numbers in comments refer to it).
+//! A Raft replicated log, implemented as a state machine without I/O. Section numbers in comments
+//! refer to Ongaro, "Consensus: Bridging Theory and Practice", 2014.
 //!
-//! [`Raft`] has no I/O and no clock: [`Raft::step`] takes a message, [`Raft::tick`] the passing
-//! of time, and [`Raft::take_ready`] gives what to persist, send and apply. [`Replica`] drives
-//! it over a [`Wal`] in the one safe order: persist, then answer, then apply. [`Directory`] is
-//! where bytes go: [`FileDirectory`] in a daemon, [`MemoryDirectory`] under simulation.
+//! [`Raft`] has no clock either: [`Raft::step`] handles a message, [`Raft::tick`] advances time by
+//! one tick, and [`Raft::take_ready`] returns what to persist, send and apply. [`Replica`] drives
+//! [`Raft`] over a [`Wal`] in the only safe order: persist, then reply, then apply. [`Directory`]
+//! abstracts storage: [`FileDirectory`] in a daemon, [`MemoryDirectory`] in simulations.
 //!
-//! Elections have a pre-vote (§9.6) and leaders check their quorum (§6.2), so that a replica
-//! that was cut off disturbs nothing when it returns. Membership changes one replica at a time
-//! (§4.1). A replica carries the identity of its disk; one that comes back with another disk is
-//! not counted under its old number, because it has forgotten what it promised.
+//! Pre-votes (§9.6) and the leader's quorum check (§6.2) prevent a replica that was disconnected
+//! from deposing a working leader when it reconnects. The membership changes by one replica at a
+//! time (§4.1). Each replica reports a disk identity. A replica that returns with another disk
+//! has lost the votes and log entries that it acknowledged, so it is not counted under its old
+//! number.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,21 +1,21 @@
-//! The part of the log that is not yet in a snapshot.
+//! The in-memory log after the last snapshot.
 
 use std::collections::VecDeque;
 
 use crate::{Entry, LogIndex, Snapshot, Term};
 
-/// Entries after the last snapshot, with marks for what is stored, committed and applied.
+/// Entries after the last snapshot, with the persisted, committed and applied positions.
 #[derive(Clone, Debug)]
 pub(crate) struct Log {
-    /// The last position that a snapshot covers.
+    /// The last position that the snapshot covers.
     base_index: LogIndex,
     base_term: Term,
     entries: VecDeque<Entry>,
-    /// Up to here the entries are on disk.
+    /// The last position that is durable on this replica's disk.
     pub persisted: LogIndex,
-    /// Up to here a majority has them.
+    /// The last position known to be committed.
     pub committed: LogIndex,
-    /// Up to here they were handed out to be applied.
+    /// The last position returned to the caller for applying.
     pub applied: LogIndex,
 }
 
@@ -48,7 +48,7 @@
             .map_or(self.base_term, |entry| entry.term)
     }
 
-    /// The term at a position; `None` before the snapshot and after the end.
+    /// The term at a position; `None` for positions before the snapshot or after the end.
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base_index {
             return Some(self.base_term);
@@ -66,7 +66,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Removes everything from `index` on. What is committed is never removed.
+    /// Removes the entries from `index` on. Panics if any of them is committed.
     pub fn truncate_from(&mut self, index: LogIndex) {
         assert!(
             index > self.committed,
@@ -77,7 +77,8 @@
         self.persisted = self.persisted.min(index.previous());
     }
 
-    /// Entries from `from` on, up to about `max_bytes` of data, at least one if there is any.
+    /// Copies the entries from `from` to `to` up to `max_bytes` of data, but at least one entry if
+    /// there is one.
     pub fn slice(&self, from: LogIndex, to: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let mut slice = Vec::new();
@@ -94,7 +95,7 @@
         slice
     }
 
-    /// Drops entries up to `index`, which a snapshot now covers.
+    /// Drops the entries up to `index`, which a snapshot now covers.
     pub fn compact(&mut self, index: LogIndex, term: Term) {
         while self.base_index < index && self.entries.pop_front().is_some() {
             self.base_index = self.base_index.next();
@@ -103,7 +104,7 @@
         self.base_term = term;
     }
 
-    /// Replaces the whole log by a snapshot received.
+    /// Discards all entries in favour of a received snapshot that ends at `index`.
     pub fn reset(&mut self, index: LogIndex, term: Term) {
         self.entries.clear();
         self.base_index = index;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who replicates and who votes, changed one replica at a time (§4.1).
+//! The members of the cluster and their roles, changed one replica at a time (§4.1).
 
 use std::io::Cursor;
 
@@ -6,31 +6,31 @@
 
 use crate::{DiskId, ReplicaId};
 
-/// What a member does.
+/// Whether a member takes part in quorums.
 #[binrw]
 #[brw(little, repr = u8)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberRole {
-    /// Counts for elections and commits.
+    /// Counts towards the quorum of elections and commits.
     Voter = 0,
-    /// Receives the log but does not count (§4.2.1).
+    /// Receives the log but does not count towards a quorum (§4.2.1).
     Learner = 1,
 }
 
-/// One member.
+/// A replica of the cluster.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its number.
+    /// Its replica number.
     pub id: ReplicaId,
-    /// What it does.
+    /// Whether it takes part in quorums.
     pub role: MemberRole,
-    /// The disk it was admitted with; 0 until the first leader has seen it.
+    /// The disk that the membership records for it; 0 until a leader has recorded one.
     pub disk: DiskId,
 }
 
-/// All members, in the order of their numbers.
+/// All members, ordered by replica number.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -42,35 +42,36 @@
     members: Vec<Member>,
 }
 
-/// One step of change.
+/// A single membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A new replica starts to receive the log.
+    /// Adds a replica that receives the log without voting.
     AddLearner(ReplicaId),
-    /// A learner that has caught up starts to vote.
+    /// Turns a learner that has caught up into a voter.
     Promote(ReplicaId),
-    /// A replica leaves; its number is not used again.
+    /// Removes a replica. Its number must not be reused.
     Remove(ReplicaId),
-    /// Records the disk that a member speaks from.
+    /// Records the disk identity of a member.
     PinDisk(ReplicaId, DiskId),
 }
 
-/// Why a change is refused.
+/// Why a membership change is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// Only the leader changes the membership.
+    /// This replica is not the leader.
     #[error("not the leader")]
     NotLeader,
-    /// The change before is not committed yet, or the leader is new (§4.1 and its erratum).
+    /// The previous change is not committed yet, or the leader has not yet committed an entry of its
+    /// own term (§4.1 and its erratum).
     #[error("another change is under way")]
     Busy,
-    /// The learner has not yet stored all that is committed.
+    /// The learner has not stored all committed entries yet.
     #[error("replica {0} has not caught up")]
     NotCaughtUp(ReplicaId),
-    /// The number is a member already.
+    /// A replica with this number is already a member.
     #[error("replica {0} is a member already")]
     Exists(ReplicaId),
-    /// The number is not a member.
+    /// No member has this number.
     #[error("replica {0} is not a member")]
     Unknown(ReplicaId),
     /// The last voter cannot be removed.
@@ -79,7 +80,7 @@
 }
 
 impl Membership {
-    /// A first membership: these vote.
+    /// Creates the membership of a new cluster, in which all replicas vote.
     pub fn of_voters(ids: impl IntoIterator<Item = ReplicaId>) -> Self {
         let role = MemberRole::Voter;
         let mut members: Vec<Member> = ids
@@ -94,17 +95,17 @@
         Self { members }
     }
 
-    /// The members.
+    /// All members, ordered by replica number.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// One member.
+    /// The member with this number, if there is one.
     pub fn get(&self, id: ReplicaId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Those that vote.
+    /// The members that vote, ordered by replica number.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         let voters = self
             .members
@@ -113,13 +114,13 @@
         voters.map(|member| member.id)
     }
 
-    /// True when the replica votes.
+    /// True when the replica is a member and votes.
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.get(id)
             .is_some_and(|member| member.role == MemberRole::Voter)
     }
 
-    /// The membership after one step.
+    /// Returns the membership after a change.
     pub fn changed(&self, change: Change) -> Result<Self, ChangeError> {
         let mut next = self.clone();
         match change {
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to one another.
+//! Messages between replicas.
 
 use std::io::Cursor;
 
@@ -6,159 +6,161 @@
 
 use crate::{DiskId, Entry, LogIndex, Membership, ReplicaId, Term};
 
-/// A message with its sender's identity and term.
+/// A message with its sender, receiver and term.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// The sender.
+    /// The sending replica.
     pub from: ReplicaId,
-    /// The disk that the sender remembers with.
+    /// The identity of the sender's disk.
     pub disk: DiskId,
-    /// The receiver.
+    /// The receiving replica.
     pub to: ReplicaId,
-    /// The sender's term; for a pre-vote the term it would have.
+    /// The sender's term; in a pre-vote, the term it would campaign for.
     pub term: Term,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
-/// The kinds of message.
+/// The content of a message, by kind.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// Would you vote for me? Changes nothing at the receiver (§9.6).
+    /// Asks whether the receiver would grant a vote. The receiver's state does not change (§9.6).
     #[brw(magic(1u8))]
     PreVote {
-        /// The sender's last position.
+        /// The sender's last log position.
         last_index: LogIndex,
-        /// Its term.
+        /// The term of the entry at that position.
         last_term: Term,
     },
-    /// The answer to a pre-vote.
+    /// The reply to a pre-vote.
     #[brw(magic(2u8))]
     PreVoteReply {
-        /// 1 for yes.
+        /// 1 when the vote would be granted, else 0.
         granted: u8,
     },
-    /// Vote for me (§3.4).
+    /// Requests a vote (§3.4).
     #[brw(magic(3u8))]
     Vote {
-        /// The sender's last position.
+        /// The sender's last log position.
         last_index: LogIndex,
-        /// Its term.
+        /// The term of the entry at that position.
         last_term: Term,
-        /// 1 when the leader asked for this election, so that its lease does not stand against it.
+        /// 1 when the leader requested this election. The receiver then votes although it has
+        /// recently received messages from that leader.
         transfer: u8,
     },
-    /// The answer to a vote.
+    /// The reply to a vote request.
     #[brw(magic(4u8))]
     VoteReply {
-        /// 1 for yes.
+        /// 1 when the vote is granted, else 0.
         granted: u8,
     },
-    /// Entries that follow a position (§3.5).
+    /// Sends the entries that follow a position (§3.5).
     #[brw(magic(5u8))]
     Append {
         /// The position before the entries.
         previous_index: LogIndex,
-        /// Its term.
+        /// The term of the entry at that position.
         previous_term: Term,
-        /// The leader's commit.
+        /// The leader's commit position.
         commit: LogIndex,
         #[doc(hidden)]
         #[br(temp)]
         #[bw(try_calc = u32::try_from(entries.len()))]
         count: u32,
-        /// The entries.
+        /// The entries, in order; may be empty.
         #[br(count = count)]
         entries: Vec<Entry>,
     },
-    /// The answer to entries or to a finished snapshot.
+    /// The reply to entries, or to the last chunk of a snapshot.
     #[brw(magic(6u8))]
     AppendReply {
-        /// 1 when the entries follow on the receiver's log.
+        /// 1 when the receiver's log matches the leader's log at `previous_index`, else 0.
         accepted: u8,
-        /// Accepted: the last position that is stored and equal. Else: where to try next.
+        /// If accepted, the last position that is stored and matches the leader's log. Otherwise the
+        /// position from which the leader should send next.
         index: LogIndex,
     },
-    /// I still lead.
+    /// The leader's periodic message that keeps its followers from campaigning.
     #[brw(magic(7u8))]
     Heartbeat {
-        /// The leader's commit, no further than what the receiver has stored.
+        /// The leader's commit position, capped at what the receiver is known to have stored.
         commit: LogIndex,
-        /// The last read round; 0 when none waits.
+        /// The newest read round; 0 when no read is pending.
         round: u64,
     },
-    /// You still lead.
+    /// The reply to a heartbeat. It confirms that the sender still follows this leader.
     #[brw(magic(8u8))]
     HeartbeatReply {
-        /// From the heartbeat.
+        /// The round of the heartbeat.
         round: u64,
     },
-    /// A part of a snapshot.
+    /// One chunk of a snapshot.
     #[brw(magic(9u8))]
     SnapshotChunk {
-        /// The last position included.
+        /// The last position that the snapshot includes.
         index: LogIndex,
-        /// Its term.
+        /// The term of the entry at that position.
         index_term: Term,
-        /// The membership there.
+        /// The membership at that position.
         membership: Membership,
         /// Bytes in the whole snapshot.
         total: u64,
-        /// Where this part begins.
+        /// The offset of this chunk in the snapshot, in bytes.
         offset: u64,
         #[doc(hidden)]
         #[br(temp)]
         #[bw(try_calc = u32::try_from(data.len()))]
         length: u32,
-        /// The part.
+        /// The bytes of this chunk.
         #[br(count = length)]
         data: Vec<u8>,
     },
-    /// How far a snapshot has come.
+    /// Acknowledges a chunk of a snapshot that is not complete yet.
     #[brw(magic(10u8))]
     SnapshotReply {
-        /// The snapshot's position.
+        /// The last position that the snapshot includes.
         index: LogIndex,
-        /// Bytes received.
+        /// Bytes received so far; the next chunk starts here.
         offset: u64,
     },
-    /// Start an election now (§3.10).
+    /// Tells the target of a leadership transfer to start an election now (§3.10).
     #[brw(magic(11u8))]
     TimeoutNow,
-    /// A follower asks the leader for a read position (§6.4).
+    /// Asks the leader for a position at which a read is linearizable (§6.4).
     #[brw(magic(12u8))]
     ReadIndex {
-        /// Returned in the answer.
+        /// Identifies the read; returned in the reply.
         context: u64,
     },
-    /// The leader's answer, after a quorum confirmed that it leads.
+    /// The leader's reply, sent after a quorum has confirmed its leadership.
     #[brw(magic(13u8))]
     ReadIndexReply {
-        /// From the request.
+        /// The context of the request.
         context: u64,
-        /// The position.
+        /// The position that must be applied before the read is served.
         index: LogIndex,
     },
 }
 
-/// The bytes are no message.
+/// The bytes do not decode to a message.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed replication message: {0}")]
 pub struct DecodeError(String);
 
 impl Envelope {
-    /// The message as bytes.
+    /// Encodes the message in its wire layout.
     pub fn encode(&self) -> Vec<u8> {
         let mut cursor = Cursor::new(Vec::new());
         self.write(&mut cursor).expect("a message fits in memory");
         cursor.into_inner()
     }
 
-    /// Reads a message back.
+    /// Decodes a message from its wire layout.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         Self::read(&mut Cursor::new(bytes)).map_err(|error| DecodeError(error.to_string()))
     }
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -1,20 +1,20 @@
-//! Majorities.
+//! Majorities of the voters.
 
 use std::cmp::Reverse;
 
 use crate::{Membership, ReplicaId};
 
-/// Voters that make a majority.
+/// The number of voters that form a majority.
 pub(crate) fn majority(membership: &Membership) -> usize {
     membership.voters().count() / 2 + 1
 }
 
-/// True when the voters for which `holds` is true are a majority.
+/// True when `holds` is true for a majority of the voters.
 pub(crate) fn is_quorum(membership: &Membership, holds: impl Fn(ReplicaId) -> bool) -> bool {
     membership.voters().filter(|id| holds(*id)).count() >= majority(membership)
 }
 
-/// The highest value that a majority of voters has reached.
+/// The highest value that a majority of the voters has reached or exceeded.
 pub(crate) fn reached_by_majority<T: Ord + Copy + Default>(
     membership: &Membership,
     value_of: impl Fn(ReplicaId) -> T,
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -1,4 +1,4 @@
-//! The state machine: roles, terms, and what to persist, send and apply.
+//! The Raft state machine: roles, terms, and what to persist, send and apply.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,22 +15,24 @@
     NotLeader, ReadState, Recovered, ReplicaId, Snapshot, Term,
 };
 
-/// Periods in ticks and bounds on messages.
+/// Raft timing in ticks and limits on messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Params {
-    /// Ticks without a leader after which a replica stands; each draws between one and two times
-    /// as many. Also the time within which a leader must hear its quorum.
+    /// Ticks without a message from a leader after which a replica campaigns; the actual timeout is
+    /// random between one and two times as long. Also the time within which a quorum must reply to
+    /// a leader.
     pub election_ticks: u64,
-    /// In place of `election_ticks` from a start until a leader is known: when all replicas start
-    /// together there is no leader to wait for, and where there is one its heartbeat comes first.
+    /// Used instead of `election_ticks` after a start until a leader is known, if it is lower. When
+    /// all replicas start together there is no leader to wait for; where there is a leader, its
+    /// heartbeat arrives before this timeout.
     pub first_election_ticks: u64,
     /// Ticks between a leader's heartbeats.
     pub heartbeat_ticks: u64,
-    /// Messages on their way to one replica at once.
+    /// Messages with entries that may be in flight to one replica.
     pub window: usize,
-    /// Bytes of entries in one message.
+    /// Entry data in one message, in bytes.
     pub batch_bytes: usize,
-    /// Bytes of a snapshot in one message.
+    /// Snapshot data in one message, in bytes.
     pub chunk_bytes: usize,
 }
 
@@ -47,44 +49,44 @@
     }
 }
 
-/// What a replica is at the moment.
+/// The current role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the voters whether it would be elected, without raising its term.
     PreCandidate,
-    /// Stands for election.
+    /// Requests votes for its own term.
     Candidate,
-    /// Leads.
+    /// Appends entries, replicates them and confirms reads.
     Leader,
 }
 
-/// What is to be done, in this order: send `eager`; store `snapshot`, `hard_state` and `entries`
-/// and sync them; call [`Raft::persisted`]; send `messages`; apply `snapshot` and `committed`;
-/// answer `reads`.
+/// Pending work. The caller must do it in this order: send `immediate_messages`; store `snapshot`,
+/// `hard_state` and `entries` and sync them; call [`Raft::persisted`]; send `messages`; apply
+/// `snapshot` and `committed`; serve `reads`.
 #[derive(Clone, Debug, Default)]
 pub struct Ready {
-    /// Messages that promise nothing and may go before the sync: a leader's own entries.
-    pub eager: Vec<Envelope>,
-    /// A snapshot received, to replace all that is stored.
+    /// Messages that acknowledge nothing and may be sent before the sync: a leader's entries.
+    pub immediate_messages: Vec<Envelope>,
+    /// A received snapshot, which replaces the stored snapshot and log.
     pub snapshot: Option<Snapshot>,
-    /// Changed term, vote or commit.
+    /// The term, vote and commit position to store.
     pub hard_state: Option<HardState>,
-    /// Entries to store; an entry at a position that is stored already replaces it and all after.
+    /// Entries to store. An entry at a stored position replaces that entry and all after it.
     pub entries: Vec<Entry>,
-    /// Messages that promise what is stored above.
+    /// Messages that depend on the state above being durable, such as acknowledgements and votes.
     pub messages: Vec<Envelope>,
-    /// Entries to apply.
+    /// Committed entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Reads that may be served once all of the above is applied.
+    /// Reads that may be served once everything above is applied.
     pub reads: Vec<ReadState>,
 }
 
 impl Ready {
-    /// True when there is nothing to do.
+    /// True when there is no pending work.
     pub fn is_empty(&self) -> bool {
-        self.eager.is_empty()
+        self.immediate_messages.is_empty()
             && self.messages.is_empty()
             && self.snapshot.is_none()
             && self.hard_state.is_none()
@@ -93,13 +95,13 @@
             && self.reads.is_empty()
     }
 
-    /// True when something must be on disk before `messages` may go.
+    /// True when state must be made durable before `messages` may be sent.
     pub fn must_sync(&self) -> bool {
         self.snapshot.is_some() || self.hard_state.is_some() || !self.entries.is_empty()
     }
 }
 
-/// One replica of the log.
+/// The Raft state of one replica.
 #[derive(Clone, Debug)]
 pub struct Raft {
     pub(crate) params: Params,
@@ -110,7 +112,7 @@
     pub(crate) role: Role,
     pub(crate) leader: Option<ReplicaId>,
     pub(crate) log: Log,
-    /// Memberships by the position that brought them, oldest first; the last one is in force.
+    /// Memberships with the log positions of their entries, oldest first. The last one is in effect.
     pub(crate) memberships: Vec<(LogIndex, Membership)>,
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     pub(crate) votes: BTreeMap<ReplicaId, bool>,
@@ -118,14 +120,14 @@
     pub(crate) ticks: u64,
     pub(crate) election_elapsed: u64,
     pub(crate) election_timeout: u64,
-    /// A leader was known at some time since this start.
-    pub(crate) followed_since_start: bool,
+    /// A leader has been known since this process started.
+    pub(crate) leader_known_since_start: bool,
     pub(crate) heartbeat_elapsed: u64,
     pub(crate) transferring_to: Option<ReplicaId>,
     pub(crate) snapshot: Snapshot,
     pub(crate) partial: Option<PartialSnapshot>,
     pub(crate) foreign_disks: BTreeSet<ReplicaId>,
-    pub(crate) eager: Vec<Envelope>,
+    pub(crate) immediate_messages: Vec<Envelope>,
     pub(crate) messages: Vec<Envelope>,
     pub(crate) read_states: Vec<ReadState>,
     pub(crate) received_snapshot: Option<Snapshot>,
@@ -134,7 +136,8 @@
 }
 
 impl Raft {
-    /// A replica that goes on from what its disk holds. `seed` decides its election timeouts.
+    /// Creates a replica from the state recovered from its disk. `seed` determines its election
+    /// timeouts.
     pub fn new(params: Params, id: ReplicaId, recovered: Recovered, seed: u64) -> Self {
         let hard_state = recovered.hard_state;
         let snapshot = recovered.snapshot;
@@ -155,13 +158,13 @@
             ticks: 0,
             election_elapsed: 0,
             election_timeout: 0,
-            followed_since_start: false,
+            leader_known_since_start: false,
             heartbeat_elapsed: 0,
             transferring_to: None,
             snapshot,
             partial: None,
             foreign_disks: BTreeSet::new(),
-            eager: Vec::new(),
+            immediate_messages: Vec::new(),
             messages: Vec::new(),
             read_states: Vec::new(),
             received_snapshot: None,
@@ -169,26 +172,26 @@
             random: ChaCha8Rng::seed_from_u64(seed),
         };
         raft.restore_memberships();
-        raft.draw_election_timeout();
+        raft.reset_election_timeout();
         raft
     }
 
-    /// This replica.
+    /// The number of this replica.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
 
-    /// What it is at the moment.
+    /// Its current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The latest term it has seen.
+    /// The highest term it has seen.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Who leads, as far as it knows.
+    /// The leader of the current term, if known.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
@@ -208,7 +211,7 @@
         self.snapshot.index
     }
 
-    /// The membership in force.
+    /// The latest membership in the log, committed or not.
     pub fn membership(&self) -> &Membership {
         &self
             .memberships
@@ -217,48 +220,48 @@
             .1
     }
 
-    /// Replicas that speak from another disk than the one they were admitted with. An alarm: they
-    /// have lost what they promised and need a new number.
+    /// Replicas that have sent messages from another disk than the one the membership records.
+    /// They have lost what they acknowledged and must rejoin under a new number.
     pub fn foreign_disks(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.foreign_disks.iter().copied()
     }
 
-    /// How far each other replica is, when this one leads.
+    /// The matching position of each other member. Empty unless this replica leads.
     pub fn replication(&self) -> impl Iterator<Item = (ReplicaId, LogIndex)> + '_ {
         self.progress
             .iter()
             .map(|(id, progress)| (*id, progress.matched))
     }
 
-    /// Ticks since another replica was last heard, when this one leads.
+    /// Ticks since another member last replied. `None` unless this replica leads.
     pub fn silent_ticks(&self, id: ReplicaId) -> Option<u64> {
         let progress = self.progress.get(&id)?;
-        Some(self.ticks.saturating_sub(progress.heard_at))
+        Some(self.ticks.saturating_sub(progress.last_response_tick))
     }
 
-    /// True while a majority has answered within an election timeout, as counted by this
-    /// leader's own ticks. For reports; reads use [`Raft::read_index`].
+    /// True while this replica leads and a majority has replied within `election_ticks` of its own
+    /// clock. For status reports only; reads use [`Raft::read_index`].
     pub fn has_recent_quorum(&self) -> bool {
-        self.role == Role::Leader && self.quorum_heard_within(self.params.election_ticks)
+        self.role == Role::Leader && self.quorum_active_within(self.params.election_ticks)
     }
 
-    /// Lets one tick pass.
+    /// Advances time by one tick.
     pub fn tick(&mut self) {
         self.ticks += 1;
         self.election_elapsed += 1;
         if self.role == Role::Leader {
             self.tick_leader();
-        } else if self.election_elapsed >= self.election_timeout && self.may_stand() {
+        } else if self.election_elapsed >= self.election_timeout && self.can_campaign() {
             self.start_pre_vote();
         }
     }
 
-    /// Takes a message.
+    /// Handles a received message.
     pub fn step(&mut self, message: Envelope) {
-        if message.to != self.id || self.is_foreign(&message) {
+        if message.to != self.id || self.has_foreign_disk(&message) {
             return;
         }
-        if message.term > self.term && !self.meets_newer_term(&message) {
+        if message.term > self.term && !self.handle_newer_term(&message) {
             return;
         }
         if message.term < self.term {
@@ -268,17 +271,18 @@
         self.dispatch(message);
     }
 
-    /// Appends a command. It is accepted once it comes back in [`Ready::committed`].
+    /// Appends a command to the log. It is committed once it is returned in [`Ready::committed`].
+    /// Refused unless this replica leads, and during a leadership transfer.
     pub fn propose(&mut self, data: Vec<u8>) -> Result<LogIndex, NotLeader> {
         if self.role != Role::Leader || self.transferring_to.is_some() {
             return Err(NotLeader {
                 leader: self.leader,
             });
         }
-        Ok(self.append_own(EntryKind::Command, data))
+        Ok(self.append_new_entry(EntryKind::Command, data))
     }
 
-    /// Starts one step of a membership change.
+    /// Appends one membership change. Refused while another one is not committed.
     pub fn propose_change(&mut self, change: Change) -> Result<LogIndex, ChangeError> {
         if self.role != Role::Leader {
             return Err(ChangeError::NotLeader);
@@ -295,12 +299,12 @@
             self.check_caught_up(id)?;
         }
         let next = self.membership().changed(change)?;
-        let index = self.append_own(EntryKind::Membership, next.encode());
+        let index = self.append_new_entry(EntryKind::Membership, next.encode());
         Ok(index)
     }
 
-    /// Asks for a position from which a read is current. The answer comes as a [`ReadState`]; it
-    /// may be lost, and is then to be asked for again.
+    /// Requests a position at which a read is linearizable. The answer is returned as a
+    /// [`ReadState`]. It may be lost; the caller must then request it again.
     pub fn read_index(&mut self, context: u64) -> Result<(), NotLeader> {
         if self.role == Role::Leader {
             self.queue_read(self.id, context);
@@ -311,7 +315,7 @@
         Ok(())
     }
 
-    /// What is to be done now. Each thing is returned once.
+    /// Returns the pending work and clears it.
     pub fn take_ready(&mut self) -> Ready {
         let entries: Vec<Entry> = self
             .log
@@ -321,7 +325,7 @@
         let hard_state = self.hard_state_to_store(&entries);
         let committed = self.take_committed();
         Ready {
-            eager: std::mem::take(&mut self.eager),
+            immediate_messages: std::mem::take(&mut self.immediate_messages),
             snapshot: self.received_snapshot.take(),
             hard_state,
             entries,
@@ -331,7 +335,7 @@
         }
     }
 
-    /// The entries of the last [`Ready`] up to `index` are on disk.
+    /// Records that the entries of the last [`Ready`] up to `index` are durable.
     pub fn persisted(&mut self, index: LogIndex) {
         self.log.persisted = self.log.persisted.max(index.min(self.log.last_index()));
         if self.role == Role::Leader {
@@ -339,7 +343,8 @@
         }
     }
 
-    /// The state machine at `index` is stored as `data`; entries up to there are dropped.
+    /// Makes `data`, the encoded state machine at `index`, the latest snapshot and drops the entries
+    /// up to there. `None` if `index` is not applied yet or not after the latest snapshot.
     pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) -> Option<Snapshot> {
         let term = self.log.term_at(index)?;
         if index > self.log.applied || index <= self.snapshot.index {
@@ -366,7 +371,7 @@
         }
     }
 
-    /// The stored entries after a position.
+    /// The persisted entries after a position.
     pub(crate) fn entries_after(&self, index: LogIndex) -> Vec<Entry> {
         let stored = self.log.persisted;
         let entries = self.log.entries_from(index.next());
@@ -408,29 +413,30 @@
         self.reads.clear();
         self.transferring_to = None;
         self.election_elapsed = 0;
-        self.draw_election_timeout();
+        self.reset_election_timeout();
     }
 
-    pub(crate) fn draw_election_timeout(&mut self) {
+    pub(crate) fn reset_election_timeout(&mut self) {
         let base = self.params.election_ticks;
         let first = self.params.first_election_ticks;
-        if first < base && !self.followed_since_start {
+        if first < base && !self.leader_known_since_start {
             self.election_timeout = first + self.rank_among_voters();
             return;
         }
         self.election_timeout = base + self.random.random_range(0..base);
     }
 
-    /// Voters that started together stand one after the other rather than by chance, so that the
-    /// first of them that a majority hears is elected. Only availability depends on it.
+    /// The number of voters with a lower id. It staggers the first election timeouts of voters that
+    /// start together, so that the first one that reaches a majority is elected instead of several
+    /// competing. Only availability depends on it.
     fn rank_among_voters(&self) -> u64 {
         let before = self.membership().voters().filter(|voter| *voter < self.id);
         before.count() as u64
     }
 
-    /// True when this replica remembers its promises: it has a membership, and its disk is the
-    /// one that the membership knows it by.
-    pub(crate) fn remembers_its_promises(&self) -> bool {
+    /// True when the membership lists this replica with its current disk or with no disk yet. With
+    /// another disk, the replica has lost the votes and entries that it acknowledged.
+    pub(crate) fn has_admitted_disk(&self) -> bool {
         if !enforced(Guard::DiskIdentity) {
             return true;
         }
@@ -440,7 +446,7 @@
         }
     }
 
-    pub(crate) fn note_membership(&mut self, entry: &Entry) {
+    pub(crate) fn record_membership(&mut self, entry: &Entry) {
         if entry.kind != EntryKind::Membership {
             return;
         }
@@ -458,7 +464,7 @@
         let from = self.log.base_index().next();
         let changes: Vec<Entry> = self.log.entries_from(from).cloned().collect();
         for entry in &changes {
-            self.note_membership(entry);
+            self.record_membership(entry);
         }
     }
 
@@ -467,13 +473,14 @@
         &in_force.unwrap_or(&self.memberships[0]).1
     }
 
-    fn may_stand(&self) -> bool {
-        self.membership().is_voter(self.id) && self.remembers_its_promises()
+    fn can_campaign(&self) -> bool {
+        self.membership().is_voter(self.id) && self.has_admitted_disk()
     }
 
-    /// A known number that speaks from another disk has forgotten what it promised under that
-    /// number; counting it could commit on, or elect with, a majority that does not remember.
-    fn is_foreign(&mut self, message: &Envelope) -> bool {
+    /// True when a message from a member must be dropped because it comes from another disk than
+    /// the recorded one. Such a member has lost the votes and entries that it acknowledged. Counting
+    /// it could elect a leader or commit entries with a majority that lacks acknowledged entries.
+    fn has_foreign_disk(&mut self, message: &Envelope) -> bool {
         let Some(member) = self.membership().get(message.from) else {
             return false;
         };
@@ -484,8 +491,8 @@
         foreign && enforced(Guard::DiskIdentity)
     }
 
-    /// Handles a term above ours; false when the message must be ignored.
-    fn meets_newer_term(&mut self, message: &Envelope) -> bool {
+    /// Handles a message with a higher term than this replica's; false if it must be ignored.
+    fn handle_newer_term(&mut self, message: &Envelope) -> bool {
         match message.body {
             Body::PreVote { .. } => !self.leader_is_recent(),
             Body::PreVoteReply { granted: 1 } => true,
@@ -501,12 +508,14 @@
         }
     }
 
-    /// While a leader is heard, no election is helped (§4.2.3, §6.2).
+    /// True when a leader has been in contact within the minimum election timeout. Vote requests are
+    /// then ignored unless the leader asked for the election (§4.2.3, §6.2).
     fn leader_is_recent(&self) -> bool {
         self.leader.is_some() && self.election_elapsed < self.params.election_ticks
     }
 
-    /// Tells a leader or candidate of an older term about ours, so that it steps down.
+    /// Replies to a leader or pre-candidate of an older term with the current term, so that it steps
+    /// down.
     fn answer_older_term(&mut self, message: &Envelope) {
         match message.body {
             Body::Append { .. } | Body::Heartbeat { .. } | Body::SnapshotChunk { .. } => {
@@ -566,9 +575,9 @@
     fn hard_state_to_store(&mut self, entries: &[Entry]) -> Option<HardState> {
         let current = self.hard_state();
         let stored = &self.stored_hard_state;
-        let promises_changed = current.term != stored.term || current.vote != stored.vote;
-        // A commit alone is learned again after a restart and is not worth a sync.
-        if !promises_changed && entries.is_empty() {
+        let term_or_vote_changed = current.term != stored.term || current.vote != stored.vote;
+        // A new commit position alone is not worth a sync; it is learned again after a restart.
+        if !term_or_vote_changed && entries.is_empty() {
             return None;
         }
         self.stored_hard_state = current;
--- a/crates/consensus/src/read_only.rs
+++ b/crates/consensus/src/read_only.rs
@@ -1,5 +1,5 @@
-//! Reads that a quorum confirms (§6.4): a leader that was cut off cannot serve an old view,
-//! because no majority answers its heartbeat any more.
+//! Linearizable reads, confirmed by a quorum (§6.4). A leader that is partitioned from the majority
+//! cannot serve stale state because no majority replies to its heartbeats.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -9,16 +9,16 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRead {
-    /// Who asked: this replica or a follower.
+    /// The replica that requested the read: the leader itself or a follower.
     pub from: ReplicaId,
     pub context: u64,
-    /// The commit when the read arrived.
+    /// The commit position when the read arrived.
     pub index: LogIndex,
     round: u64,
     confirmed_by: BTreeSet<ReplicaId>,
 }
 
-/// Reads that wait for their round to be confirmed.
+/// Reads that wait for a quorum to confirm their heartbeat round.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReadQueue {
     round: u64,
@@ -26,7 +26,7 @@
 }
 
 impl ReadQueue {
-    /// Queues a read in a new round, which the next heartbeats must carry.
+    /// Queues a read in a new round. The caller must send heartbeats with this round.
     pub fn push(&mut self, from: ReplicaId, context: u64, index: LogIndex) {
         self.round += 1;
         let confirmed_by = BTreeSet::new();
@@ -39,7 +39,7 @@
         });
     }
 
-    /// The newest round that waits; 0 when none does.
+    /// The newest round; 0 when no read is pending.
     pub fn round(&self) -> u64 {
         if self.pending.is_empty() {
             return 0;
@@ -47,7 +47,8 @@
         self.round
     }
 
-    /// A replica answered a heartbeat of `round`; returns the reads that this confirms.
+    /// Records a replica's reply to a heartbeat of `round` and returns the reads that are now
+    /// confirmed by a quorum.
     pub fn confirm(
         &mut self,
         from: ReplicaId,
@@ -67,7 +68,7 @@
         confirmed
     }
 
-    /// Forgets all reads; those who asked will ask again.
+    /// Drops all pending reads; the requesters retry.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! Drives [`Raft`] over a [`Wal`] in the one safe order.
+//! Drives [`Raft`] over a [`Wal`]: persist, then send replies, then apply.
 
 use fail::fail_point;
 
@@ -7,38 +7,38 @@
     Raft, ReadState, Snapshot, Wal, WalError,
 };
 
-/// Why a replica stops. After it nothing may be acknowledged; the process should end.
+/// An error after which a replica must not acknowledge anything; the process should exit.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicaError {
-    /// The disk failed, is full, or holds something else.
+    /// The data folder cannot be read or written, or belongs to another replica.
     #[error(transparent)]
     Wal(#[from] WalError),
 }
 
-/// What came of a flush.
+/// Results of a flush that the caller must apply.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// A snapshot to install in place of the state machine, before `committed`.
+    /// A snapshot that replaces the state machine before `committed` is applied.
     pub snapshot: Option<Snapshot>,
-    /// Entries to apply, in order.
+    /// Committed entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Reads that may be served after that.
+    /// Reads that may be served after `committed` is applied.
     pub reads: Vec<ReadState>,
 }
 
-/// One replica with its disk.
+/// One replica with its durable storage.
 #[derive(Debug)]
 pub struct Replica<D> {
     raft: Raft,
     wal: Wal<D>,
-    start: Option<Snapshot>,
+    initial_snapshot: Option<Snapshot>,
 }
 
 impl<D: Directory> Replica<D> {
-    /// Opens a replica. In a new folder, `first_membership` is that of a new cluster; an empty
-    /// one makes a replica that neither votes nor stands until a leader has added it, which is
-    /// how one that lost its disk must come back. `seed` decides timeouts and a new folder's
-    /// disk identity.
+    /// Opens a replica. A new folder starts with `first_membership`, the membership of a new cluster.
+    /// If it is empty, the replica neither votes nor campaigns until a leader has added it; a replica
+    /// that replaces one with a lost disk must start this way. `seed` determines the election
+    /// timeouts and the disk identity of a new folder.
     pub fn open(
         directory: D,
         identity: &FolderIdentity,
@@ -48,26 +48,32 @@
     ) -> Result<Self, ReplicaError> {
         let new_disk = DiskId(seed.max(1));
         let (wal, recovered) = Wal::open(directory, identity, first_membership, new_disk)?;
-        let start = (recovered.snapshot.index > LogIndex(0)).then(|| recovered.snapshot.clone());
+        let initial_snapshot =
+            (recovered.snapshot.index > LogIndex(0)).then(|| recovered.snapshot.clone());
         let raft = Raft::new(params, identity.replica, recovered, seed);
-        Ok(Self { raft, wal, start })
+        Ok(Self {
+            raft,
+            wal,
+            initial_snapshot,
+        })
     }
 
-    /// The state machine.
+    /// The Raft state machine.
     pub fn raft(&self) -> &Raft {
         &self.raft
     }
 
-    /// The state machine, to be ticked, stepped and asked. [`Replica::flush`] must follow.
+    /// The Raft state machine, for ticks, messages and proposals. The caller must then call
+    /// [`Replica::flush`].
     pub fn raft_mut(&mut self) -> &mut Raft {
         &mut self.raft
     }
 
-    /// Does all that is due: sends, stores, syncs once for everything that has gathered (group
-    /// commit), and gives back what to apply.
+    /// Does all pending work: stores it with one sync for everything since the last flush (group
+    /// commit), sends messages, and returns what to apply.
     pub fn flush(&mut self, send: &mut dyn FnMut(Envelope)) -> Result<Output, ReplicaError> {
         let mut output = Output {
-            snapshot: self.start.take(),
+            snapshot: self.initial_snapshot.take(),
             ..Output::default()
         };
         loop {
@@ -75,7 +81,7 @@
             if ready.is_empty() {
                 return Ok(output);
             }
-            ready.eager.into_iter().for_each(&mut *send);
+            ready.immediate_messages.into_iter().for_each(&mut *send);
             let last = ready.entries.last().map(|entry| entry.index);
             if let Some(snapshot) = ready.snapshot {
                 let hard_state = self.hard_state();
@@ -97,7 +103,8 @@
         }
     }
 
-    /// Stores the state machine at `index` as `data` and drops the log up to there.
+    /// Stores `data`, the encoded state machine at `index`, as a snapshot and drops the log up to
+    /// there. No effect if `index` is not applied yet or already covered by a snapshot.
     pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) -> Result<(), ReplicaError> {
         let Some(snapshot) = self.raft.compact(index, data) else {
             return Ok(());
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,19 +1,19 @@
-//! Replication: appending, acknowledging, committing, and reads that a quorum confirms.
+//! Replication: appending, acknowledging and committing entries, and confirming reads.
 
 use drumshore_guard::{enforced, Guard};
 
-use crate::progress::{Feed, Progress};
+use crate::progress::{Progress, ProgressState};
 use crate::quorum::reached_by_majority;
 use crate::{
     Body, Change, ChangeError, DiskId, Entry, EntryKind, LogIndex, Raft, ReadState, ReplicaId,
     Role, Term,
 };
 
-/// Ticks without an answer after which entries are sent again.
+/// Ticks without a reply after which entries are sent again.
 const RESEND_TICKS: u64 = 4;
 
 impl Raft {
-    pub(crate) fn append_own(&mut self, kind: EntryKind, data: Vec<u8>) -> LogIndex {
+    pub(crate) fn append_new_entry(&mut self, kind: EntryKind, data: Vec<u8>) -> LogIndex {
         let index = self.log.last_index().next();
         let entry = Entry {
             term: self.term,
@@ -21,12 +21,12 @@
             kind,
             data,
         };
-        self.note_membership(&entry);
+        self.record_membership(&entry);
         self.log.append(entry);
         if kind == EntryKind::Membership {
             self.align_progress();
         }
-        self.feed_all();
+        self.replicate_to_all();
         index
     }
 
@@ -40,13 +40,13 @@
     ) {
         self.follow(from);
         if previous_index < self.log.base_index() {
-            // Covered by a snapshot here, so committed and equal.
+            // The snapshot covers this position, so it is committed and matches the leader's log.
             let index = self.log.committed;
             self.send(from, Body::AppendReply { accepted: 1, index });
             return;
         }
         if self.log.term_at(previous_index) != Some(previous_term) {
-            let index = self.retry_position(previous_index);
+            let index = self.conflict_hint(previous_index);
             self.send(from, Body::AppendReply { accepted: 0, index });
             return;
         }
@@ -73,7 +73,7 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
+        progress.last_response_tick = now;
         if accepted {
             progress.accepted(index);
             self.advance_commit();
@@ -81,7 +81,7 @@
         } else {
             progress.rejected(index);
         }
-        self.feed(from);
+        self.replicate_to(from);
         if self.transferring_to == Some(from) {
             self.send_timeout_now_if_ready(from);
         }
@@ -98,17 +98,18 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
+        progress.last_response_tick = now;
         let membership = self.membership().clone();
         let confirmed = self.reads.confirm(from, round, &membership);
         for read in confirmed {
             self.answer_read(read.from, read.context, read.index);
         }
-        self.feed(from);
+        self.replicate_to(from);
     }
 
-    /// Queues a read and asks a quorum at once. A new leader first has to commit an entry of its
-    /// own term, for before that it does not know what is committed (§6.4).
+    /// Queues a read and sends heartbeats at once to have a quorum confirm it. The read is dropped
+    /// until this leader has committed an entry of its own term, because before that it does not
+    /// know which entries are committed (§6.4).
     pub(crate) fn queue_read(&mut self, from: ReplicaId, context: u64) {
         if self.log.term_at(self.log.committed) != Some(self.term) {
             return;
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Moves the commit to what a majority of voters has stored.
+    /// Advances the commit position to the last entry that a majority of the voters has stored.
     pub(crate) fn advance_commit(&mut self) {
         let reached = reached_by_majority(self.membership(), |id| {
             if id == self.id {
@@ -144,41 +145,44 @@
                 .get(&id)
                 .map_or(LogIndex(0), |progress| progress.matched)
         });
-        // An entry of an earlier term may be on a majority and still be overwritten; only
-        // entries of the own term are committed by counting (§3.6.2).
+        // An entry of an earlier term can be overwritten even when a majority has stored it, so only
+        // entries of the current term are committed by counting replicas (§3.6.2).
         let own_term = self.log.term_at(reached) == Some(self.term);
         if reached > self.log.committed && (own_term || !enforced(Guard::CurrentTermCommit)) {
             self.commit_to(reached);
             self.step_down_if_removed();
-            self.feed_all();
+            self.replicate_to_all();
             self.announce_commit();
         }
     }
 
-    /// Tells replicas that lack nothing else of the new commit at once: whoever waits for an
-    /// entry may be connected to any of them, and would otherwise wait for a heartbeat.
+    /// Sends the new commit position at once to the members that already have all entries. A client
+    /// that waits for an entry may be connected to any of them and would otherwise wait for the next
+    /// heartbeat.
     fn announce_commit(&mut self) {
         if self.role != Role::Leader {
             return;
         }
         let window = self.params.window;
         let last = self.log.last_index();
-        let lacks_nothing = |progress: &Progress| {
-            progress.feed == Feed::Pipeline && progress.next > last && progress.may_send(window)
+        let is_caught_up = |progress: &Progress| {
+            progress.state == ProgressState::Pipeline
+                && progress.next > last
+                && progress.may_send(window)
         };
-        let told: Vec<(ReplicaId, LogIndex)> = self
+        let recipients: Vec<(ReplicaId, LogIndex)> = self
             .progress
             .iter()
-            .filter(|(_, progress)| lacks_nothing(progress))
+            .filter(|(_, progress)| is_caught_up(progress))
             .map(|(id, progress)| (*id, progress.next))
             .collect();
-        for (id, next) in told {
+        for (id, next) in recipients {
             self.send_entries(id, next);
         }
     }
 
-    /// A leader that is no longer a voter leads until the change that removed it is committed
-    /// (§4.2.2).
+    /// Steps down if this leader is no longer a voter. It leads until the change that removed it is
+    /// committed (§4.2.2).
     fn step_down_if_removed(&mut self) {
         let changed_at = self
             .memberships
@@ -189,7 +193,8 @@
         }
     }
 
-    /// Sends again what was not answered, from the last known position.
+    /// Resends entries that were not acknowledged within [`RESEND_TICKS`], from the last matching
+    /// position.
     pub(crate) fn retry_stalled(&mut self) {
         let mut stalled = Vec::new();
         for (id, progress) in &mut self.progress {
@@ -203,25 +208,25 @@
             }
         }
         for id in stalled {
-            self.feed(id);
+            self.replicate_to(id);
         }
     }
 
-    pub(crate) fn feed_all(&mut self) {
+    pub(crate) fn replicate_to_all(&mut self) {
         for id in self.other_members() {
-            self.feed(id);
+            self.replicate_to(id);
         }
     }
 
-    /// Sends a replica what it lacks, as far as its window allows.
-    pub(crate) fn feed(&mut self, to: ReplicaId) {
+    /// Sends a member the entries or snapshot chunks that it lacks, within its in-flight limit.
+    pub(crate) fn replicate_to(&mut self, to: ReplicaId) {
         if self.role != Role::Leader {
             return;
         }
-        while self.feed_once(to) {}
+        while self.send_next(to) {}
     }
 
-    fn feed_once(&mut self, to: ReplicaId) -> bool {
+    fn send_next(&mut self, to: ReplicaId) -> bool {
         let window = self.params.window;
         let Some(progress) = self.progress.get(&to) else {
             return false;
@@ -229,14 +234,15 @@
         if !progress.may_send(window) {
             return false;
         }
-        if matches!(progress.feed, Feed::Snapshot { .. }) || progress.next <= self.log.base_index()
+        if matches!(progress.state, ProgressState::Snapshot { .. })
+            || progress.next <= self.log.base_index()
         {
             self.send_snapshot_chunk(to);
             return false;
         }
         let next = progress.next;
         let nothing_new = next > self.log.last_index();
-        if nothing_new && progress.feed == Feed::Pipeline {
+        if nothing_new && progress.state == ProgressState::Pipeline {
             return false;
         }
         self.send_entries(to, next);
@@ -257,24 +263,24 @@
             commit,
             entries,
         };
-        // Entries promise nothing about the sender's disk, so they may leave before its sync.
+        // Entries acknowledge nothing about the sender's disk, so they may be sent before its sync.
         let envelope = self.envelope(to, self.term, body);
-        self.eager.push(envelope);
+        self.immediate_messages.push(envelope);
         if let Some(progress) = self.progress.get_mut(&to) {
             progress.in_flight += 1;
-            if progress.feed == Feed::Pipeline {
+            if progress.state == ProgressState::Pipeline {
                 progress.next = LogIndex(next.0 + sent);
             }
         }
     }
 
-    /// Follows the leader of this term.
+    /// Accepts `leader` as the leader of the current term and restarts the election timeout.
     pub(crate) fn follow(&mut self, leader: ReplicaId) {
         if self.role != Role::Follower {
             self.become_follower(self.term, Some(leader));
         }
         self.leader = Some(leader);
-        self.followed_since_start = true;
+        self.leader_known_since_start = true;
         self.election_elapsed = 0;
     }
 
@@ -291,8 +297,8 @@
             .progress
             .get(&id)
             .map_or(LogIndex(0), |progress| progress.matched);
-        // The learner acknowledges only what is on its disk. Once it votes, any one other
-        // replica may be lost; so it must hold all that is committed.
+        // The learner must have all committed entries on its disk: once it is a voter, any one other
+        // replica may be lost.
         if matched < self.log.committed {
             return Err(ChangeError::NotCaughtUp(id));
         }
@@ -309,13 +315,14 @@
                 }
                 None => {}
             }
-            self.note_membership(&entry);
+            self.record_membership(&entry);
             self.log.append(entry);
         }
     }
 
-    /// Where the leader should try next: before the whole run of the conflicting term.
-    fn retry_position(&self, previous_index: LogIndex) -> LogIndex {
+    /// The position from which the leader should send next: the first one of the conflicting term,
+    /// so that a whole term is skipped in one round trip.
+    fn conflict_hint(&self, previous_index: LogIndex) -> LogIndex {
         let mut index = previous_index.min(self.log.last_index());
         let conflicting = self.log.term_at(index);
         while index > self.log.committed && self.log.term_at(index) == conflicting {
@@ -332,7 +339,8 @@
         }
     }
 
-    /// Records the disk that a member first spoke from, so that another one is noticed.
+    /// Proposes to record the disk of a member that has none recorded, and of this leader, so that
+    /// messages from another disk are detected later.
     fn pin_disk(&mut self, from: ReplicaId, disk: DiskId) {
         let own = (self.id, self.disk);
         for (id, disk) in [own, (from, disk)] {
@@ -341,7 +349,7 @@
                 .get(id)
                 .is_some_and(|member| member.disk == DiskId(0));
             if unknown {
-                // Refused while another change is under way; the next answer tries again.
+                // Refused while another change is pending; the next acknowledgement retries it.
                 let _ = self.propose_change(Change::PinDisk(id, disk));
             }
         }
--- a/crates/consensus/src/snapshot.rs
+++ b/crates/consensus/src/snapshot.rs
@@ -1,9 +1,9 @@
-//! Snapshots in chunks, for replicas whose next entry is no longer in the log.
+//! Snapshot transfer in chunks, for members whose next entry is no longer in the leader's log.
 
-use crate::progress::Feed;
+use crate::progress::ProgressState;
 use crate::{Body, LogIndex, Membership, Raft, ReplicaId, Snapshot, Term};
 
-/// A snapshot that is arriving.
+/// A snapshot of which a prefix has been received.
 #[derive(Clone, Debug)]
 pub(crate) struct PartialSnapshot {
     index: LogIndex,
@@ -17,14 +17,14 @@
         let Some(progress) = self.progress.get_mut(&to) else {
             return;
         };
-        let offset = match progress.feed {
-            Feed::Snapshot {
+        let offset = match progress.state {
+            ProgressState::Snapshot {
                 index: started,
                 offset,
             } if started == index => offset,
             _ => 0,
         };
-        progress.feed = Feed::Snapshot { index, offset };
+        progress.state = ProgressState::Snapshot { index, offset };
         progress.in_flight = 1;
         let start = (offset as usize).min(self.snapshot.data.len());
         let end = (start + self.params.chunk_bytes).min(self.snapshot.data.len());
@@ -77,16 +77,18 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
+        progress.last_response_tick = now;
         progress.stalled_ticks = 0;
         progress.in_flight = 0;
-        if matches!(progress.feed, Feed::Snapshot { index: started, .. } if started == index) {
-            progress.feed = Feed::Snapshot { index, offset };
+        if matches!(progress.state, ProgressState::Snapshot { index: started, .. } if started == index)
+        {
+            progress.state = ProgressState::Snapshot { index, offset };
         }
-        self.feed(from);
+        self.replicate_to(from);
     }
 
-    /// Adds a chunk if it continues what has arrived; returns how much has.
+    /// Appends a chunk if it starts where the received bytes end; other chunks are ignored. Returns
+    /// the number of bytes received.
     fn add_chunk(&mut self, index: LogIndex, term: Term, offset: u64, data: &[u8]) -> u64 {
         let current = self
             .partial
--- a/crates/consensus/src/wal.rs
+++ b/crates/consensus/src/wal.rs
@@ -1,10 +1,10 @@
 //! The write-ahead log and the snapshot file.
 //!
-//! A record is its length, a checksum of the length, a checksum of the payload, the payload and an
-//! end mark. A record that the file ends within is a torn write that was never acknowledged, and
-//! is cut off. A record that is there in full with a wrong checksum is damage to something that
-//! may have been acknowledged; the folder is refused and the replica has to come back under a new
-//! number. The length has its own checksum, for a flipped length must not look like a torn tail.
+//! A record consists of its length, a checksum of the length, a checksum of the payload, the payload
+//! and an end mark. An incomplete record at the end of the file is a torn write that was never
+//! acknowledged; it is truncated. A complete record with a wrong checksum may have been
+//! acknowledged; the folder is refused and the replica must rejoin under a new number. The length
+//! has its own checksum because a flipped bit in it must not look like a torn write.
 
 use std::io::Cursor;
 
@@ -20,52 +20,52 @@
 const RECORD_HEADER_BYTES: usize = 12;
 const END_MARK: u8 = 0xA5;
 
-/// Whose folder it is.
+/// The owner of a data folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FolderIdentity {
-    /// The cluster's name.
+    /// The name of the cluster.
     pub cluster: String,
-    /// The replica's number.
+    /// The number of the replica.
     pub replica: ReplicaId,
 }
 
-/// Why a folder cannot be used.
+/// Why a data folder cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum WalError {
-    /// The disk failed or is full. Nothing may be acknowledged any more.
+    /// The disk failed or is full. The replica must not acknowledge anything after this error.
     #[error("data folder failed: {0}")]
     Io(#[from] std::io::Error),
-    /// A record that may have been acknowledged is damaged.
+    /// A record that may have been acknowledged is corrupt.
     #[error("{file} is damaged at byte {offset}; bring the replica back under a new number")]
     Damaged {
-        /// The file.
+        /// The name of the file.
         file: &'static str,
-        /// Where.
+        /// The offset of the record in the file.
         offset: usize,
     },
-    /// The folder belongs to someone else.
+    /// The folder belongs to another cluster or replica.
     #[error("data folder belongs to cluster {found_cluster:?} replica {found_replica}")]
-    OtherOwner {
-        /// The cluster found.
+    OwnerMismatch {
+        /// The cluster that the folder belongs to.
         found_cluster: String,
-        /// The replica found.
+        /// The replica that the folder belongs to.
         found_replica: ReplicaId,
     },
-    /// The folder was written by another version.
+    /// The folder has a format version that this build does not support.
     #[error("data folder has format {0}, this version reads {FORMAT_VERSION}")]
-    OtherFormat(u16),
+    UnsupportedFormat(u16),
 }
 
-/// What a folder holds.
+/// The state read from a data folder.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
-    /// The identity of the disk.
+    /// The disk identity stored in the folder.
     pub disk: DiskId,
-    /// Promises.
+    /// The last stored term, vote and commit position.
     pub hard_state: HardState,
-    /// The latest snapshot; its membership is empty for a replica that waits to be added.
+    /// The latest snapshot. Its membership is empty for a new replica that a leader has yet to add.
     pub snapshot: Snapshot,
-    /// Entries after it.
+    /// The stored entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
@@ -104,14 +104,15 @@
     Entry(Entry),
 }
 
-/// The durable side of one replica.
+/// The durable storage of one replica: identity, snapshot and log files.
 #[derive(Debug)]
 pub struct Wal<D> {
     directory: D,
 }
 
 impl<D: Directory> Wal<D> {
-    /// Opens a folder. A new one gets the identity `new_disk` and holds `first_membership`.
+    /// Opens a data folder and recovers its state. A new folder gets the disk identity `new_disk` and
+    /// an empty snapshot with `first_membership`.
     pub fn open(
         mut directory: D,
         identity: &FolderIdentity,
@@ -136,7 +137,7 @@
         Ok((Self { directory }, recovered))
     }
 
-    /// Stores promises and entries; they are on disk when this returns.
+    /// Appends entries and the hard state to the log file; they are durable when this returns.
     pub fn store(
         &mut self,
         hard_state: Option<HardState>,
@@ -164,7 +165,7 @@
         Ok(())
     }
 
-    /// Replaces everything up to a snapshot by it.
+    /// Replaces the snapshot and the log. The new log holds only `hard_state` and `entries_after`.
     pub fn store_snapshot(
         &mut self,
         snapshot: &Snapshot,
@@ -199,7 +200,7 @@
         disk,
         cluster: identity.cluster.clone().into_bytes(),
     };
-    // Written last: a folder without it was never in use.
+    // Written last, so that a folder without an identity file has never been used.
     directory.replace(IDENTITY_FILE, &encode(&record))?;
     Ok(())
 }
@@ -211,11 +212,11 @@
     };
     let record = IdentityRecord::read(&mut Cursor::new(bytes)).map_err(|_| damaged)?;
     if record.format != FORMAT_VERSION {
-        return Err(WalError::OtherFormat(record.format));
+        return Err(WalError::UnsupportedFormat(record.format));
     }
     let found_cluster = String::from_utf8_lossy(&record.cluster).into_owned();
     if found_cluster != expected.cluster || record.replica != expected.replica {
-        return Err(WalError::OtherOwner {
+        return Err(WalError::OwnerMismatch {
             found_cluster,
             found_replica: record.replica,
         });
@@ -242,7 +243,7 @@
         file: SNAPSHOT_FILE,
         offset: 0,
     };
-    let RecordAt::Whole { payload, .. } = record_at(&bytes, 0) else {
+    let ParsedRecord::Complete { payload, .. } = parse_record(&bytes, 0) else {
         return Err(damaged());
     };
     let record = SnapshotRecord::read(&mut Cursor::new(payload)).map_err(|_| damaged())?;
@@ -263,19 +264,19 @@
     let mut entries: Vec<Entry> = Vec::new();
     let mut offset = 0;
     loop {
-        match record_at(&bytes, offset) {
-            RecordAt::End => break,
-            RecordAt::Torn => {
+        match parse_record(&bytes, offset) {
+            ParsedRecord::End => break,
+            ParsedRecord::Torn => {
                 directory.replace(LOG_FILE, &bytes[..offset])?;
                 break;
             }
-            RecordAt::Damaged => {
+            ParsedRecord::Damaged => {
                 return Err(WalError::Damaged {
                     file: LOG_FILE,
                     offset,
                 })
             }
-            RecordAt::Whole { payload, next } => {
+            ParsedRecord::Complete { payload, next } => {
                 let record =
                     LogRecord::read(&mut Cursor::new(payload)).map_err(|_| WalError::Damaged {
                         file: LOG_FILE,
@@ -292,15 +293,16 @@
     Ok((hard_state, entries_after_snapshot(entries, snapshot)))
 }
 
-/// A later record at a position replaces what was there and after it.
+/// Appends an entry. A later record at a stored position replaces that entry and all after it.
 fn push_entry(entries: &mut Vec<Entry>, entry: Entry) {
     let keep = entries.partition_point(|existing| existing.index < entry.index);
     entries.truncate(keep);
     entries.push(entry);
 }
 
-/// A crash between the snapshot's and the log's replacement leaves the old log. Its entries after
-/// the snapshot are kept only if they follow on it.
+/// Returns the entries after the snapshot if they are contiguous with it and their log has the same
+/// term at its position. A crash after the snapshot was replaced and before the log was leaves a log
+/// that may not match.
 fn entries_after_snapshot(mut entries: Vec<Entry>, snapshot: &Snapshot) -> Vec<Entry> {
     let at_snapshot = entries.iter().find(|entry| entry.index == snapshot.index);
     if at_snapshot.is_some_and(|entry| entry.term != snapshot.term) {
@@ -317,52 +319,53 @@
     }
 }
 
-enum RecordAt<'a> {
+enum ParsedRecord<'a> {
     End,
     Torn,
     Damaged,
-    Whole { payload: &'a [u8], next: usize },
+    Complete { payload: &'a [u8], next: usize },
 }
 
-fn record_at(bytes: &[u8], offset: usize) -> RecordAt<'_> {
+fn parse_record(bytes: &[u8], offset: usize) -> ParsedRecord<'_> {
     let rest = &bytes[offset..];
     if rest.is_empty() {
-        return RecordAt::End;
+        return ParsedRecord::End;
     }
     if rest.len() < RECORD_HEADER_BYTES {
-        return RecordAt::Torn;
+        return ParsedRecord::Torn;
     }
-    let length = word_at(rest, 0);
-    if crc32fast::hash(&rest[..4]) != word_at(rest, 4) {
-        return torn_if_zeros(rest);
+    let length = read_u32(rest, 0);
+    if crc32fast::hash(&rest[..4]) != read_u32(rest, 4) {
+        return classify_tail(rest);
     }
     let end = RECORD_HEADER_BYTES + length as usize;
     if rest.len() <= end {
-        return RecordAt::Torn;
+        return ParsedRecord::Torn;
     }
     let payload = &rest[RECORD_HEADER_BYTES..end];
-    let whole = rest[end] == END_MARK && crc32fast::hash(payload) == word_at(rest, 8);
+    let whole = rest[end] == END_MARK && crc32fast::hash(payload) == read_u32(rest, 8);
     if whole {
-        return RecordAt::Whole {
+        return ParsedRecord::Complete {
             payload,
             next: offset + end + 1,
         };
     }
-    torn_if_zeros(&rest[end..])
+    classify_tail(&rest[end..])
 }
 
-fn word_at(bytes: &[u8], offset: usize) -> u32 {
+fn read_u32(bytes: &[u8], offset: usize) -> u32 {
     let mut word = [0; 4];
     word.copy_from_slice(&bytes[offset..offset + 4]);
     u32::from_le_bytes(word)
 }
 
-/// A tail that the file was extended by but that was never written reads as zeros.
-fn torn_if_zeros(tail: &[u8]) -> RecordAt<'_> {
+/// Classifies a tail that fails its checks. If it is all zeros, the file was extended but the data
+/// was never written, which is a torn write.
+fn classify_tail(tail: &[u8]) -> ParsedRecord<'_> {
     if tail.iter().all(|byte| *byte == 0) {
-        RecordAt::Torn
+        ParsedRecord::Torn
     } else {
-        RecordAt::Damaged
+        ParsedRecord::Damaged
     }
 }
 
--- a/crates/consensus/tests/random_schedules.rs
+++ b/crates/consensus/tests/random_schedules.rs
@@ -1,4 +1,5 @@
-//! Random schedules: safety holds with every rule in place, and each rule taken out is noticed.
+//! Random schedules of messages, ticks and faults: safety holds with all guards enforced, and
+//! disabling a guard is detected as a violation.
 
 use drumshore_consensus_harness::{run_schedule, Violation};
 use drumshore_guard::{set_removed, Guard};
@@ -10,7 +11,7 @@
 #[rstest]
 #[case::three(3)]
 #[case::five(5)]
-fn nothing_acknowledged_is_lost(#[case] voters: u64) {
+fn acknowledged_commands_are_never_lost(#[case] voters: u64) {
     let mut acknowledged = 0;
     for seed in 0..300 {
         acknowledged += run_schedule(voters, seed, STEPS)
@@ -18,7 +19,7 @@
     }
     assert!(
         acknowledged > 1_000,
-        "only {acknowledged} commands got through"
+        "only {acknowledged} commands were acknowledged"
     );
 }
 
@@ -30,7 +31,8 @@
     }
 }
 
-/// The library itself refuses some impossible states by a panic; that counts as noticed.
+/// Runs a schedule and counts a panic as a violation, because the library panics on some
+/// inconsistent states.
 fn schedule_with_panics(seed: u64) -> Result<usize, Violation> {
     std::panic::catch_unwind(|| run_schedule(3, seed, STEPS))
         .unwrap_or(Err(Violation::NothingCommits))
@@ -52,11 +54,11 @@
 #[case::vote_not_synced(Guard::VoteSynced)]
 #[case::entries_not_synced(Guard::EntriesSynced)]
 #[case::vote_for_a_log_that_is_behind(Guard::UpToDateVote)]
-fn a_broken_rule_is_noticed(#[case] guard: Guard) {
+fn random_schedules_detect_a_disabled_guard(#[case] guard: Guard) {
     let found = first_violation(guard);
     assert!(
         found.is_some(),
-        "{} can be taken out unnoticed",
+        "no schedule detects that {} is disabled",
         guard.as_str()
     );
 }
--- a/crates/consensus/tests/scenarios.rs
+++ b/crates/consensus/tests/scenarios.rs
@@ -1,8 +1,8 @@
-//! Failures one by one, as they are named in the design notes.
+//! Scripted failures of the replicated log, one per test.
 
 use drumshore_consensus::{Change, ChangeError, LogIndex, ReplicaId, Role};
 use drumshore_consensus_harness::scripts::{
-    double_vote, lose_a_disk_and_return, lost_disk, old_term_is_counted,
+    double_vote, lost_disk, old_term_is_counted, restart_with_empty_disk,
 };
 use drumshore_consensus_harness::{Cluster, Violation};
 use drumshore_guard::{set_removed, Guard};
@@ -16,40 +16,40 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_steps_down_and_cannot_serve_reads() {
+fn isolated_leader_steps_down_and_confirms_no_read() {
     let mut cluster = Cluster::new(3, 2);
     cluster.commit_one();
     let old = cluster.leader().unwrap();
-    cluster.cut_off(old);
+    cluster.isolate(old);
     cluster.read(old);
-    let replaced = cluster.settle(200, |cluster| {
+    let replaced = cluster.run_until(200, |cluster| {
         cluster.leader().is_some_and(|leader| leader != old)
     });
     assert!(replaced);
     let new = cluster.leader().unwrap();
     let value = cluster.propose(new).unwrap();
-    assert!(cluster.settle(200, |cluster| cluster.acknowledged.contains(&value)));
+    assert!(cluster.run_until(200, |cluster| cluster.acknowledged.contains(&value)));
     assert_ne!(cluster.replica(old).raft().role(), Role::Leader);
     assert_eq!(cluster.heal_and_check(), Ok(()));
 }
 
 #[test]
-fn a_replica_that_was_cut_off_disturbs_nothing_when_it_returns() {
+fn reconnected_replica_does_not_depose_the_leader() {
     let mut cluster = Cluster::new(3, 3);
     cluster.commit_one();
     let leader = cluster.leader().unwrap();
     let term = cluster.replica(leader).raft().term();
     let other = (1..=3).find(|id| *id != leader).unwrap();
-    cluster.cut_off(other);
-    cluster.settle(300, |_| false);
-    cluster.cut.clear();
+    cluster.isolate(other);
+    cluster.run_until(300, |_| false);
+    cluster.blocked_links.clear();
     cluster.commit_one();
     assert_eq!(cluster.leader(), Some(leader));
     assert_eq!(cluster.replica(leader).raft().term(), term);
 }
 
 #[test]
-fn leadership_is_handed_over_on_request() {
+fn leadership_transfers_on_request() {
     let mut cluster = Cluster::new(3, 4);
     cluster.commit_one();
     let leader = cluster.leader().unwrap();
@@ -59,12 +59,12 @@
         .raft_mut()
         .transfer_leadership(ReplicaId(target));
     cluster.flush(leader);
-    assert!(cluster.settle(20, |cluster| cluster.leader() == Some(target)));
+    assert!(cluster.run_until(20, |cluster| cluster.leader() == Some(target)));
     cluster.commit_one();
 }
 
 #[test]
-fn a_replica_far_behind_gets_a_snapshot_in_chunks() {
+fn lagging_replica_receives_a_snapshot_in_chunks() {
     let mut cluster = Cluster::new(3, 5);
     cluster.commit_one();
     let leader = cluster.leader().unwrap();
@@ -76,14 +76,14 @@
     let leader = cluster.leader().unwrap();
     cluster.compact(leader);
     let after = cluster.commit_one();
-    cluster.start_as_founder(behind);
-    assert!(cluster.settle(300, |cluster| cluster.is_everywhere(after)));
+    cluster.start_as_initial_voter(behind);
+    assert!(cluster.run_until(300, |cluster| cluster.is_applied_everywhere(after)));
     assert_eq!(cluster.nodes[&behind].state, cluster.nodes[&leader].state);
     assert!(cluster.replica(behind).raft().snapshot_index() > LogIndex(0));
 }
 
 #[test]
-fn all_restart_after_hundreds_of_changes() {
+fn acknowledged_commands_survive_a_restart_of_all_replicas() {
     let mut cluster = Cluster::new(3, 6);
     for _ in 0..500 {
         cluster.commit_one();
@@ -92,32 +92,33 @@
         cluster.compact(id);
         cluster.crash(id);
     }
-    (1..=3).for_each(|id| cluster.start_as_founder(id));
+    (1..=3).for_each(|id| cluster.start_as_initial_voter(id));
     assert_eq!(cluster.heal_and_check(), Ok(()));
     assert_eq!(cluster.acknowledged.len(), 501);
 }
 
 fn change(cluster: &mut Cluster, change: Change) -> Result<(), ChangeError> {
     for _ in 0..100 {
-        let leader = cluster.settle_to_leader();
+        let leader = cluster.run_until_leader();
         let result = cluster.replica(leader).raft_mut().propose_change(change);
         cluster.flush(leader);
-        cluster.settle(3, |_| false);
+        cluster.run_until(3, |_| false);
         match result {
             Err(ChangeError::Busy | ChangeError::NotLeader | ChangeError::NotCaughtUp(_)) => {}
             other => return other.map(|_| ()),
         }
     }
-    panic!("{change:?} never goes through");
+    panic!("{change:?} is still refused after 100 attempts");
 }
 
-/// Replica 3 lost its disk and is replaced by 4; right after the repair 2 is lost too.
-fn repair_then_lose_another(cluster: &mut Cluster) {
+/// Replaces replica 3, whose disk is lost, by replica 4. Crashes replica 2 right after the change is
+/// committed, so that replicas 1 and 4 must hold all acknowledged commands.
+fn replace_a_replica_then_lose_another(cluster: &mut Cluster) {
     cluster.commit_one();
     cluster.crash(3);
     cluster.commit_one();
     cluster.add_node(4);
-    cluster.start_blank(4);
+    cluster.start_without_membership(4);
     change(cluster, Change::AddLearner(ReplicaId(4))).unwrap();
     change(cluster, Change::Promote(ReplicaId(4))).unwrap();
     change(cluster, Change::Remove(ReplicaId(3))).unwrap();
@@ -127,21 +128,21 @@
 }
 
 #[test]
-fn a_second_machine_may_be_lost_right_after_the_repair_of_the_first() {
+fn loss_of_a_second_replica_after_replacing_the_first_loses_nothing() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(3, 100 + seed);
-        repair_then_lose_another(&mut cluster);
+        replace_a_replica_then_lose_another(&mut cluster);
         cluster.commit_one();
         assert_eq!(cluster.violation, None, "seed {seed}");
         let acknowledged = cluster.acknowledged.clone();
         assert!(acknowledged
             .iter()
-            .all(|value| cluster.is_everywhere(*value)));
+            .all(|value| cluster.is_applied_everywhere(*value)));
     }
 }
 
 #[test]
-fn a_learner_does_not_vote_before_it_has_caught_up() {
+fn lagging_learner_cannot_be_promoted() {
     let mut cluster = Cluster::new(3, 7);
     cluster.commit_one();
     cluster.add_node(4);
@@ -155,7 +156,7 @@
         refused,
         Err(ChangeError::NotCaughtUp(_) | ChangeError::Busy)
     ));
-    cluster.settle(20, |_| false);
+    cluster.run_until(20, |_| false);
     let refused = cluster
         .replica(leader)
         .raft_mut()
@@ -164,11 +165,11 @@
 }
 
 #[test]
-fn membership_changes_one_step_at_a_time() {
+fn a_membership_change_is_refused_while_another_is_pending() {
     let mut cluster = Cluster::new(3, 8);
     cluster.commit_one();
-    cluster.settle(50, |_| false);
-    let leader = cluster.settle_to_leader();
+    cluster.run_until(50, |_| false);
+    let leader = cluster.run_until_leader();
     let raft = cluster.replica(leader).raft_mut();
     raft.propose_change(Change::AddLearner(ReplicaId(4)))
         .unwrap();
@@ -179,25 +180,25 @@
 }
 
 #[test]
-fn a_new_disk_under_an_old_number_elects_nobody() {
+fn a_replica_with_a_replaced_disk_cannot_vote() {
     let mut cluster = Cluster::new(3, 9);
-    let lost = lose_a_disk_and_return(&mut cluster);
+    let lost = restart_with_empty_disk(&mut cluster);
     assert_eq!(cluster.violation, None);
-    let leader = cluster.settle_to_leader();
-    let noticed: Vec<_> = cluster.replica(leader).raft().foreign_disks().collect();
-    assert_eq!(noticed, [ReplicaId(lost)]);
+    let leader = cluster.run_until_leader();
+    let detected: Vec<_> = cluster.replica(leader).raft().foreign_disks().collect();
+    assert_eq!(detected, [ReplicaId(lost)]);
     cluster.nodes.remove(&lost);
     cluster.commit_one();
     assert_eq!(cluster.violation, None);
 }
 
-/// A script finds nothing with every rule in place, and something with its rule taken out. A
-/// replica that refuses an impossible state by a panic has noticed it too.
+/// Each script reports no violation while all guards are enforced and one when its guard is
+/// disabled. A panic on an inconsistent state also counts as a detection.
 #[rstest]
 #[case::new_disk_under_an_old_number(Guard::DiskIdentity, lost_disk)]
 #[case::two_votes_in_one_term(Guard::VoteSynced, double_vote)]
 #[case::older_term_committed_by_counting(Guard::CurrentTermCommit, old_term_is_counted)]
-fn a_script_notices_its_rule_taken_out(
+fn each_script_detects_its_disabled_guard(
     #[case] guard: Guard,
     #[case] script: fn(u64) -> Result<(), Violation>,
 ) {
@@ -205,10 +206,14 @@
         assert_eq!(script(seed), Ok(()), "seed {seed}");
     }
     set_removed(Some(guard));
-    let noticed = (0..20).any(|seed| {
+    let detected = (0..20).any(|seed| {
         let outcome = std::panic::catch_unwind(|| script(seed));
         !matches!(outcome, Ok(Ok(())))
     });
     set_removed(None);
-    assert!(noticed, "{} can be taken out unnoticed", guard.as_str());
+    assert!(
+        detected,
+        "the script does not detect that {} is disabled",
+        guard.as_str()
+    );
 }
--- a/crates/consensus/tests/wal.rs
+++ b/crates/consensus/tests/wal.rs
@@ -1,4 +1,5 @@
-//! Torn, flipped, foreign and full folders, in memory and on disk.
+//! Recovery of data folders, in memory and on disk: torn writes, flipped bits, folders of another
+//! owner and full disks.
 
 use drumshore_consensus::{
     Directory, DiskId, Entry, EntryKind, FileDirectory, FolderIdentity, HardState, LogIndex,
@@ -28,7 +29,7 @@
     }
 }
 
-fn promise(term: u64) -> HardState {
+fn hard_state_at(term: u64) -> HardState {
     HardState {
         term: Term(term),
         vote: ReplicaId(1),
@@ -38,7 +39,8 @@
 
 fn store<D: Directory>(wal: &mut Wal<D>, count: u64) {
     for index in 1..=count {
-        wal.store(Some(promise(index)), &[entry(index)]).unwrap();
+        wal.store(Some(hard_state_at(index)), &[entry(index)])
+            .unwrap();
     }
 }
 
@@ -51,7 +53,7 @@
 }
 
 #[test]
-fn what_was_stored_on_disk_is_read_back() {
+fn stored_records_are_recovered_from_disk() {
     let folder = tempfile::tempdir().unwrap();
     let (mut wal, recovered) = open(FileDirectory::open(folder.path()).unwrap()).unwrap();
     assert_eq!(recovered.snapshot.membership.members().len(), 1);
@@ -59,7 +61,7 @@
     drop(wal);
     let (_, recovered) = open(FileDirectory::open(folder.path()).unwrap()).unwrap();
     assert_eq!(indexes(&recovered), [1, 2, 3, 4, 5]);
-    assert_eq!(recovered.hard_state, promise(5));
+    assert_eq!(recovered.hard_state, hard_state_at(5));
     assert_eq!(recovered.disk, DiskId(5));
 }
 
@@ -112,7 +114,7 @@
         membership,
         data: b"state".to_vec(),
     };
-    wal.store_snapshot(&snapshot, promise(5), &[entry(5)])
+    wal.store_snapshot(&snapshot, hard_state_at(5), &[entry(5)])
         .unwrap();
     let (_, recovered) = open(disk).unwrap();
     assert_eq!(recovered.snapshot, snapshot);
@@ -120,17 +122,17 @@
 }
 
 #[test]
-fn a_folder_of_another_owner_is_refused() {
+fn a_folder_of_another_replica_is_refused() {
     let disk = MemoryDirectory::new();
     open(disk.clone()).unwrap();
     for other in [identity("other", 1), identity("c", 2)] {
         let result = Wal::open(disk.clone(), &other, Membership::default(), DiskId(9));
-        assert!(matches!(result, Err(WalError::OtherOwner { .. })));
+        assert!(matches!(result, Err(WalError::OwnerMismatch { .. })));
     }
 }
 
 #[test]
-fn a_full_disk_is_an_error_and_nothing_is_acknowledged() {
+fn a_full_disk_is_reported_as_an_error() {
     let disk = MemoryDirectory::new();
     let (mut wal, _) = open(disk.clone()).unwrap();
     disk.set_failing(true);
@@ -139,11 +141,11 @@
 
 proptest! {
     #[test]
-    fn a_flipped_bit_is_always_refused(from_end in 0usize..330) {
+    fn any_flipped_bit_in_the_log_is_refused(from_end in 0usize..330) {
         let disk = MemoryDirectory::new();
         let (mut wal, _) = open(disk.clone()).unwrap();
         store(&mut wal, 5);
-        disk.flip("log", from_end);
+        disk.flip_bit("log", from_end);
         let refused = matches!(open(disk), Err(WalError::Damaged { .. }));
         prop_assert!(refused);
     }
