--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -31,12 +31,12 @@
     #[case] good: &str,
     #[case] bad: &str,
     #[case] line: usize,
-    #[case] part: &str,
+    #[case] expected_cause: &str,
 ) {
     let error = parse::<RouterSettings>(&ROUTER.replace(good, bad)).unwrap_err();
     let text = error.to_string();
     assert!(text.starts_with(&format!("line {line}:")), "{text}");
-    assert!(text.contains(part), "{text}");
+    assert!(text.contains(expected_cause), "{text}");
 }
 
 #[test]
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_request_id_reads_back() {
+fn request_ids_round_trip() {
     let id = RequestId {
         router: 0xfeed,
         sequence: 42,
@@ -72,12 +72,12 @@
 #[case(Execution::NotRun)]
 #[case(Execution::MayHaveRun)]
 #[case(Execution::Ran)]
-fn an_execution_word_reads_back(#[case] execution: Execution) {
+fn execution_words_round_trip(#[case] execution: Execution) {
     assert_eq!(Execution::from_word(execution.as_str()), execution);
 }
 
 #[test]
-fn an_unknown_execution_word_is_read_with_caution() {
+fn an_unknown_execution_word_means_may_have_run() {
     assert_eq!(Execution::from_word("fine"), Execution::MayHaveRun);
 }
 
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_resource_document_keeps_its_form() {
+fn a_resource_document_round_trips() {
     let text = r#"{"name":"m","version":3,"kind":"model",
         "spec":{"weights_version":2,"block_tokens":2048},"changed_by":"o","change_id":"c"}"#;
     let resource: Resource = serde_json::from_str(text).unwrap();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_verdict_says_whether_it_ran() {
+fn a_request_error_displays_its_code_and_execution() {
     let verdict = Verdict::not_run(crate::ErrorCode::NoEngine, "nothing ready");
     assert_eq!(verdict.to_string(), "nothing ready (no_engine, not_run)");
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -67,8 +67,8 @@
     let mut nonce = [0; NONCE_BYTES];
     random.fill_bytes(&mut nonce);
     let own = encode(&Hello { nonce, identity })?;
-    write_greeting(stream, &own)?;
-    let peer = read_greeting(stream)?;
+    write_hello(stream, &own)?;
+    let peer = read_hello(stream)?;
     if peer == own {
         return Err(HandshakeError::WrongKey);
     }
@@ -91,7 +91,7 @@
     mac
 }
 
-fn write_greeting(stream: &mut impl Write, hello: &[u8]) -> Result<(), HandshakeError> {
+fn write_hello(stream: &mut impl Write, hello: &[u8]) -> Result<(), HandshakeError> {
     let length = u16::try_from(hello.len()).unwrap_or(u16::MAX);
     if length > MAX_HELLO_BYTES {
         return Err(FrameError::TooLarge(u32::from(length)).into());
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-fn read_greeting(stream: &mut impl Read) -> Result<Vec<u8>, HandshakeError> {
+fn read_hello(stream: &mut impl Read) -> Result<Vec<u8>, HandshakeError> {
     let mut length = [0; 2];
     stream.read_exact(&mut length)?;
     let length = u16::from_le_bytes(length);
--- a/crates/wire/src/tests.rs
+++ b/crates/wire/src/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn messages_survive_a_frame() {
+fn messages_round_trip_through_a_frame() {
     for message in samples() {
         let bytes = encode_frame(&message).unwrap();
         assert_eq!(read_frame(&mut Cursor::new(bytes)).unwrap(), message);
@@ -59,7 +59,7 @@
 #[case::length(6)]
 #[case::checksum(10)]
 #[case::payload(15)]
-fn a_flipped_byte_is_noticed(#[case] position: usize) {
+fn a_flipped_byte_is_rejected(#[case] position: usize) {
     let mut bytes = encode_frame(&samples()[0]).unwrap();
     bytes[position] ^= 0x40;
     assert!(read_frame(&mut Cursor::new(bytes)).is_err());
@@ -86,7 +86,7 @@
     }
 }
 
-fn greet(
+fn run_handshake(
     mut stream: TcpStream,
     key: &str,
     identity: Identity,
@@ -103,37 +103,38 @@
 }
 
 #[test]
-fn holders_of_the_key_learn_who_the_other_is() {
+fn peers_with_the_same_key_learn_each_others_identity() {
     let (client, server) = pair();
     let router = Identity::Router(Text::new("router-1"));
     let expected = router.clone();
-    let thread = std::thread::spawn(move || greet(client, "cluster-key", router, 1));
+    let thread = std::thread::spawn(move || run_handshake(client, "cluster-key", router, 1));
     assert_eq!(
-        greet(server, "cluster-key", Identity::Control(3), 2).unwrap(),
+        run_handshake(server, "cluster-key", Identity::Control(3), 2).unwrap(),
         expected
     );
     assert_eq!(thread.join().unwrap().unwrap(), Identity::Control(3));
 }
 
 #[test]
-fn another_key_is_refused() {
+fn a_peer_with_another_key_is_refused() {
     let (client, server) = pair();
-    let thread = std::thread::spawn(move || greet(client, "guess", Identity::Control(1), 1));
-    let error = greet(server, "cluster-key", Identity::Control(3), 2).unwrap_err();
+    let thread =
+        std::thread::spawn(move || run_handshake(client, "guess", Identity::Control(1), 1));
+    let error = run_handshake(server, "cluster-key", Identity::Control(3), 2).unwrap_err();
     assert!(matches!(error, HandshakeError::WrongKey), "{error}");
     assert!(thread.join().unwrap().is_err());
 }
 
 /// A peer without the key that returns whatever it is sent.
-struct Mirror(std::collections::VecDeque<u8>);
+struct ReflectingPeer(std::collections::VecDeque<u8>);
 
-impl Read for Mirror {
+impl Read for ReflectingPeer {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         self.0.read(buffer)
     }
 }
 
-impl Write for Mirror {
+impl Write for ReflectingPeer {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.extend(bytes);
         Ok(bytes.len())
@@ -147,8 +148,8 @@
 #[test]
 fn a_reflected_proof_is_refused() {
     let mut random = rand::rngs::StdRng::seed_from_u64(1);
-    let mut mirror = Mirror(Default::default());
+    let mut peer = ReflectingPeer(Default::default());
     let key = SecretKey::new("cluster-key");
-    let error = handshake(&mut mirror, &key, Identity::Control(1), &mut random).unwrap_err();
+    let error = handshake(&mut peer, &key, Identity::Control(1), &mut random).unwrap_err();
     assert!(matches!(error, HandshakeError::WrongKey), "{error}");
 }
