--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -30,7 +30,7 @@
 mod wal;
 
 pub use directory::{Directory, FileDirectory, MemoryDirectory};
-pub use membership::{Change, ChangeError, Member, MemberRole, Membership};
+pub use membership::{ChangeError, Member, MemberRole, Membership, MembershipChange};
 pub use message::{Body, DecodeError, Envelope};
 pub use raft::{Params, Raft, Ready, Role};
 pub use replica::{Output, Replica, ReplicaError};
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -44,7 +44,7 @@
 
 /// A single membership change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum MembershipChange {
     /// Adds a replica that receives the log without voting.
     AddLearner(ReplicaId),
     /// Turns a learner that has caught up into a voter.
@@ -121,13 +121,13 @@
     }
 
     /// Returns the membership after a change.
-    pub fn changed(&self, change: Change) -> Result<Self, ChangeError> {
+    pub fn changed(&self, change: MembershipChange) -> Result<Self, ChangeError> {
         let mut next = self.clone();
         match change {
-            Change::AddLearner(id) => next.add_learner(id)?,
-            Change::Promote(id) => next.member_mut(id)?.role = MemberRole::Voter,
-            Change::PinDisk(id, disk) => next.member_mut(id)?.disk = disk,
-            Change::Remove(id) => next.remove(id)?,
+            MembershipChange::AddLearner(id) => next.add_learner(id)?,
+            MembershipChange::Promote(id) => next.member_mut(id)?.role = MemberRole::Voter,
+            MembershipChange::PinDisk(id, disk) => next.member_mut(id)?.disk = disk,
+            MembershipChange::Remove(id) => next.remove(id)?,
         }
         Ok(next)
     }
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -11,8 +11,8 @@
 use crate::read_only::ReadQueue;
 use crate::snapshot::PartialSnapshot;
 use crate::{
-    Body, Change, ChangeError, DiskId, Entry, EntryKind, Envelope, HardState, LogIndex, Membership,
-    NotLeader, ReadState, Recovered, ReplicaId, Snapshot, Term,
+    Body, ChangeError, DiskId, Entry, EntryKind, Envelope, HardState, LogIndex, Membership,
+    MembershipChange, NotLeader, ReadState, Recovered, ReplicaId, Snapshot, Term,
 };
 
 /// Raft timing in ticks and limits on messages.
@@ -234,7 +234,7 @@
     }
 
     /// Ticks since another member last replied. `None` unless this replica leads.
-    pub fn silent_ticks(&self, id: ReplicaId) -> Option<u64> {
+    pub fn ticks_since_response(&self, id: ReplicaId) -> Option<u64> {
         let progress = self.progress.get(&id)?;
         Some(self.ticks.saturating_sub(progress.last_response_tick))
     }
@@ -283,7 +283,7 @@
     }
 
     /// Appends one membership change. Refused while another one is not committed.
-    pub fn propose_change(&mut self, change: Change) -> Result<LogIndex, ChangeError> {
+    pub fn propose_change(&mut self, change: MembershipChange) -> Result<LogIndex, ChangeError> {
         if self.role != Role::Leader {
             return Err(ChangeError::NotLeader);
         }
@@ -295,7 +295,7 @@
         if !own_term_committed || last_change > self.log.committed {
             return Err(ChangeError::Busy);
         }
-        if let Change::Promote(id) = change {
+        if let MembershipChange::Promote(id) = change {
             self.check_caught_up(id)?;
         }
         let next = self.membership().changed(change)?;
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -5,8 +5,8 @@
 use crate::progress::{Progress, ProgressState};
 use crate::quorum::reached_by_majority;
 use crate::{
-    Body, Change, ChangeError, DiskId, Entry, EntryKind, LogIndex, Raft, ReadState, ReplicaId,
-    Role, Term,
+    Body, ChangeError, DiskId, Entry, EntryKind, LogIndex, MembershipChange, Raft, ReadState,
+    ReplicaId, Role, Term,
 };
 
 /// Ticks without a reply after which entries are sent again.
@@ -350,7 +350,7 @@
                 .is_some_and(|member| member.disk == DiskId(0));
             if unknown {
                 // Refused while another change is pending; the next acknowledgement retries it.
-                let _ = self.propose_change(Change::PinDisk(id, disk));
+                let _ = self.propose_change(MembershipChange::PinDisk(id, disk));
             }
         }
     }
--- a/crates/consensus/tests/scenarios.rs
+++ b/crates/consensus/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Scripted failures of the replicated log, one per test.
 
-use drumshore_consensus::{Change, ChangeError, LogIndex, ReplicaId, Role};
+use drumshore_consensus::{ChangeError, LogIndex, MembershipChange, ReplicaId, Role};
 use drumshore_consensus_harness::scripts::{
     double_vote, lost_disk, old_term_is_counted, restart_with_empty_disk,
 };
@@ -97,7 +97,7 @@
     assert_eq!(cluster.acknowledged.len(), 501);
 }
 
-fn change(cluster: &mut Cluster, change: Change) -> Result<(), ChangeError> {
+fn change(cluster: &mut Cluster, change: MembershipChange) -> Result<(), ChangeError> {
     for _ in 0..100 {
         let leader = cluster.run_until_leader();
         let result = cluster.replica(leader).raft_mut().propose_change(change);
@@ -119,9 +119,9 @@
     cluster.commit_one();
     cluster.add_node(4);
     cluster.start_without_membership(4);
-    change(cluster, Change::AddLearner(ReplicaId(4))).unwrap();
-    change(cluster, Change::Promote(ReplicaId(4))).unwrap();
-    change(cluster, Change::Remove(ReplicaId(3))).unwrap();
+    change(cluster, MembershipChange::AddLearner(ReplicaId(4))).unwrap();
+    change(cluster, MembershipChange::Promote(ReplicaId(4))).unwrap();
+    change(cluster, MembershipChange::Remove(ReplicaId(3))).unwrap();
     cluster.nodes.remove(&3);
     cluster.commit_one();
     cluster.crash(2);
@@ -146,12 +146,12 @@
     let mut cluster = Cluster::new(3, 7);
     cluster.commit_one();
     cluster.add_node(4);
-    change(&mut cluster, Change::AddLearner(ReplicaId(4))).unwrap();
+    change(&mut cluster, MembershipChange::AddLearner(ReplicaId(4))).unwrap();
     let leader = cluster.leader().unwrap();
     let refused = cluster
         .replica(leader)
         .raft_mut()
-        .propose_change(Change::Promote(ReplicaId(4)));
+        .propose_change(MembershipChange::Promote(ReplicaId(4)));
     assert!(matches!(
         refused,
         Err(ChangeError::NotCaughtUp(_) | ChangeError::Busy)
@@ -160,7 +160,7 @@
     let refused = cluster
         .replica(leader)
         .raft_mut()
-        .propose_change(Change::Promote(ReplicaId(4)));
+        .propose_change(MembershipChange::Promote(ReplicaId(4)));
     assert_eq!(refused, Err(ChangeError::NotCaughtUp(ReplicaId(4))));
 }
 
@@ -171,10 +171,10 @@
     cluster.run_until(50, |_| false);
     let leader = cluster.run_until_leader();
     let raft = cluster.replica(leader).raft_mut();
-    raft.propose_change(Change::AddLearner(ReplicaId(4)))
+    raft.propose_change(MembershipChange::AddLearner(ReplicaId(4)))
         .unwrap();
     assert_eq!(
-        raft.propose_change(Change::AddLearner(ReplicaId(5))),
+        raft.propose_change(MembershipChange::AddLearner(ReplicaId(5))),
         Err(ChangeError::Busy)
     );
 }
--- a/crates/control/src/core/operators.rs
+++ b/crates/control/src/core/operators.rs
@@ -1,6 +1,6 @@
 //! What operators ask.
 
-use drumshore_consensus::{Change, Directory, Role};
+use drumshore_consensus::{Directory, MembershipChange, Role};
 use drumshore_core::{Revision, Timestamp};
 use drumshore_wire::{Blob, EngineStateCode, Text};
 
@@ -124,7 +124,7 @@
         }
     }
 
-    fn change_members(&mut self, ticket: OperatorTicket, change: Change) {
+    fn change_members(&mut self, ticket: OperatorTicket, change: MembershipChange) {
         let result = self.replica.raft_mut().propose_change(change);
         let reply = OperatorReply::Members(match result {
             Ok(_) => Ok(()),
--- a/crates/control/src/core/routers.rs
+++ b/crates/control/src/core/routers.rs
@@ -32,7 +32,7 @@
     pub fn on_router_message(&mut self, connection: ConnectionId, message: Message) {
         match message {
             Message::Subscribe(subscribe) => self.on_subscribe(connection, &subscribe),
-            Message::InForce(revision) => {
+            Message::AppliedRevision(revision) => {
                 if let Some(subscription) = self.subscriptions.get_mut(&connection) {
                     subscription.in_force = Revision(revision);
                 }
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use drumshore_consensus::{Change, ReplicaId};
+use drumshore_consensus::{MembershipChange, ReplicaId};
 use drumshore_core::{
     ChangeId, OperatorName, Resource, ResourceKey, ResourceKind, ResourceSpec, Revision,
 };
@@ -55,7 +55,7 @@
     /// The state of the cluster.
     Status,
     /// One step of a change of the control machines themselves.
-    ChangeMembers(Change),
+    ChangeMembers(MembershipChange),
     /// Hand leadership to another control machine.
     Transfer(ReplicaId),
 }
--- a/crates/gateway-core/src/control/members.rs
+++ b/crates/gateway-core/src/control/members.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use drumshore_consensus::{Change, Directory, MemberRole, ReplicaId};
+use drumshore_consensus::{Directory, MemberRole, MembershipChange, ReplicaId};
 use drumshore_core::Timestamp;
 
 use super::{ControlCore, Effect};
@@ -81,7 +81,7 @@
         }
     }
 
-    fn next_change(&self) -> Option<Change> {
+    fn next_change(&self) -> Option<MembershipChange> {
         let membership = self.replica.raft().membership();
         let joiner = self
             .joiners
@@ -93,8 +93,8 @@
             // Its predecessor's disk is lost, or it would have come back under the old number.
             let predecessor = members.find(|member| address_of(member.id) == address_of(*joiner));
             return Some(match predecessor {
-                Some(member) => Change::Remove(member.id),
-                None => Change::AddLearner(*joiner),
+                Some(member) => MembershipChange::Remove(member.id),
+                None => MembershipChange::AddLearner(*joiner),
             });
         }
         let mut learners = membership
@@ -103,10 +103,10 @@
             .filter(|member| member.role == MemberRole::Learner);
         let learner = learners.find(|member| self.is_heard(member.id))?;
         if membership.voters().count() < self.params.voters {
-            return Some(Change::Promote(learner.id));
+            return Some(MembershipChange::Promote(learner.id));
         }
         let silent = membership.voters().find(|id| !self.is_heard(*id))?;
-        Some(Change::Remove(silent))
+        Some(MembershipChange::Remove(silent))
     }
 
     fn is_heard(&self, replica: ReplicaId) -> bool {
@@ -114,7 +114,7 @@
         if replica == raft.id() {
             return true;
         }
-        let silent = raft.silent_ticks(replica).unwrap_or(u64::MAX);
+        let silent = raft.ticks_since_response(replica).unwrap_or(u64::MAX);
         let allowed = self.params.voter_silence.as_micros() / self.params.tick.as_micros();
         u128::from(silent) < allowed
     }
--- a/crates/node/src/control/api.rs
+++ b/crates/node/src/control/api.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::bounded;
-use drumshore_consensus::{Change, ReplicaId};
+use drumshore_consensus::{MembershipChange, ReplicaId};
 use drumshore_control::{
     ChangeOutcome, OperatorReply, OperatorRequest, OperatorTicket, StatusReport,
 };
@@ -167,9 +167,9 @@
     let change: MemberChange = serde_json::from_slice(&body).map_err(bad_request)?;
     let id = ReplicaId(change.id);
     Ok(match change.step {
-        MemberStep::Add => OperatorRequest::ChangeMembers(Change::AddLearner(id)),
-        MemberStep::Promote => OperatorRequest::ChangeMembers(Change::Promote(id)),
-        MemberStep::Remove => OperatorRequest::ChangeMembers(Change::Remove(id)),
+        MemberStep::Add => OperatorRequest::ChangeMembers(MembershipChange::AddLearner(id)),
+        MemberStep::Promote => OperatorRequest::ChangeMembers(MembershipChange::Promote(id)),
+        MemberStep::Remove => OperatorRequest::ChangeMembers(MembershipChange::Remove(id)),
         MemberStep::Transfer => OperatorRequest::Transfer(id),
     })
 }
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -98,7 +98,7 @@
             return;
         }
         self.store_config();
-        self.send(Message::InForce(self.config.floor().0));
+        self.send(Message::AppliedRevision(self.config.floor().0));
         self.unknown_keys.forget_refused();
         self.admit_known_tenants();
         self.pump();
--- a/crates/testbed/src/sim/controls.rs
+++ b/crates/testbed/src/sim/controls.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use drumshore_consensus::{Change, FolderIdentity, Membership, MemoryDirectory, ReplicaId};
+use drumshore_consensus::{
+    FolderIdentity, Membership, MembershipChange, MemoryDirectory, ReplicaId,
+};
 use drumshore_control::{
     ControlActor, ControlCore, ControlOutputs, ControlParams, Effect, EngineOrder, EngineProbe,
     OperatorRequest, ProbeFailed,
@@ -195,9 +197,9 @@
     pub(super) fn replacement_step(&mut self, index: usize) {
         let Replacement { old, new, step, .. } = self.replacements[index];
         let change = match step {
-            0 => Change::Remove(old),
-            1 => Change::AddLearner(new),
-            2 => Change::Promote(new),
+            0 => MembershipChange::Remove(old),
+            1 => MembershipChange::AddLearner(new),
+            2 => MembershipChange::Promote(new),
             _ => return,
         };
         for control in 0..self.controls.len() {
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -29,7 +29,7 @@
     Fresh(Freshness),
     /// Router to control: the revision that the router now applies.
     #[brw(magic(7u8))]
-    InForce(u64),
+    AppliedRevision(u64),
     /// Router to control: who holds this key?
     #[brw(magic(8u8))]
     TenantQuery(TenantQuery),
--- a/crates/wire/src/tests.rs
+++ b/crates/wire/src/tests.rs
@@ -24,7 +24,7 @@
             ticket: 4,
             grant: ClaimGrant::Completed(Blob::new(b"answer".to_vec())),
         }),
-        Message::InForce(77),
+        Message::AppliedRevision(77),
     ]
 }
 
@@ -77,7 +77,7 @@
     #[test]
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = read_frame(&mut Cursor::new(&bytes));
-        let mut framed = encode_frame(&Message::InForce(1)).unwrap();
+        let mut framed = encode_frame(&Message::AppliedRevision(1)).unwrap();
         framed.truncate(14);
         framed.extend_from_slice(&bytes);
         framed[6..10].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
