--- a/crates/core/src/verdict.rs
+++ b/crates/core/src/error.rs
@@ -105,7 +105,7 @@
 /// The end of a request that got no whole answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{message} ({}, {})", code.as_str(), execution.as_str())]
-pub struct Verdict {
+pub struct RequestError {
     /// Whether the request may have run.
     pub execution: Execution,
     /// What went wrong.
@@ -117,7 +117,7 @@
     pub retry_after: Option<Duration>,
 }
 
-impl Verdict {
+impl RequestError {
     /// A refusal: the request did not run.
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,13 +4,14 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
+mod error;
 mod ids;
 mod keys;
 mod resource;
 pub mod settings;
 mod time;
-mod verdict;
 
+pub use error::{ErrorCode, Execution, RequestError};
 pub use ids::{
     AdapterName, ChangeId, EngineId, EngineName, Epoch, IdempotencyKey, Incarnation, MachineName,
     ModelName, OperatorName, PoolName, RequestId, Revision, RouterName, TenantName, WeightsVersion,
@@ -22,7 +23,6 @@
     ResourceKind, ResourceSpec, RolloutSpec, RolloutState, SpecError, TenantLimits, TenantSpec,
 };
 pub use time::Timestamp;
-pub use verdict::{ErrorCode, Execution, Verdict};
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use crate::settings::{parse, ControlSettings, RouterSettings, SettingsError};
-use crate::{Execution, RequestId, Resource, ResourceSpec, SecretKey, Verdict};
+use crate::{Execution, RequestError, RequestId, Resource, ResourceSpec, SecretKey};
 
 const ROUTER: &str = r#"
 name = "router-1"
@@ -110,6 +110,6 @@
 
 #[test]
 fn a_request_error_displays_its_code_and_execution() {
-    let verdict = Verdict::not_run(crate::ErrorCode::NoEngine, "nothing ready");
+    let verdict = RequestError::not_run(crate::ErrorCode::NoEngine, "nothing ready");
     assert_eq!(verdict.to_string(), "nothing ready (no_engine, not_run)");
 }
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use chunked_transfer::Decoder;
-use drumshore_core::{ErrorCode, SecretKey, Verdict};
+use drumshore_core::{ErrorCode, RequestError, SecretKey};
 
 use crate::connection::Input;
 
@@ -61,7 +61,7 @@
     /// The peer closed or broke the connection between requests.
     Closed,
     /// The peer is to be told this.
-    Refused(Verdict),
+    Refused(RequestError),
 }
 
 impl Head {
@@ -109,7 +109,7 @@
         return Ok(());
     }
     let message = format!("the head exceeds {max_bytes} bytes");
-    Err(HeadError::Refused(Verdict::not_run(
+    Err(HeadError::Refused(RequestError::not_run(
         ErrorCode::HeadersTooLarge,
         message,
     )))
@@ -134,7 +134,7 @@
 }
 
 fn refused(code: ErrorCode, message: &str) -> HeadError {
-    HeadError::Refused(Verdict::not_run(code, message))
+    HeadError::Refused(RequestError::not_run(code, message))
 }
 
 fn head_of(request: &httparse::Request<'_, '_>) -> Result<Head, &'static str> {
@@ -246,7 +246,7 @@
     }
 
     /// Reads the whole body, of at most `max_bytes`.
-    pub fn read_body(&mut self, max_bytes: u64) -> Result<Vec<u8>, Verdict> {
+    pub fn read_body(&mut self, max_bytes: u64) -> Result<Vec<u8>, RequestError> {
         if let BodyLength::Known(length) = self.head.body {
             check_body(length, max_bytes)?;
         }
@@ -268,24 +268,24 @@
         check_body(body.len() as u64, max_bytes)?;
         if matches!(self.head.body, BodyLength::Known(length) if length > body.len() as u64) {
             let message = "the connection ended within the body";
-            return Err(Verdict::not_run(ErrorCode::BadRequest, message));
+            return Err(RequestError::not_run(ErrorCode::BadRequest, message));
         }
         self.body_done = true;
         Ok(body)
     }
 }
 
-fn check_body(length: u64, max_bytes: u64) -> Result<(), Verdict> {
+fn check_body(length: u64, max_bytes: u64) -> Result<(), RequestError> {
     if length <= max_bytes {
         return Ok(());
     }
     let message = format!("the body exceeds {max_bytes} bytes");
-    Err(Verdict::not_run(ErrorCode::TooLarge, message))
+    Err(RequestError::not_run(ErrorCode::TooLarge, message))
 }
 
-fn read_failure(error: &io::Error) -> Verdict {
+fn read_failure(error: &io::Error) -> RequestError {
     if error.kind() == io::ErrorKind::TimedOut {
-        return Verdict::not_run(ErrorCode::SlowSender, "the request took too long to arrive");
+        return RequestError::not_run(ErrorCode::SlowSender, "the request took too long to arrive");
     }
-    Verdict::not_run(ErrorCode::BadRequest, error.to_string())
+    RequestError::not_run(ErrorCode::BadRequest, error.to_string())
 }
--- a/crates/http/src/responder.rs
+++ b/crates/http/src/responder.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 
 use chunked_transfer::Encoder;
-use drumshore_core::Verdict;
+use drumshore_core::RequestError;
 use serde::Serialize;
 
 use crate::{Header, EXECUTION_HEADER, RETRY_AFTER_MS_HEADER};
@@ -73,7 +73,7 @@
     }
 
     /// Sends a verdict: status, headers and JSON body say the same.
-    pub fn refuse(mut self, verdict: &Verdict) -> Sent {
+    pub fn refuse(mut self, verdict: &RequestError) -> Sent {
         self.add_header(EXECUTION_HEADER, verdict.execution.as_str());
         if let Some(delay) = verdict.retry_after {
             let seconds = delay.as_millis().div_ceil(1_000).max(1);
@@ -113,7 +113,7 @@
 pub type StreamBody<'c> = Encoder<&'c TcpStream>;
 
 /// A verdict as the JSON document that callers see.
-pub(crate) fn error_body(verdict: &Verdict) -> impl Serialize + '_ {
+pub(crate) fn error_body(verdict: &RequestError) -> impl Serialize + '_ {
     ErrorBody {
         error: ErrorDetail {
             code: verdict.code.as_str(),
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use drumshore_core::{ErrorCode, Verdict};
+use drumshore_core::{ErrorCode, RequestError};
 
 use crate::connection::Input;
 use crate::request::{Head, HeadError, Request};
@@ -171,7 +171,7 @@
 
 fn refuse_connection(stream: &TcpStream, shared: &Shared) {
     let _ = stream.set_write_timeout(Some(shared.params.write_patience));
-    let verdict = Verdict::not_run(ErrorCode::Overloaded, "too many connections");
+    let verdict = RequestError::not_run(ErrorCode::Overloaded, "too many connections");
     Responder::new(stream, false).refuse(&verdict.retry_after(Duration::from_secs(1)));
 }
 
--- a/crates/node/src/control/api.rs
+++ b/crates/node/src/control/api.rs
@@ -9,7 +9,8 @@
 };
 use drumshore_core::settings::{ControlSettings, OperatorAccount};
 use drumshore_core::{
-    ChangeId, ErrorCode, OperatorName, ResourceKey, ResourceKind, ResourceSpec, Revision, Verdict,
+    ChangeId, ErrorCode, OperatorName, RequestError, ResourceKey, ResourceKind, ResourceSpec,
+    Revision,
 };
 use drumshore_http::{Handler, Method, Request, Responder};
 use serde::{Deserialize, Serialize};
@@ -72,16 +73,18 @@
         }
     }
 
-    fn operator(&self, request: &Request<'_>) -> Result<OperatorName, Verdict> {
+    fn operator(&self, request: &Request<'_>) -> Result<OperatorName, RequestError> {
         let presented = request.bearer_key().map(|key| key.hash());
         self.operators
             .iter()
             .find(|account| presented.as_ref() == Some(&account.key_hash))
             .map(|account| account.name.clone())
-            .ok_or_else(|| Verdict::not_run(ErrorCode::Unauthorized, "an operator's key is needed"))
+            .ok_or_else(|| {
+                RequestError::not_run(ErrorCode::Unauthorized, "an operator's key is needed")
+            })
     }
 
-    fn answer(&self, request: &mut Request<'_>) -> Result<OperatorReply, Verdict> {
+    fn answer(&self, request: &mut Request<'_>) -> Result<OperatorReply, RequestError> {
         let operator = self.operator(request)?;
         let asked = parse(request, operator)?;
         let patience = match &asked {
@@ -91,7 +94,11 @@
         self.ask(asked, patience)
     }
 
-    fn ask(&self, request: OperatorRequest, patience: Duration) -> Result<OperatorReply, Verdict> {
+    fn ask(
+        &self,
+        request: OperatorRequest,
+        patience: Duration,
+    ) -> Result<OperatorReply, RequestError> {
         let (sender, receiver) = bounded(1);
         let ticket = {
             let mut registry = self.registry.lock();
@@ -140,7 +147,10 @@
     }
 }
 
-fn parse(request: &mut Request<'_>, operator: OperatorName) -> Result<OperatorRequest, Verdict> {
+fn parse(
+    request: &mut Request<'_>,
+    operator: OperatorName,
+) -> Result<OperatorRequest, RequestError> {
     match (request.method(), request.path()) {
         (Method::Get, "/v1/status") => Ok(OperatorRequest::Status),
         (Method::Get, "/v1/watch") => Ok(parse_watch(request)),
@@ -149,7 +159,7 @@
             let path = path[RESOURCES_PATH.len()..].to_owned();
             parse_resource(method, &path, request, operator)
         }
-        _ => Err(Verdict::not_run(ErrorCode::NotFound, "no such path")),
+        _ => Err(RequestError::not_run(ErrorCode::NotFound, "no such path")),
     }
 }
 
@@ -162,7 +172,7 @@
     }
 }
 
-fn parse_members(request: &mut Request<'_>) -> Result<OperatorRequest, Verdict> {
+fn parse_members(request: &mut Request<'_>) -> Result<OperatorRequest, RequestError> {
     let body = request.read_body(MAX_BODY_BYTES)?;
     let change: MemberChange = serde_json::from_slice(&body).map_err(bad_request)?;
     let id = ReplicaId(change.id);
@@ -179,10 +189,10 @@
     path: &str,
     request: &mut Request<'_>,
     operator: OperatorName,
-) -> Result<OperatorRequest, Verdict> {
+) -> Result<OperatorRequest, RequestError> {
     let (kind, name) = path.split_once('/').unwrap_or((path, ""));
     let kind = ResourceKind::from_word(kind)
-        .ok_or_else(|| Verdict::not_run(ErrorCode::NotFound, "no such kind of resource"))?;
+        .ok_or_else(|| RequestError::not_run(ErrorCode::NotFound, "no such kind of resource"))?;
     let name = name.to_owned();
     match method {
         Method::Get if name.is_empty() => Ok(OperatorRequest::List(kind)),
@@ -211,13 +221,14 @@
                 key: ResourceKey { kind, name },
             })
         }
-        Method::Post | Method::Other => {
-            Err(Verdict::not_run(ErrorCode::NotFound, "no such method here"))
-        }
+        Method::Post | Method::Other => Err(RequestError::not_run(
+            ErrorCode::NotFound,
+            "no such method here",
+        )),
     }
 }
 
-fn change_headers(request: &Request<'_>) -> Result<(Revision, ChangeId), Verdict> {
+fn change_headers(request: &Request<'_>) -> Result<(Revision, ChangeId), RequestError> {
     let expected = request
         .header(EXPECTED_VERSION_HEADER)
         .and_then(|version| version.parse().ok())
@@ -229,14 +240,15 @@
     Ok((Revision(expected), ChangeId::new(change_id)))
 }
 
-fn bad_request(reason: impl ToString) -> Verdict {
-    Verdict::not_run(ErrorCode::BadRequest, reason.to_string())
+fn bad_request(reason: impl ToString) -> RequestError {
+    RequestError::not_run(ErrorCode::BadRequest, reason.to_string())
 }
 
 /// A change that was not confirmed may still be accepted, so this is not "not run".
-fn unavailable() -> Verdict {
+fn unavailable() -> RequestError {
     let message = "no quorum confirmed in time; send a change again with the same id";
-    Verdict::may_have_run(ErrorCode::ConfigUnavailable, message).retry_after(Duration::from_secs(1))
+    RequestError::may_have_run(ErrorCode::ConfigUnavailable, message)
+        .retry_after(Duration::from_secs(1))
 }
 
 fn send(reply: OperatorReply, responder: Responder<'_>) {
@@ -251,7 +263,10 @@
             responder.send_json(200, &resource);
         }
         OperatorReply::Resource(None) => {
-            responder.refuse(&Verdict::not_run(ErrorCode::NotFound, "no such resource"));
+            responder.refuse(&RequestError::not_run(
+                ErrorCode::NotFound,
+                "no such resource",
+            ));
         }
         OperatorReply::Resources {
             revision,
--- a/crates/node/src/router/completions.rs
+++ b/crates/node/src/router/completions.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-use drumshore_core::{ErrorCode, RequestId, Verdict};
+use drumshore_core::{ErrorCode, RequestError, RequestId};
 use drumshore_http::{Responder, StreamBody, REQUEST_ID_HEADER};
 use drumshore_router::{
     AdmitRequest, AttemptFailure, CompletionRequest, Conclusion, Exchange, ExchangeParams, Next,
@@ -81,7 +81,7 @@
             call!([context.actor], admit(ask, ret));
         });
         let Some((id, outcome)) = admitted.flatten() else {
-            let verdict = Verdict::not_run(ErrorCode::Internal, "the router is ending");
+            let verdict = RequestError::not_run(ErrorCode::Internal, "the router is ending");
             return self.caller.refuse(&verdict);
         };
         self.id = id;
@@ -160,7 +160,7 @@
             Some((_, outcome)) => self.exchange.on_outcome(outcome),
             None => {
                 let message = "the router is ending";
-                let verdict = Verdict::may_have_run(ErrorCode::Internal, message);
+                let verdict = RequestError::may_have_run(ErrorCode::Internal, message);
                 Next::Finish(Conclusion::Failed(verdict))
             }
         }
@@ -243,7 +243,7 @@
 
     /// Before the answer began, a refusal is an answer of its own; after, it is the last event,
     /// of a type that no completion has.
-    fn refuse(&mut self, verdict: &Verdict) {
+    fn refuse(&mut self, verdict: &RequestError) {
         if let Some(responder) = self.take_responder() {
             responder.refuse(verdict);
             return;
--- a/crates/node/src/router/edge.rs
+++ b/crates/node/src/router/edge.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use drumshore_core::settings::RouterSettings;
-use drumshore_core::{ErrorCode, IdempotencyKey, KeyHash, ModelName, RequestId, Verdict};
+use drumshore_core::{ErrorCode, IdempotencyKey, KeyHash, ModelName, RequestError, RequestId};
 use drumshore_http::{Handler, Method, Request, Responder};
 use drumshore_router::engine_api;
 use drumshore_router::{
@@ -90,7 +90,7 @@
                 responder.refuse(&verdict);
             }
             _ => {
-                responder.refuse(&Verdict::not_run(
+                responder.refuse(&RequestError::not_run(
                     ErrorCode::Internal,
                     "the router is ending",
                 ));
@@ -104,7 +104,10 @@
             responder.send(200, "text/plain", b"ready\n");
         } else {
             let message = "no configuration yet, or stopping";
-            responder.refuse(&Verdict::not_run(ErrorCode::ConfigUnavailable, message));
+            responder.refuse(&RequestError::not_run(
+                ErrorCode::ConfigUnavailable,
+                message,
+            ));
         }
     }
 
@@ -122,7 +125,7 @@
         let presented = request.bearer_key().map(|key| key.hash());
         if !presented.is_some_and(|key| self.operator_key_hashes.contains(&key)) {
             let message = "an operator's key is needed";
-            responder.refuse(&Verdict::not_run(ErrorCode::Unauthorized, message));
+            responder.refuse(&RequestError::not_run(ErrorCode::Unauthorized, message));
             return;
         }
         let id = request.path().trim_start_matches(EXPLAIN_PATH);
@@ -132,7 +135,7 @@
         });
         match record {
             Some(record) => responder.send_json(200, &record),
-            None => responder.refuse(&Verdict::not_run(
+            None => responder.refuse(&RequestError::not_run(
                 ErrorCode::NotFound,
                 "no recent request has this id at this router",
             )),
@@ -172,17 +175,20 @@
                 self.explain(request, responder);
             }
             _ => {
-                responder.refuse(&Verdict::not_run(ErrorCode::NotFound, "no such path"));
+                responder.refuse(&RequestError::not_run(ErrorCode::NotFound, "no such path"));
             }
         }
     }
 }
 
-fn ask_of(request: &Request<'_>, completion: &CompletionRequest) -> Result<AdmitRequest, Verdict> {
+fn ask_of(
+    request: &Request<'_>,
+    completion: &CompletionRequest,
+) -> Result<AdmitRequest, RequestError> {
     let key = request.header(engine_api::IDEMPOTENCY_KEY);
     if key.is_some_and(|key| key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_BYTES) {
         let message = format!("idempotency-key must have 1 to {MAX_IDEMPOTENCY_KEY_BYTES} bytes");
-        return Err(Verdict::not_run(ErrorCode::BadRequest, message));
+        return Err(RequestError::not_run(ErrorCode::BadRequest, message));
     }
     Ok(AdmitRequest {
         key_hash: request.bearer_key().map(|key| key.hash()),
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use drumshore_core::{AdapterName, ErrorCode, ModelName, Priority, Verdict};
+use drumshore_core::{AdapterName, ErrorCode, ModelName, Priority, RequestError};
 use drumshore_routing::Prompt;
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
@@ -102,7 +102,7 @@
 
 impl CompletionRequest {
     /// Reads a body.
-    pub fn parse(kind: CompletionKind, body: &[u8]) -> Result<Self, Verdict> {
+    pub fn parse(kind: CompletionKind, body: &[u8]) -> Result<Self, RequestError> {
         let mut document: serde_json::Value = serde_json::from_slice(body).map_err(bad_request)?;
         let parsed = Body::deserialize(&document).map_err(bad_request)?;
         let prompt = match kind {
@@ -126,8 +126,8 @@
     }
 }
 
-fn bad_request(reason: impl ToString) -> Verdict {
-    Verdict::not_run(ErrorCode::BadRequest, reason.to_string())
+fn bad_request(reason: impl ToString) -> RequestError {
+    RequestError::not_run(ErrorCode::BadRequest, reason.to_string())
 }
 
 /// The text under which a conversation's prefixes are known.
--- a/crates/router/src/core/ledger.rs
+++ b/crates/router/src/core/ledger.rs
@@ -1,6 +1,6 @@
 //! Claims before, and outcomes after, work that may not be repeated.
 
-use drumshore_core::{ErrorCode, Execution, RequestId, Timestamp, Verdict};
+use drumshore_core::{ErrorCode, Execution, RequestError, RequestId, Timestamp};
 use drumshore_wire::{Blob, ClaimGrant, ClaimRequest, ClaimResponse, Message, OutcomeReport, Text};
 
 use super::{ActiveRequest, AdmitOutcome, Phase, RouterCore};
@@ -65,17 +65,17 @@
             ClaimGrant::Completed(answer) => self.answer_recorded(id, &answer),
             ClaimGrant::StillRunning => {
                 let message = "a request with this key is still running";
-                let verdict = Verdict::may_have_run(ErrorCode::StillRunning, message);
+                let verdict = RequestError::may_have_run(ErrorCode::StillRunning, message);
                 self.refuse_claimed(id, verdict.retry_after(RETRY_AFTER_RUNNING));
             }
             ClaimGrant::MayHaveRun => {
                 let message = "a request with this key may have run; it is not repeated";
-                let verdict = Verdict::may_have_run(ErrorCode::NotRepeated, message);
+                let verdict = RequestError::may_have_run(ErrorCode::NotRepeated, message);
                 self.refuse_claimed(id, verdict);
             }
             ClaimGrant::KeyReused => {
                 let message = "the key was used for another request";
-                let verdict = Verdict::not_run(ErrorCode::KeyReused, message);
+                let verdict = RequestError::not_run(ErrorCode::KeyReused, message);
                 self.refuse_claimed(id, verdict);
             }
             ClaimGrant::Unavailable => self.give_claim_up(id),
@@ -184,14 +184,14 @@
             Ok(answer) => AdmitOutcome::Recorded(answer),
             Err(error) => {
                 let message = format!("the recorded answer is unreadable: {error}");
-                AdmitOutcome::Refused(Verdict::ran(ErrorCode::Internal, message))
+                AdmitOutcome::Refused(RequestError::ran(ErrorCode::Internal, message))
             }
         };
         self.answer(id, outcome);
     }
 
     /// Somebody else holds the claim, so this request has no outcome to report.
-    fn refuse_claimed(&mut self, id: RequestId, verdict: Verdict) {
+    fn refuse_claimed(&mut self, id: RequestId, verdict: RequestError) {
         self.drop_claim(id);
         self.refuse_active(id, verdict);
     }
@@ -213,8 +213,8 @@
     }
 }
 
-fn unavailable() -> Verdict {
+fn unavailable() -> RequestError {
     let message = "no quorum of control machines answered; nothing was started";
-    Verdict::not_run(ErrorCode::LedgerUnavailable, message)
+    RequestError::not_run(ErrorCode::LedgerUnavailable, message)
         .retry_after(std::time::Duration::from_secs(1))
 }
--- a/crates/router/src/core/placement.rs
+++ b/crates/router/src/core/placement.rs
@@ -1,6 +1,8 @@
 //! Puts a request on an engine, and learns from what came of it.
 
-use drumshore_core::{ErrorCode, PlacementGoal, RequestId, Timestamp, Verdict, WeightsVersion};
+use drumshore_core::{
+    ErrorCode, PlacementGoal, RequestError, RequestId, Timestamp, WeightsVersion,
+};
 use drumshore_routing::{
     AnswerReport, AttemptRecord, Choice, Decision, LookupAnswer, Placement, PrefixChain,
     PrefixRoot, RoutingRequest,
@@ -24,7 +26,7 @@
         }
         let Some(prompt) = self.prompt_of(id) else {
             let message = "the model is not configured any more";
-            let verdict = Verdict::not_run(ErrorCode::UnknownModel, message);
+            let verdict = RequestError::not_run(ErrorCode::UnknownModel, message);
             self.refuse_active(id, verdict);
             return true;
         };
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -1,6 +1,6 @@
 //! A request's life: admitted, queued, placed, tried again, ended.
 
-use drumshore_core::{ErrorCode, Execution, RequestId, TenantName, TenantSpec, Verdict};
+use drumshore_core::{ErrorCode, Execution, RequestError, RequestId, TenantName, TenantSpec};
 use drumshore_guard::{enforced, Guard};
 use drumshore_routing::{
     AdmissionDecision, AdmissionRequest, DecisionRecord, FairQueue, QueuedItem,
@@ -23,7 +23,7 @@
             sequence: self.next_sequence,
         };
         if self.stopping {
-            let verdict = Verdict::not_run(ErrorCode::Stopping, "the router is stopping");
+            let verdict = RequestError::not_run(ErrorCode::Stopping, "the router is stopping");
             self.refuse_new(id, verdict.retry_after(RETRY_AFTER_SHED));
         } else {
             self.identify(id, ask);
@@ -89,7 +89,7 @@
             Conclusion::CallerGone => {
                 self.metrics.failed += 1;
                 let message = "the caller went away";
-                let verdict = Verdict::may_have_run(ErrorCode::EngineFailed, message);
+                let verdict = RequestError::may_have_run(ErrorCode::EngineFailed, message);
                 self.record_outcome(&request, id, verdict.execution, None);
                 self.note_end(id, &verdict);
             }
@@ -112,7 +112,7 @@
         let allowed = spec.models.is_empty() || spec.models.contains(&ask.model);
         if !allowed || self.config.model(&ask.model).is_none() {
             let message = format!("model {} is not served to this tenant", ask.model);
-            return self.refuse_new(id, Verdict::not_run(ErrorCode::UnknownModel, message));
+            return self.refuse_new(id, RequestError::not_run(ErrorCode::UnknownModel, message));
         }
         let limits = &spec.limits;
         let request = AdmissionRequest {
@@ -143,14 +143,14 @@
     }
 
     /// Refuses a request that was not admitted.
-    pub(super) fn refuse_new(&mut self, id: RequestId, verdict: Verdict) {
+    pub(super) fn refuse_new(&mut self, id: RequestId, verdict: RequestError) {
         self.metrics.refused += 1;
         self.answer(id, AdmitOutcome::Refused(verdict));
     }
 
     /// Refuses a request that was admitted. Its owner ends it with `on_finished`. It is "not
     /// run" only if none of its attempts may have run.
-    pub(super) fn refuse_active(&mut self, id: RequestId, mut verdict: Verdict) {
+    pub(super) fn refuse_active(&mut self, id: RequestId, mut verdict: RequestError) {
         if let Some(request) = self.active.get(&id) {
             verdict.execution = verdict.execution.max(request.execution);
         }
@@ -203,7 +203,7 @@
             .collect();
         for id in expired {
             let message = "no engine took the request in time";
-            let verdict = Verdict::not_run(ErrorCode::DeadlineExceeded, message);
+            let verdict = RequestError::not_run(ErrorCode::DeadlineExceeded, message);
             self.refuse_active(id, verdict.retry_after(RETRY_AFTER_SHED));
         }
     }
@@ -227,7 +227,7 @@
             .or_insert_with(|| FairQueue::new(capacity));
         if let Some(shed) = queue.push(item, weight) {
             let message = "too many requests wait for an engine";
-            let verdict = Verdict::not_run(ErrorCode::Overloaded, message);
+            let verdict = RequestError::not_run(ErrorCode::Overloaded, message);
             self.refuse_active(shed.item, verdict.retry_after(RETRY_AFTER_SHED));
         }
     }
@@ -290,7 +290,7 @@
         });
     }
 
-    fn count_failure(&mut self, verdict: &Verdict) {
+    fn count_failure(&mut self, verdict: &RequestError) {
         if verdict.execution == Execution::NotRun {
             self.metrics.refused += 1;
         } else {
@@ -298,14 +298,14 @@
         }
     }
 
-    fn note_failure(&mut self, id: RequestId, verdict: &Verdict) {
+    fn note_failure(&mut self, id: RequestId, verdict: &RequestError) {
         let record = self.decisions.get_mut(id);
         if let Some(attempt) = record.and_then(|record| record.attempts.last_mut()) {
             attempt.verdict = Some(verdict.clone());
         }
     }
 
-    fn note_end(&mut self, id: RequestId, verdict: &Verdict) {
+    fn note_end(&mut self, id: RequestId, verdict: &RequestError) {
         if let Some(record) = self.decisions.get_mut(id) {
             record.verdict = Some(verdict.clone());
         }
--- a/crates/router/src/core/tenants.rs
+++ b/crates/router/src/core/tenants.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use drumshore_core::{ErrorCode, KeyHash, RequestId, Resource, Revision, Timestamp, Verdict};
+use drumshore_core::{ErrorCode, KeyHash, RequestError, RequestId, Resource, Revision, Timestamp};
 use drumshore_wire::{Message, TenantAnswer, TenantQuery, Text};
 
 use super::{AdmitRequest, Phase, RouterCore};
@@ -53,7 +53,7 @@
     pub(super) fn identify(&mut self, id: RequestId, ask: AdmitRequest) {
         let Some(key) = ask.key_hash.clone() else {
             let message = "no bearer key was presented";
-            return self.refuse_new(id, Verdict::not_run(ErrorCode::Unauthorized, message));
+            return self.refuse_new(id, RequestError::not_run(ErrorCode::Unauthorized, message));
         };
         if let Some((tenant, spec)) = self.config.tenant_of_key(&key) {
             let spec = spec.clone();
@@ -63,7 +63,7 @@
             return self.refuse_new(id, unauthorized());
         }
         if self.unknown_keys.asked.len() >= MAX_ASKED {
-            let verdict = Verdict::not_run(ErrorCode::Overloaded, "too many unknown keys");
+            let verdict = RequestError::not_run(ErrorCode::Overloaded, "too many unknown keys");
             return self.refuse_new(id, verdict.retry_after(self.params.tenant_patience));
         }
         self.park(id, ask);
@@ -146,7 +146,7 @@
                 asked.waiting.retain(|waiting| *waiting != id);
             }
             let message = "no control machine confirmed who holds the key";
-            let verdict = Verdict::not_run(ErrorCode::ConfigUnavailable, message);
+            let verdict = RequestError::not_run(ErrorCode::ConfigUnavailable, message);
             self.refuse_new(id, verdict.retry_after(self.params.tenant_patience));
         }
         self.unknown_keys
@@ -177,8 +177,8 @@
     }
 }
 
-fn unauthorized() -> Verdict {
-    Verdict::not_run(ErrorCode::Unauthorized, "no tenant holds the key")
+fn unauthorized() -> RequestError {
+    RequestError::not_run(ErrorCode::Unauthorized, "no tenant holds the key")
 }
 
 fn query(key: &KeyHash, ticket: u64) -> Message {
--- a/crates/router/src/core/types.rs
+++ b/crates/router/src/core/types.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use drumshore_core::{
-    AdapterName, EngineName, IdempotencyKey, Incarnation, KeyHash, ModelName, Priority, RequestId,
-    Verdict, WeightsVersion,
+    AdapterName, EngineName, IdempotencyKey, Incarnation, KeyHash, ModelName, Priority,
+    RequestError, RequestId, WeightsVersion,
 };
 use drumshore_routing::{EngineObservation, PrefixRoot};
 use drumshore_wire::Message;
@@ -83,7 +83,7 @@
     /// The models that the tenant may use.
     Models(Vec<ModelName>),
     /// It is over.
-    Refused(Verdict),
+    Refused(RequestError),
 }
 
 /// What a router keeps in its data folder, so that it serves at once after a restart.
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -3,7 +3,7 @@
 //! The owner of an [`Exchange`] does the I/O. It makes the call that [`Next`] names, hands in
 //! what comes back, and asks the core where to go next when told to.
 
-use drumshore_core::{ErrorCode, Execution, Verdict};
+use drumshore_core::{ErrorCode, Execution, RequestError};
 use drumshore_routing::AnswerReport;
 
 use crate::answer::RecordedAnswer;
@@ -50,7 +50,7 @@
     /// The answer had been recorded before; nothing ran now.
     Recorded(RecordedAnswer),
     /// It failed.
-    Failed(Verdict),
+    Failed(RequestError),
     /// The caller went away.
     CallerGone,
 }
@@ -80,7 +80,7 @@
     /// What kind.
     pub kind: FailureKind,
     /// Whether it may have run, and why it failed.
-    pub verdict: Verdict,
+    pub verdict: RequestError,
     /// True when a part of the answer has reached the caller.
     pub delivered: bool,
 }
@@ -195,7 +195,7 @@
             AdmitOutcome::Refused(verdict) => self.finish(Conclusion::Failed(verdict)),
             AdmitOutcome::Models(_) => {
                 let message = "models were listed to a request that wants to run";
-                let verdict = Verdict::not_run(ErrorCode::Internal, message);
+                let verdict = RequestError::not_run(ErrorCode::Internal, message);
                 self.finish(Conclusion::Failed(verdict))
             }
         }
@@ -240,7 +240,7 @@
             Ok(RelayProgress::Done) => self.finish(Conclusion::Answered),
             Err(RelayError::Diverged) => {
                 let message = RelayError::Diverged.to_string();
-                let verdict = Verdict::ran(ErrorCode::EngineFailed, message);
+                let verdict = RequestError::ran(ErrorCode::EngineFailed, message);
                 self.failed(FailureKind::Diverged, verdict)
             }
             Err(error) => self.resume_or(&error.to_string()),
@@ -253,7 +253,7 @@
             (Stage::Over, _) => Next::Read,
             (Stage::Starting, UpstreamEnd::NotConnected) => {
                 let message = "the engine could not be reached";
-                let verdict = Verdict::not_run(ErrorCode::NoEngine, message);
+                let verdict = RequestError::not_run(ErrorCode::NoEngine, message);
                 self.failed(FailureKind::Unreachable, verdict)
             }
             (_, UpstreamEnd::NotConnected) => self.broken("the engine is gone"),
@@ -308,9 +308,9 @@
             _ => ErrorCode::NoEngine,
         };
         let message = format!("the engine refused with status {}", head.status);
-        let verdict = Verdict {
+        let verdict = RequestError {
             execution: head.execution.unwrap_or(presumed),
-            ..Verdict::not_run(code, message)
+            ..RequestError::not_run(code, message)
         };
         self.failed(kind, verdict)
     }
@@ -332,14 +332,14 @@
 
     fn broken(&mut self, reason: &str) -> Next {
         let verdict = if self.has_delivered() {
-            Verdict::ran(ErrorCode::EngineFailed, reason)
+            RequestError::ran(ErrorCode::EngineFailed, reason)
         } else {
-            Verdict::may_have_run(ErrorCode::EngineFailed, reason)
+            RequestError::may_have_run(ErrorCode::EngineFailed, reason)
         };
         self.failed(FailureKind::Broken, verdict)
     }
 
-    fn failed(&mut self, kind: FailureKind, verdict: Verdict) -> Next {
+    fn failed(&mut self, kind: FailureKind, verdict: RequestError) -> Next {
         self.stage = Stage::Waiting;
         Next::Report(AttemptFailure {
             kind,
--- a/crates/router/src/tests/core.rs
+++ b/crates/router/src/tests/core.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use drumshore_core::{
-    EnginePoolSpec, ErrorCode, Execution, IdempotencyKey, ModelName, RequestId, ResourceSpec,
-    SecretKey, Timestamp, Verdict,
+    EnginePoolSpec, ErrorCode, Execution, IdempotencyKey, ModelName, RequestError, RequestId,
+    ResourceSpec, SecretKey, Timestamp,
 };
 use drumshore_wire::{
     Blob, ClaimGrant, ClaimResponse, EngineEntry, EngineStateCode, EngineUpdate, Freshness,
@@ -156,9 +156,9 @@
     }
 
     fn fail(&mut self, id: RequestId, kind: FailureKind, execution: Execution, delivered: bool) {
-        let verdict = Verdict {
+        let verdict = RequestError {
             execution,
-            ..Verdict::not_run(ErrorCode::EngineFailed, "test")
+            ..RequestError::not_run(ErrorCode::EngineFailed, "test")
         };
         let failure = AttemptFailure {
             kind,
@@ -189,7 +189,7 @@
         }
     }
 
-    fn verdict(&self, id: RequestId) -> &Verdict {
+    fn verdict(&self, id: RequestId) -> &RequestError {
         match self.last(id) {
             Some(AdmitOutcome::Refused(verdict)) => verdict,
             other => panic!("{other:?}"),
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use drumshore_core::{ErrorCode, TenantLimits, TenantName, Timestamp, Verdict};
+use drumshore_core::{ErrorCode, RequestError, TenantLimits, TenantName, Timestamp};
 
 /// Bounds of the process itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     /// It may start; [`Admission::release`] must follow.
     Admitted,
     /// It may not, and did not run.
-    Refused(Verdict),
+    Refused(RequestError),
 }
 
 #[derive(Clone, Debug)]
@@ -83,7 +83,8 @@
     /// Decides on one request.
     pub fn admit(&mut self, request: &AdmissionRequest<'_>, now: Timestamp) -> AdmissionDecision {
         if self.open >= self.params.max_open {
-            let verdict = Verdict::not_run(ErrorCode::Overloaded, "too many requests are open");
+            let verdict =
+                RequestError::not_run(ErrorCode::Overloaded, "too many requests are open");
             return AdmissionDecision::Refused(verdict.retry_after(Duration::from_secs(1)));
         }
         let tenant = self.tenant_use(request, now);
@@ -149,7 +150,7 @@
 }
 
 impl TenantUse {
-    fn check(&mut self, limits: &TenantLimits, now: Timestamp) -> Result<(), Verdict> {
+    fn check(&mut self, limits: &TenantLimits, now: Timestamp) -> Result<(), RequestError> {
         let rate = f64::from(limits.requests_per_second);
         let rate = self
             .allotment
@@ -161,13 +162,13 @@
         self.refill(rate, now);
         if self.open >= open {
             let message = "the tenant's limit of concurrent requests is reached";
-            let verdict = Verdict::not_run(ErrorCode::LimitReached, message);
+            let verdict = RequestError::not_run(ErrorCode::LimitReached, message);
             return Err(verdict.retry_after(Duration::from_millis(500)));
         }
         if self.tokens < 1.0 {
             let wait = Duration::from_secs_f64((1.0 - self.tokens) / rate.max(0.1));
             let message = "the tenant's request rate is reached";
-            return Err(Verdict::not_run(ErrorCode::LimitReached, message).retry_after(wait));
+            return Err(RequestError::not_run(ErrorCode::LimitReached, message).retry_after(wait));
         }
         self.tokens -= 1.0;
         Ok(())
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use drumshore_core::{
-    EngineName, Incarnation, ModelName, RequestId, TenantName, Timestamp, Verdict, WeightsVersion,
+    EngineName, Incarnation, ModelName, RequestError, RequestId, TenantName, Timestamp,
+    WeightsVersion,
 };
 use serde::{Deserialize, Serialize};
 
@@ -48,7 +49,7 @@
     /// Prompt tokens that the engine reported as cached.
     pub cached_tokens: Option<u32>,
     /// How the attempt failed, when it did.
-    pub verdict: Option<Verdict>,
+    pub verdict: Option<RequestError>,
 }
 
 /// The story of one request.
@@ -69,7 +70,7 @@
     /// The attempts, first to last.
     pub attempts: Vec<AttemptRecord>,
     /// How it ended: `None` while it runs or when it was answered whole.
-    pub verdict: Option<Verdict>,
+    pub verdict: Option<RequestError>,
     /// True when the caller got a whole answer.
     pub answered: bool,
 }
--- a/crates/testbed/src/sim/callers.rs
+++ b/crates/testbed/src/sim/callers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use drumshore_core::{
-    ErrorCode, Execution, IdempotencyKey, ModelName, RequestId, SecretKey, Timestamp, Verdict,
+    ErrorCode, Execution, IdempotencyKey, ModelName, RequestError, RequestId, SecretKey, Timestamp,
     WeightsVersion,
 };
 use drumshore_router::{
@@ -342,7 +342,7 @@
         }
     }
 
-    fn on_failed(&mut self, exchange: &SimExchange, id: RequestId, verdict: &Verdict) {
+    fn on_failed(&mut self, exchange: &SimExchange, id: RequestId, verdict: &RequestError) {
         self.trace
             .mark(self.now, verdict.code.as_str(), id.sequence);
         if verdict.execution == Execution::NotRun {
