--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,4 +1,4 @@
-//! The one error type of the request path: it says whether the request may have run.
+//! The error type of the request path, which says whether the request may have run.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Execution {
-    /// No engine has started it and none will: sending it again is safe.
+    /// No engine has started the request and none will, so it is safe to send it again.
     NotRun,
-    /// An engine may have started it; nobody can say.
+    /// An engine may have started the request; the router cannot tell.
     MayHaveRun,
-    /// An engine has started it.
+    /// An engine has started the request.
     Ran,
 }
 
 impl Execution {
-    /// The word used in headers and JSON bodies.
+    /// The name used in headers and JSON bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Execution::NotRun => "not_run",
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Reads the word back. An unknown word counts as `MayHaveRun`, the cautious reading.
+    /// Parses the name. An unknown name means `MayHaveRun`, which never permits an unsafe repeat.
     pub fn from_word(word: &str) -> Self {
         match word {
             "not_run" => Execution::NotRun,
@@ -38,7 +38,7 @@
 
 macro_rules! error_codes {
     ($($(#[$meta:meta])* $name:ident = $word:literal, $status:literal;)*) => {
-        /// Stable codes of the errors that callers see.
+        /// Stable error codes that callers see.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum ErrorCode {
@@ -46,12 +46,12 @@
         }
 
         impl ErrorCode {
-            /// The word in the JSON body. It does not change between releases.
+            /// The code in the JSON body. It does not change between releases.
             pub fn as_str(self) -> &'static str {
                 match self { $(ErrorCode::$name => $word,)* }
             }
 
-            /// The HTTP status that goes with the code.
+            /// The HTTP status of responses with this code.
             pub fn status(self) -> u16 {
                 match self { $(ErrorCode::$name => $status,)* }
             }
@@ -62,19 +62,19 @@
 error_codes! {
     /// The body is not a valid request.
     BadRequest = "bad_request", 400;
-    /// No key, or one that no tenant holds.
+    /// The request has no key, or one that belongs to no tenant.
     Unauthorized = "unauthorized", 401;
-    /// The model is not configured, or not for this tenant.
+    /// The model is not configured, or the tenant may not use it.
     UnknownModel = "unknown_model", 404;
-    /// No such path or object.
+    /// The path or the object does not exist.
     NotFound = "not_found", 404;
-    /// The key was used before for a different request.
+    /// The idempotency key was used before for a different request.
     KeyReused = "key_reused", 409;
-    /// A request with the same key is still running.
+    /// A request with the same idempotency key is still running.
     StillRunning = "still_running", 409;
-    /// A request with the same key may have run; it is not repeated.
+    /// A request with the same idempotency key may have run; it is not repeated.
     NotRepeated = "not_repeated", 409;
-    /// The engine's incarnation or weights differ from what the router believed.
+    /// The engine's incarnation or weights version differs from the one that the router expected.
     FenceMismatch = "fence_mismatch", 412;
     /// The request took too long to arrive.
     SlowSender = "slow_sender", 408;
@@ -84,41 +84,41 @@
     LimitReached = "limit_reached", 429;
     /// The caller's headers exceed the limit.
     HeadersTooLarge = "headers_too_large", 431;
-    /// A defect of drumshore.
+    /// An internal error of drumshore.
     Internal = "internal", 500;
     /// The engine failed after the request was sent.
     EngineFailed = "engine_failed", 502;
-    /// No engine can take the request now.
+    /// No engine can accept the request now.
     NoEngine = "no_engine", 503;
     /// The process is shutting down.
     Stopping = "stopping", 503;
-    /// Too many requests at once for this process.
+    /// The process has too many requests open.
     Overloaded = "overloaded", 503;
-    /// The ledger has no quorum, so work that may not be repeated cannot start.
+    /// The ledger of idempotency keys has no quorum, so a request with such a key cannot start.
     LedgerUnavailable = "ledger_unavailable", 503;
-    /// No control machine confirmed what the request depends on.
+    /// No control machine confirmed the configuration that the request depends on.
     ConfigUnavailable = "config_unavailable", 503;
-    /// The deadline passed.
+    /// The request's deadline has passed.
     DeadlineExceeded = "deadline_exceeded", 504;
 }
 
-/// The end of a request that got no whole answer.
+/// The error of a request that got no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{message} ({}, {})", code.as_str(), execution.as_str())]
 pub struct RequestError {
     /// Whether the request may have run.
     pub execution: Execution,
-    /// What went wrong.
+    /// The stable code of the failure.
     pub code: ErrorCode,
-    /// One sentence for a person.
+    /// A sentence for people that explains the failure.
     pub message: String,
-    /// When it makes sense to come back.
+    /// The delay after which the caller may retry, if known.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_after: Option<Duration>,
 }
 
 impl RequestError {
-    /// A refusal: the request did not run.
+    /// The error of a request that was refused and did not run.
     pub fn not_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             execution: Execution::NotRun,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// A failure after which nobody can say whether the request ran.
+    /// The error of a request that failed and may have run.
     pub fn may_have_run(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             execution: Execution::MayHaveRun,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A failure of a request that did run.
+    /// The error of a request that ran and failed.
     pub fn ran(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
             execution: Execution::Ran,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the delay after which the caller may retry.
     pub fn retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Typed identifiers. A worker id is not a number, a tenant is not a string.
+//! Typed identifiers, so that identifiers of different kinds cannot be mixed up.
 
 use std::fmt;
 
@@ -12,12 +12,12 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// Wraps a name without checking it.
+            /// Creates the identifier without validating the name.
             pub fn new(name: impl AsRef<str>) -> Self {
                 Self(std::sync::Arc::from(name.as_ref()))
             }
 
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -55,45 +55,45 @@
 }
 
 name_type! {
-    /// A tenant, the unit of isolation and of limits.
+    /// A tenant: the unit of isolation and of limits.
     TenantName;
-    /// A model as callers name it.
+    /// A model, by the name that callers use.
     ModelName;
-    /// An adapter on top of a model.
+    /// An adapter that is loaded on top of a model.
     AdapterName;
-    /// A pool of engines that serve the same model.
+    /// A pool: the engines that serve the same model.
     PoolName;
-    /// An engine as the platform names it.
+    /// An engine, by its name on the platform.
     EngineName;
-    /// A machine as the platform names it.
+    /// A machine, by its name on the platform.
     MachineName;
-    /// A zone of a region.
+    /// A zone, named `region/zone` if it belongs to a region.
     ZoneName;
-    /// A router process.
+    /// A router process, by the name in its settings.
     RouterName;
-    /// An operator, named by the key it presents.
+    /// An operator, identified by the key that it presents.
     OperatorName;
-    /// The caller's key for work that may not be repeated.
+    /// The caller's key for a request that must not run twice.
     IdempotencyKey;
-    /// The operator's key for one change, so that a resent change is recognised.
+    /// The operator's key for one change, by which a resent change is recognised.
     ChangeId;
 }
 
 number_type! {
-    /// Changes each time an engine starts; an engine's cache is empty under a new one.
+    /// Identifies one start of an engine. An engine's cache is empty after each start.
     Incarnation;
-    /// The version of a model's weights; cache computed under another one is worthless.
+    /// The version of a model's weights. Cache entries computed with another version are unusable.
     WeightsVersion;
-    /// The term of the control leader that issued an order.
+    /// The term of the control leader that issued an order; it fences orders of earlier leaders.
     Epoch;
-    /// The position of a change in the replicated store; grows by one with each change.
+    /// The position of a change in the replicated store. Each change increments it by one.
     Revision;
-    /// A compact engine identity: the hash of its name.
+    /// A compact engine identifier: the hash of the engine's name.
     EngineId;
 }
 
 impl ZoneName {
-    /// The region of a zone that is named `region/zone`; empty when the name has none.
+    /// The region of a zone that is named `region/zone`; empty if the name has no region.
     pub fn region(&self) -> &str {
         self.as_str()
             .split_once('/')
@@ -102,18 +102,18 @@
 }
 
 impl EngineName {
-    /// The compact identity that load reports and the index use.
+    /// The compact identifier that load reports and the cache index use.
     pub fn id(&self) -> EngineId {
         EngineId(xxhash_rust::xxh3::xxh3_64(self.as_str().as_bytes()))
     }
 }
 
-/// A request, unique over routers and restarts: random router part and a counter.
+/// A request identifier, unique across routers and restarts: a random router part and a counter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
-    /// Drawn at random when the router starts.
+    /// Chosen at random when the router starts.
     pub router: u64,
-    /// Counts the router's requests from 1.
+    /// The number of the request at its router, from 1.
     pub sequence: u64,
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
-//! What every part of drumshore shares: identifiers, verdicts, resources and settings.
+//! Types shared by all drumshore crates: identifiers, request errors, resources and settings.
 //!
-//! Nothing here does I/O, reads a clock or starts a thread.
+//! Nothing in this crate does I/O, reads a clock or starts a thread.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/core/src/resource.rs
+++ b/crates/core/src/resource.rs
@@ -1,4 +1,5 @@
-//! The documents that operators write: engine pools, models, tenants, priorities, rollouts.
+//! The resources that operators configure: engine pools, models, tenants, priority classes and
+//! rollouts.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,7 @@
 
 const MAX_NAME_BYTES: usize = 63;
 
-/// The kinds of resource.
+/// The kind of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResourceKind {
@@ -37,7 +38,7 @@
         ResourceKind::Rollout,
     ];
 
-    /// The word used in paths and documents.
+    /// The name used in URL paths and documents.
     pub fn as_str(self) -> &'static str {
         match self {
             ResourceKind::EnginePool => "engine-pool",
@@ -48,30 +49,30 @@
         }
     }
 
-    /// Reads the word back.
+    /// Parses the name used in URL paths and documents.
     pub fn from_word(word: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.as_str() == word)
     }
 }
 
-/// Identifies a resource.
+/// The kind and name that identify a resource.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResourceKey {
-    /// Its kind.
+    /// The kind of the resource.
     pub kind: ResourceKind,
-    /// Its name, unique within the kind.
+    /// The name, unique within the kind.
     pub name: String,
 }
 
-/// How urgent a request is. Lower values go first and are shed last.
+/// The urgency of a request. Lower values are served first and shed last.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Someone waits for the answer.
+    /// A person waits for the answer.
     Interactive,
-    /// The usual.
+    /// The default for requests without a class.
     #[default]
     Standard,
     /// Can wait; shed first.
@@ -87,14 +88,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EnginePoolSpec {
-    /// The model the engines hold.
+    /// The model that the engines serve.
     pub model: ModelName,
-    /// Engines that must get no new work, by order of an operator.
+    /// Engines that an operator has excluded from new requests.
     #[serde(default)]
     pub draining: BTreeSet<EngineName>,
 }
 
-/// What placement weighs more when it cannot have both.
+/// The goal that placement favours when latency and cache reuse conflict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlacementGoal {
@@ -109,24 +110,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// The version that requests are answered with.
+    /// The weights version that serves requests.
     pub weights_version: WeightsVersion,
-    /// Tokens in one cached block of the engines that serve it.
+    /// Tokens in one cache block of the engines that serve the model.
     pub block_tokens: u32,
-    /// What its placement weighs more.
+    /// The goal that placement favours for the model's requests.
     #[serde(default)]
     pub goal: PlacementGoal,
 }
 
-/// Limits of one tenant over the whole fleet.
+/// Limits of one tenant across the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TenantLimits {
-    /// Requests a second, over all routers.
+    /// Requests per second across all routers.
     pub requests_per_second: u32,
-    /// Requests that may be open at once, over all routers.
+    /// Requests that may be open at once across all routers.
     pub concurrent_requests: u32,
-    /// The share of a contended router relative to other tenants.
+    /// The tenant's weight relative to other tenants when a router is contended.
     pub weight: u32,
 }
 
@@ -144,15 +145,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
-    /// Hashes of the bearer keys it may present.
+    /// Hashes of the bearer keys that belong to the tenant.
     pub key_hashes: BTreeSet<KeyHash>,
-    /// The models it may use; empty means all.
+    /// The models that the tenant may use; empty means all.
     #[serde(default)]
     pub models: BTreeSet<ModelName>,
-    /// Its limits.
+    /// Limits on the tenant's requests.
     #[serde(default)]
     pub limits: TenantLimits,
-    /// The priority class of requests that name none.
+    /// The priority of requests that name no priority class.
     #[serde(default)]
     pub default_priority: Priority,
 }
@@ -161,22 +162,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PriorityClassSpec {
-    /// The priority that requests of this class have.
+    /// The priority of requests in this class.
     pub priority: Priority,
-    /// How long a request of this class may take to its first token, in milliseconds.
+    /// The longest time to the first token for a request in this class, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// Where a rollout is to stand.
+/// The state that an operator requests for a rollout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RolloutState {
-    /// Goes on.
+    /// Engines load the new version step by step.
     #[default]
     Running,
-    /// Loads no further engines.
+    /// No further engines load the new version.
     Paused,
-    /// Goes back to the version before.
+    /// Engines return to the previous version.
     RolledBack,
 }
 
@@ -184,20 +185,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSpec {
-    /// The model.
+    /// The model whose weights change.
     pub model: ModelName,
-    /// The version before.
+    /// The previous version.
     pub from_version: WeightsVersion,
     /// The version to load.
     pub to_version: WeightsVersion,
-    /// Engines that may load weights at once; the weight store slows when several do.
+    /// The most engines that may load weights at once. The weight store slows down when several do.
     pub max_loading: u32,
-    /// Whether it goes on.
+    /// Whether the rollout continues, pauses or is rolled back.
     #[serde(default)]
     pub state: RolloutState,
 }
 
-/// What an operator wants of a resource.
+/// The desired state of a resource, as written by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "spec", rename_all = "kebab-case")]
 pub enum ResourceSpec {
@@ -213,26 +214,26 @@
     Rollout(RolloutSpec),
 }
 
-/// Why a document is refused.
+/// Why a resource document is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
     /// The name is empty, too long or has characters outside `[a-z0-9.-]`.
     #[error("name {0:?} must be 1 to {MAX_NAME_BYTES} characters of a-z, 0-9, '.' and '-'")]
     Name(String),
-    /// A field has a value outside what is allowed.
+    /// A field has a value that is not allowed.
     #[error("{field}: found {found}, allowed is {allowed}")]
     Field {
-        /// The field's path.
+        /// The path of the field, as in `spec.max_loading`.
         field: &'static str,
-        /// What was found.
+        /// The value found.
         found: String,
-        /// What is allowed.
+        /// The values allowed.
         allowed: &'static str,
     },
 }
 
 impl ResourceSpec {
-    /// The kind of the document.
+    /// The kind of resource that the document describes.
     pub fn kind(&self) -> ResourceKind {
         match self {
             ResourceSpec::EnginePool(_) => ResourceKind::EnginePool,
@@ -243,7 +244,7 @@
         }
     }
 
-    /// Checks values that the types alone do not bound.
+    /// Checks the name and the values that the types do not restrict.
     pub fn validate(&self, name: &str) -> Result<(), SpecError> {
         validate_name(name)?;
         match self {
@@ -305,24 +306,24 @@
     })
 }
 
-/// A stored document.
+/// A resource as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resource {
-    /// Unique within its kind.
+    /// The name, unique within the kind.
     pub name: String,
-    /// The revision of the change that wrote it.
+    /// The revision of the last change to the resource.
     pub version: Revision,
-    /// What the operator wants.
+    /// The desired state.
     #[serde(flatten)]
     pub spec: ResourceSpec,
-    /// Who wrote it last.
+    /// The operator that made the last change.
     pub changed_by: OperatorName,
-    /// Under which change id.
+    /// The change id of the last change.
     pub change_id: ChangeId,
 }
 
 impl Resource {
-    /// The resource's key.
+    /// The kind and name of the resource.
     pub fn key(&self) -> ResourceKey {
         ResourceKey {
             kind: self.spec.kind(),
@@ -330,7 +331,7 @@
         }
     }
 
-    /// The tenant's name and document, when it is one.
+    /// The name and spec if the resource is a tenant.
     pub fn as_tenant(&self) -> Option<(TenantName, &TenantSpec)> {
         match &self.spec {
             ResourceSpec::Tenant(spec) => Some((TenantName::new(&self.name), spec)),
@@ -338,7 +339,7 @@
         }
     }
 
-    /// The pool's name and document, when it is one.
+    /// The name and spec if the resource is an engine pool.
     pub fn as_pool(&self) -> Option<(PoolName, &EnginePoolSpec)> {
         match &self.spec {
             ResourceSpec::EnginePool(spec) => Some((PoolName::new(&self.name), spec)),
@@ -346,7 +347,7 @@
         }
     }
 
-    /// The model's name and document, when it is one.
+    /// The name and spec if the resource is a model.
     pub fn as_model(&self) -> Option<(ModelName, &ModelSpec)> {
         match &self.spec {
             ResourceSpec::Model(spec) => Some((ModelName::new(&self.name), spec)),
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings files of the daemons, with checks that name the key, the line, what was found and
-//! what is allowed.
+//! Settings files of the daemons. Errors state the line, the key, the value found and the values
+//! allowed.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,46 +12,46 @@
 /// Why a settings file is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The file is not TOML, has an unknown key, lacks one, or has one of the wrong type.
+    /// The file is not valid TOML, or has an unknown key, a missing key or a value of the wrong type.
     #[error("line {line}: {message}")]
     Syntax {
-        /// Counted from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What the TOML library found.
+        /// The message of the TOML library.
         message: String,
     },
-    /// A value lies outside what is allowed.
+    /// A value is not allowed.
     #[error("line {line}: {key}: found {found}, allowed is {allowed}")]
     Value {
-        /// Counted from 1; 0 when the key is absent and its default is at fault.
+        /// The line number, from 1; 0 if the key is absent and its default is not allowed.
         line: usize,
         /// The key with its table, as in `limits.max_body_bytes`.
         key: String,
-        /// What was found.
+        /// The value found.
         found: String,
-        /// What is allowed.
+        /// The values allowed.
         allowed: String,
     },
 }
 
-/// A settings file that can be read and checked.
+/// A settings file with value checks.
 pub trait Settings: DeserializeOwned {
-    /// Lists the values that are out of bounds.
+    /// Returns the values that are not allowed.
     fn violations(&self) -> Vec<Violation>;
 }
 
-/// A value out of bounds.
+/// A value that is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The key with its table.
+    /// The key with its table, as in `limits.max_body_bytes`.
     pub key: &'static str,
-    /// What was found.
+    /// The value found.
     pub found: String,
-    /// What is allowed.
+    /// The values allowed.
     pub allowed: String,
 }
 
-/// Reads and checks a settings file's text.
+/// Parses and checks the text of a settings file. Reports only the first error.
 pub fn parse<S: Settings>(text: &str) -> Result<S, SettingsError> {
     let settings: S = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
     match settings.violations().into_iter().next() {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Bounds on what callers may ask of one router.
+/// Limits of one router on requests, callers and retries.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RouterLimits {
@@ -124,23 +124,23 @@
     pub max_body_bytes: u64,
     /// The largest sum of header names and values, in bytes.
     pub max_header_bytes: u64,
-    /// Requests that may be open at once; each holds a thread.
+    /// The most requests open at once; each occupies a thread.
     pub max_open_requests: u64,
-    /// How long a caller may be silent while it sends, in milliseconds.
+    /// The longest time without data from a caller that is sending a request, in milliseconds.
     pub read_timeout_ms: u64,
-    /// How long a caller may take to accept bytes, in milliseconds.
+    /// The longest time that a write to a caller may block, in milliseconds.
     pub write_timeout_ms: u64,
-    /// How long an engine may be silent within an answer, in milliseconds.
+    /// The longest gap within an engine's answer, in milliseconds.
     pub engine_stall_ms: u64,
-    /// How long a request may wait for an engine, in milliseconds.
+    /// The longest time that a request may wait for an engine, in milliseconds.
     pub queue_timeout_ms: u64,
-    /// Requests that may wait for an engine at once.
+    /// The most requests that may wait for an engine at once.
     pub max_queued_requests: u64,
-    /// Attempts at one request, the first included.
+    /// The most attempts for one request, including the first.
     pub max_attempts: u64,
-    /// Retries allowed for each hundred first attempts.
+    /// Retries allowed per hundred first attempts.
     pub retry_percent: u64,
-    /// Decisions kept for `explain`.
+    /// Routing decisions kept for `explain`.
     pub decision_log_entries: u64,
 }
 
@@ -166,22 +166,22 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouterSettings {
-    /// The router's name; it identifies its reports.
+    /// The name that identifies the router in its reports.
     pub name: RouterName,
-    /// Where it runs; engines of the same zone are preferred.
+    /// The zone it runs in. Engines of the same zone are preferred.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub listen: SocketAddr,
-    /// Where its last known configuration is kept.
+    /// The folder for the last known configuration.
     pub data_dir: PathBuf,
-    /// The control machines' internal addresses.
+    /// The internal addresses of the control machines.
     pub control: Vec<SocketAddr>,
     /// The secret that processes of one cluster share.
     pub cluster_key: SecretKey,
-    /// Hashes of the keys that may ask for explanations.
+    /// Hashes of the keys that may call `explain`.
     #[serde(default)]
     pub operator_key_hashes: Vec<KeyHash>,
-    /// Bounds on callers.
+    /// Limits on requests, callers and retries.
     #[serde(default)]
     pub limits: RouterLimits,
 }
@@ -256,23 +256,23 @@
     }
 }
 
-/// Another control machine.
+/// A control machine that votes from the start.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlPeer {
-    /// Its replica number.
+    /// The replica number of the machine.
     pub id: u64,
-    /// Its internal address.
+    /// The address that routers and other control machines connect to.
     pub address: SocketAddr,
 }
 
-/// An operator and the hash of its key.
+/// An operator that may change resources.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorAccount {
-    /// The name that histories show.
+    /// The name shown in change histories.
     pub name: OperatorName,
-    /// The hash of the key it presents.
+    /// The hash of the operator's key.
     pub key_hash: KeyHash,
 }
 
@@ -280,31 +280,31 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
-    /// This machine's replica number; never used again after its disk was lost.
+    /// The replica number of this machine. It must not be reused after the machine's disk is lost.
     pub id: u64,
-    /// Names the cluster; a data folder of another one is refused.
+    /// The name of the cluster. A data folder of another cluster is refused.
     pub cluster: String,
-    /// Where operators connect.
+    /// The address that operators connect to.
     pub listen: SocketAddr,
-    /// Where routers and other control machines connect.
+    /// The address that routers and other control machines connect to.
     pub internal_listen: SocketAddr,
-    /// Where durable state is kept.
+    /// The data folder for durable state.
     pub data_dir: PathBuf,
-    /// The control machines that vote from the start, this one included.
+    /// The control machines that vote from the start, including this one.
     pub peers: Vec<ControlPeer>,
     /// The secret that processes of one cluster share.
     pub cluster_key: SecretKey,
-    /// Who may change resources.
+    /// The operators that may change resources.
     pub operators: Vec<OperatorAccount>,
-    /// The platform's list of machines, as `http://IP:PORT`.
+    /// The URL of the platform's machine list, as `http://IP:PORT`.
     pub platform_url: String,
-    /// How often engines and platform are asked, in milliseconds.
+    /// The interval between polls of the engines and the platform, in milliseconds.
     #[serde(default = "default_poll_ms")]
     pub poll_interval_ms: u64,
-    /// The region whose engines' caches this machine indexes for routers; empty for all.
+    /// The region whose engines' caches this machine indexes for routers; empty for all regions.
     #[serde(default)]
     pub index_region: String,
-    /// The replication clock's period, in milliseconds.
+    /// The length of one tick of the replicated log, in milliseconds.
     #[serde(default = "default_tick_ms")]
     pub tick_ms: u64,
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,10 +1,10 @@
-//! A point on a process's monotonic clock, real or virtual.
+//! Timestamps of a process's monotonic clock, real or simulated.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since an arbitrary start. Only differences mean anything.
+/// Microseconds since an arbitrary start. Only differences between timestamps are meaningful.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -12,12 +12,12 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// The time `duration` later.
+    /// The timestamp that is `duration` later; saturates at the maximum.
     pub fn plus(self, duration: Duration) -> Self {
         Self(self.0.saturating_add(duration.as_micros() as u64))
     }
 
-    /// How long ago `earlier` was; zero when it lies in the future.
+    /// The time since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! One message in one frame: magic, version, length, checksum, payload.
+//! Framing: each message is sent as magic, version, length, checksum and payload.
 
 use std::io::{Cursor, Read, Write};
 
@@ -9,7 +9,7 @@
 /// The version of the frame layout and the messages.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// The largest payload, in bytes. Snapshots travel in chunks below it.
+/// The largest payload, in bytes. Snapshots are sent in chunks that stay below it.
 pub const MAX_PAYLOAD_BYTES: u32 = 16 << 20;
 
 const HEADER_BYTES: usize = 14;
@@ -17,19 +17,19 @@
 /// Why a frame cannot be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The byte stream failed or ended.
+    /// The byte stream failed or ended early.
     #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The bytes are not a message.
+    /// The bytes do not decode to a frame header or a message.
     #[error("malformed message: {0}")]
     Malformed(String),
-    /// The peer speaks another version.
-    #[error("peer speaks protocol version {0}, this process speaks {PROTOCOL_VERSION}")]
+    /// The peer uses another protocol version.
+    #[error("peer uses protocol version {0}, this process uses {PROTOCOL_VERSION}")]
     Version(u16),
-    /// The payload exceeds the bound.
+    /// The payload is larger than the receiver allows.
     #[error("payload of {0} bytes exceeds {MAX_PAYLOAD_BYTES}")]
     TooLarge(u32),
-    /// The payload was damaged on the way.
+    /// The payload was corrupted in transit.
     #[error("payload checksum does not match")]
     Checksum,
 }
@@ -48,7 +48,7 @@
     checksum: u32,
 }
 
-/// Encodes any `binrw` value into bytes.
+/// Encodes a `binrw` value in its wire layout.
 pub(crate) fn encode<T>(value: &T) -> Result<Vec<u8>, FrameError>
 where
     T: for<'a> BinWrite<Args<'a> = ()> + binrw::meta::WriteEndian,
@@ -58,19 +58,19 @@
     Ok(cursor.into_inner())
 }
 
-/// Writes one message as one frame, in a single write.
+/// Writes a message as one frame, with a single `write_all` call.
 pub fn write_frame(stream: &mut impl Write, message: &Message) -> Result<(), FrameError> {
     let bytes = encode_frame(message)?;
     stream.write_all(&bytes)?;
     Ok(())
 }
 
-/// The bytes of one message as one frame.
+/// Encodes a message as one frame.
 pub fn encode_frame(message: &Message) -> Result<Vec<u8>, FrameError> {
     encode_payload(&encode(message)?)
 }
 
-/// The bytes of one frame around a payload of another layer.
+/// Encodes a frame around a payload that is already encoded.
 pub fn encode_payload(payload: &[u8]) -> Result<Vec<u8>, FrameError> {
     let length = u32::try_from(payload.len()).unwrap_or(u32::MAX);
     if length > MAX_PAYLOAD_BYTES {
@@ -86,7 +86,7 @@
     Ok(bytes)
 }
 
-/// The head of a frame whose payload is still to be read, for callers that read without blocking.
+/// A parsed frame header, for callers that read the header and the payload without blocking.
 #[derive(Clone, Copy, Debug)]
 pub struct FrameHead {
     length: u32,
@@ -94,10 +94,11 @@
 }
 
 impl FrameHead {
-    /// Bytes of a head.
+    /// The encoded size of a header, in bytes.
     pub const BYTES: usize = HEADER_BYTES;
 
-    /// Reads a head.
+    /// Parses a header. Refuses another protocol version and payloads above
+    /// [`MAX_PAYLOAD_BYTES`].
     pub fn parse(bytes: [u8; HEADER_BYTES]) -> Result<Self, FrameError> {
         let header = Header::read(&mut Cursor::new(bytes))?;
         if header.version != PROTOCOL_VERSION {
@@ -112,12 +113,12 @@
         })
     }
 
-    /// Bytes of the payload that follows.
+    /// The size of the payload that follows, in bytes.
     pub fn payload_bytes(&self) -> usize {
         self.length as usize
     }
 
-    /// Checks the payload against the head.
+    /// Checks the payload against the checksum in the header.
     pub fn check(&self, payload: &[u8]) -> Result<(), FrameError> {
         if crc32fast::hash(payload) != self.checksum {
             return Err(FrameError::Checksum);
@@ -126,7 +127,7 @@
     }
 }
 
-/// Reads one frame and its message.
+/// Reads one frame, blocking, and decodes its message.
 pub fn read_frame(stream: &mut impl Read) -> Result<Message, FrameError> {
     let mut header = [0; HEADER_BYTES];
     stream.read_exact(&mut header)?;
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,8 +1,9 @@
-//! Mutual proof of the cluster key before any frame is read.
+//! Mutual authentication with the cluster key before any frame is read.
 //!
-//! Each side sends a nonce and who it is, then an HMAC over both nonces and its own identity.
-//! The identities are bound into the proof, so one side's proof cannot be played back as the
-//! other's. Confidentiality and per-frame integrity against a party on the path are left to TLS.
+//! Each side sends a hello with a nonce and its identity, then an HMAC over its own and the peer's
+//! hello. The order of the hellos differs between the sides, so a proof cannot be reflected to its
+//! sender. Confidentiality and integrity of the frames against an attacker on the network path are
+//! left to TLS.
 
 use std::io::{Cursor, Read, Write};
 
@@ -20,15 +21,15 @@
 const PROOF_BYTES: usize = 32;
 const MAX_HELLO_BYTES: u16 = 512;
 
-/// Who a process says it is.
+/// The identity that a process claims in its hello.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Identity {
-    /// A router, by name.
+    /// A router, identified by name.
     #[brw(magic(1u8))]
     Router(Text),
-    /// A control machine, by replica number.
+    /// A control machine, identified by replica number.
     #[brw(magic(2u8))]
     Control(u64),
 }
@@ -43,10 +44,10 @@
 /// Why a connection is refused.
 #[derive(Debug, thiserror::Error)]
 pub enum HandshakeError {
-    /// The byte stream failed or the greeting is malformed.
+    /// The byte stream failed, or the hello is malformed or too large.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// The peer does not hold the cluster key.
+    /// The peer's proof is wrong, or the peer reflected this side's hello.
     #[error("peer does not hold the cluster key")]
     WrongKey,
 }
@@ -57,7 +58,8 @@
     }
 }
 
-/// Proves the key to the peer and has the peer prove it; returns who the peer is.
+/// Proves knowledge of the key to the peer and verifies the peer's proof. Returns the peer's
+/// identity.
 pub fn handshake(
     stream: &mut (impl Read + Write),
     key: &SecretKey,
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -1,327 +1,329 @@
-//! The messages between routers and control machines, and among control machines.
+//! Messages between routers and control machines, and between control machines.
 
 use binrw::binrw;
 
 use crate::{Blob, List, Text};
 
-/// Everything that travels in a frame.
+/// The payload of a frame.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Control to control: a message of the replicated log, encoded by its library.
+    /// Control to control: a message of the replicated log, encoded by the consensus library.
     #[brw(magic(1u8))]
     Consensus(Blob),
-    /// Router to control, first on a connection and whenever the router's floor has risen.
+    /// Router to control: the first message of a connection, sent again whenever the router's floor
+    /// has risen.
     #[brw(magic(2u8))]
     Subscribe(Subscribe),
-    /// Control to router: resources that changed.
+    /// Control to router: changed resources.
     #[brw(magic(3u8))]
     Config(ConfigUpdate),
-    /// Control to router: engines that changed.
+    /// Control to router: changed engines.
     #[brw(magic(4u8))]
     Engines(EngineUpdate),
-    /// Control to router: how busy engines are.
+    /// Control to router: the loads of engines.
     #[brw(magic(5u8))]
     Loads(LoadUpdate),
-    /// Control to router: what a quorum confirms.
+    /// Control to router: the revision that a quorum has confirmed as current.
     #[brw(magic(6u8))]
     Fresh(Freshness),
-    /// Router to control: the revision that the router now applies.
+    /// Router to control: the configuration revision that the router has applied.
     #[brw(magic(7u8))]
     AppliedRevision(u64),
-    /// Router to control: who holds this key?
+    /// Router to control: asks which tenant has an API key.
     #[brw(magic(8u8))]
     TenantQuery(TenantQuery),
-    /// Control to router: the tenant, or none.
+    /// Control to router: the tenant with the API key, or none.
     #[brw(magic(9u8))]
     TenantAnswer(TenantAnswer),
-    /// Router to control: may this request run?
+    /// Router to control: claims the right to run a request that must not run twice.
     #[brw(magic(10u8))]
     Claim(ClaimRequest),
-    /// Control to router: whether it may.
+    /// Control to router: whether the request may run.
     #[brw(magic(11u8))]
     ClaimResponse(ClaimResponse),
-    /// Router to control: how a claimed request ended.
+    /// Router to control: the outcome of a claimed request.
     #[brw(magic(12u8))]
     Outcome(OutcomeReport),
-    /// Router to control: what tenants used since the last report.
+    /// Router to control: the usage of tenants since the last report.
     #[brw(magic(13u8))]
     Usage(UsageReport),
-    /// Control to router: this router's share of tenants' limits.
+    /// Control to router: the router's share of tenants' limits.
     #[brw(magic(14u8))]
     Allotment(UsageAllotment),
-    /// Control to router: the outcome with this ticket is stored.
+    /// Control to router: the outcome report with this ticket is stored.
     #[brw(magic(16u8))]
     OutcomeStored(u64),
-    /// Router to control: what do engines hold of this prompt?
+    /// Router to control: asks which engines have cached blocks of a prompt.
     #[brw(magic(17u8))]
     IndexQuestion(IndexQuestion),
-    /// Control to router: what they hold.
+    /// Control to router: engines to serve the prompt, with their cached blocks.
     #[brw(magic(18u8))]
     IndexAnswer(IndexAnswer),
-    /// Router to control: requests that it placed.
+    /// Router to control: requests that the router has placed on engines.
     #[brw(magic(19u8))]
     Bookings(Bookings),
-    /// Control to control: requests that its routers placed.
+    /// Control to control: requests that the routers connected to the sender have placed.
     #[brw(magic(20u8))]
     RelayedBookings(RelayedBookings),
-    /// Control to control: an operator's or router's command on its way to the leader.
+    /// Control to control: a command from an operator or router, forwarded to the leader.
     #[brw(magic(15u8))]
     Forward(Blob),
 }
 
-/// What a router holds already and wants to hear about.
+/// The state that a router has and the updates that it subscribes to.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Subscribe {
-    /// The highest revision the router has applied; it takes nothing older.
+    /// The highest revision that the router has applied; it accepts nothing older.
     pub floor: u64,
-    /// The tenants it holds.
+    /// The tenants whose resources it has.
     pub tenants: List<Text>,
-    /// Its region; it hears how busy the engines of this region are. Empty means all regions.
+    /// The region whose engines' loads it receives. Empty means all regions.
     pub region: Text,
 }
 
-/// Resources that changed, for one router.
+/// Changed resources, for one router.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigUpdate {
-    /// After applying, the router's view is that of this revision.
+    /// The revision of the router's configuration once the update is applied.
     pub revision: u64,
-    /// 1 when the records replace all that the router holds, 0 when they are changes.
+    /// 1 when `records` is the complete configuration, 0 when the update only lists changes.
     pub full: u8,
-    /// JSON list of resources that exist.
+    /// JSON list of created or changed resources.
     pub records: Blob,
-    /// JSON list of keys of resources that are gone.
+    /// JSON list of the keys of deleted resources.
     pub deleted: Blob,
 }
 
-/// The state of a back end.
+/// The state of an engine as the control machines see it.
 #[binrw]
 #[brw(little, repr = u8)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EngineStateCode {
-    /// Known, but not yet answering with its model loaded.
+    /// Listed, but has not yet responded with its model loaded.
     Joining = 0,
-    /// Takes work.
+    /// Accepts requests.
     Ready = 1,
-    /// Did not answer lately.
+    /// Did not respond to recent polls.
     Suspect = 2,
-    /// Finishes what it has; gets nothing new.
+    /// Finishes its requests and gets no new ones.
     Leaving = 3,
-    /// Not there any more.
+    /// Removed from the fleet.
     Gone = 4,
 }
 
-/// One engine as the control machines see it.
+/// One engine of an engine update.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineEntry {
-    /// Its name.
+    /// The engine's name.
     pub name: Text,
-    /// IP and port.
+    /// IP address and port.
     pub address: Text,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: Text,
-    /// Its pool.
+    /// The engine pool that it belongs to.
     pub pool: Text,
-    /// Its start.
+    /// Changes with each start of the engine.
     pub incarnation: u64,
-    /// The weights it holds; 0 when none.
+    /// The version of the loaded weights; 0 when none are loaded.
     pub weights_version: u64,
-    /// Its state.
+    /// The state as the sender sees it.
     pub state: EngineStateCode,
-    /// Stands for the engine in load updates of the same connection.
+    /// A short number for the engine in other messages of the same connection.
     pub slot: u16,
 }
 
-/// Engines that changed.
+/// Changed engines.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineUpdate {
-    /// 1 when the list is complete, so that an engine not on it is gone.
+    /// 1 when the list is complete, so that an engine not in it no longer exists.
     pub full: u8,
-    /// The engines.
+    /// All engines, or the changed ones.
     pub engines: List<EngineEntry>,
 }
 
-/// Prompt tokens in one unit of a message.
+/// Prompt tokens in one unit of the `waiting` and `missing` fields.
 pub const WAITING_UNIT_TOKENS: u32 = 256;
 
-/// Milliseconds in one unit of a load's age.
+/// Milliseconds in one unit of [`EngineLoad::age`].
 pub const AGE_UNIT_MS: u64 = 100;
 
-/// How busy one engine is, quantised to 6 bytes.
+/// The load of one engine, quantised to 6 bytes.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
     /// The engine's slot in the last engine update.
     pub slot: u16,
-    /// Prompt tokens waiting, in units of 256 tokens.
+    /// Prompt tokens in its queue, in units of 256 tokens.
     pub waiting: u16,
-    /// Sequences running, saturating.
+    /// Running sequences, saturating.
     pub running: u8,
-    /// The report's age in units of 100 ms, saturating.
+    /// The age of the load report in units of 100 ms, saturating.
     pub age: u8,
 }
 
-/// How busy engines are.
+/// Loads of engines.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadUpdate {
-    /// Engines whose load changed noticeably.
+    /// The engines whose load changed by more than a threshold.
     pub loads: List<EngineLoad>,
 }
 
-/// Asks the index what engines hold of a prompt.
+/// Asks the cache index which engines have cached blocks of a prompt.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IndexQuestion {
-    /// Returned in the answer, and named by the booking that follows.
+    /// Identifies the question in the answer and in the booking that follows it.
     pub ticket: u32,
-    /// The slot of an engine that could serve it; others of its pool with its weights could too.
+    /// The slot of an engine that could serve the prompt. The engines of the same pool with the same
+    /// weights are the candidates.
     pub like: u16,
-    /// Tokens in a block.
+    /// Tokens in one cache block.
     pub block_tokens: u32,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u32,
-    /// What a token to compute costs in comparison with one to wait for, in tenths.
+    /// The cost of a token to compute relative to a token ahead in the queue, in tenths.
     pub recompute_weight: u8,
-    /// Engines to name, at most.
+    /// The largest number of engines in the answer.
     pub limit: u8,
-    /// Blocks from one prefix named to the next.
+    /// Blocks between two consecutive prefixes of `prefixes`.
     pub step: u16,
-    /// Hashes of the prefixes, shortest first.
+    /// Hashes of prefixes of the prompt, shortest first.
     pub prefixes: List<u64>,
 }
 
-/// What one engine holds of a prompt, and how busy it is.
+/// The cached blocks of a prompt on one engine, and the engine's load.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldingRecord {
     /// The engine's slot in the last engine update.
     pub slot: u16,
-    /// Blocks of the prompt that it holds.
+    /// Blocks of the prompt that it has cached.
     pub blocks: u16,
-    /// Prompt tokens waiting, in units of 256 tokens.
+    /// Prompt tokens in its queue, in units of 256 tokens.
     pub waiting: u16,
-    /// Sequences running, saturating.
+    /// Running sequences, saturating.
     pub running: u8,
 }
 
-/// Engines for a prompt.
+/// The answer to an [`IndexQuestion`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IndexAnswer {
-    /// From the question.
+    /// The ticket of the question.
     pub ticket: u32,
-    /// The engines, best first.
+    /// The suggested engines, best first.
     pub holdings: List<HoldingRecord>,
 }
 
-/// A request that was placed.
+/// A booking: a request that a router has placed on an engine.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BookingRecord {
-    /// The question that went before; 0 for none.
+    /// The ticket of the question before the placement; 0 for none.
     pub ticket: u32,
     /// The engine's slot in the last engine update.
     pub slot: u16,
-    /// Prompt tokens that it will compute, in units of 256 tokens.
+    /// Prompt tokens that are not cached and must be computed, in units of 256 tokens.
     pub missing: u16,
 }
 
-/// Requests that a router placed.
+/// The bookings of one router.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bookings {
-    /// The requests.
+    /// The requests that the router has placed since its last message.
     pub records: List<BookingRecord>,
 }
 
-/// A request that a router of another control machine placed.
+/// A booking by a router that is connected to another control machine.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayedBooking {
-    /// The engine's identity: slots differ between machines.
+    /// The engine's identity. Slots differ between control machines and cannot be used here.
     pub engine: u64,
-    /// Prompt tokens that it will compute.
+    /// Prompt tokens that are not cached and must be computed.
     pub missing_tokens: u32,
-    /// Prefixes that it will hold.
+    /// Hashes of the prompt prefixes that the engine will cache.
     pub prefixes: List<u64>,
 }
 
-/// Requests that routers of another control machine placed.
+/// Bookings by the routers that are connected to the sender.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayedBookings {
-    /// The requests.
+    /// The placed requests.
     pub bookings: List<RelayedBooking>,
 }
 
-/// What a quorum confirms of the sender's view.
+/// A quorum's confirmation that the sender's configuration was current.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// All changes accepted before the confirmation are at or below this revision.
+    /// All changes that were accepted before the confirmation are at or below this revision.
     pub revision: u64,
     /// The leader's term.
     pub epoch: u64,
-    /// Routers of the cluster, estimated from those connected to the sender.
+    /// The number of routers in the cluster, estimated from those connected to the sender.
     pub routers: u32,
 }
 
-/// Asks for the tenant that holds a key.
+/// Asks for the tenant that has an API key.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantQuery {
-    /// Returned in the answer.
+    /// Identifies the query in the answer.
     pub ticket: u64,
     /// SHA-256 of the key, hexadecimal.
     pub key_hash: Text,
 }
 
-/// The tenant that holds a key.
+/// The answer to a [`TenantQuery`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantAnswer {
-    /// From the question.
+    /// The ticket of the query.
     pub ticket: u64,
-    /// The revision of the view that the answer comes from.
+    /// The revision of the configuration that the answer comes from.
     pub revision: u64,
-    /// JSON of the resource, or `null`.
+    /// JSON of the tenant's resource, or `null`.
     pub resource: Blob,
 }
 
-/// Asks whether work that may not be repeated may start.
+/// Claims the right to run a request that must not run twice.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Returned in the answer.
+    /// Identifies the claim in the response.
     pub ticket: u64,
-    /// The tenant.
+    /// The tenant that sent the request.
     pub tenant: Text,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Text,
-    /// Hash of the request, so that a key used for another request is noticed.
+    /// Hash of the request, which detects a key that was used for another request.
     pub fingerprint: u64,
     /// The router part of the request id.
     pub request_router: u64,
@@ -329,83 +331,83 @@
     pub request_sequence: u64,
 }
 
-/// Whether work may start.
+/// Whether a claimed request may run.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimGrant {
-    /// It may: this request holds the claim.
+    /// The request may run and holds the claim.
     #[brw(magic(0u8))]
     Granted,
-    /// Another request with the key is running.
+    /// Another request with the same key is running.
     #[brw(magic(1u8))]
     StillRunning,
-    /// It ended; this was the answer.
+    /// A request with the same key has completed with this answer.
     #[brw(magic(2u8))]
     Completed(Blob),
-    /// It may have run and is not repeated.
+    /// A request with the same key may have run; it is not repeated.
     #[brw(magic(3u8))]
     MayHaveRun,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     #[brw(magic(4u8))]
     KeyReused,
-    /// No quorum answered in time.
+    /// No quorum responded in time.
     #[brw(magic(5u8))]
     Unavailable,
 }
 
-/// The answer to a claim.
+/// The response to a [`ClaimRequest`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimResponse {
-    /// From the request.
+    /// The ticket of the claim.
     pub ticket: u64,
-    /// The answer.
+    /// Whether the request may run.
     pub grant: ClaimGrant,
 }
 
-/// How a claimed request ended.
+/// The outcome of a claimed request.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutcomeReport {
-    /// Returned when the outcome is stored; until then the router sends it again.
+    /// Returned once the outcome is stored; until then the router resends the report.
     pub ticket: u64,
-    /// The tenant.
+    /// The tenant that sent the request.
     pub tenant: Text,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Text,
     /// The router part of the request id that holds the claim.
     pub request_router: u64,
     /// The sequence part of the request id that holds the claim.
     pub request_sequence: u64,
-    /// 0 not run (the claim is given back), 1 may have run, 2 ran with the answer below.
+    /// 0: not run, and the claim is released; 1: may have run; 2: ran and produced `answer`.
     pub execution: u8,
-    /// The whole answer, when there is one.
+    /// The complete answer, if there is one.
     pub answer: Blob,
 }
 
-/// What one tenant used of a router.
+/// The usage of one tenant at a router, or its allotment there.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageRecord {
-    /// The tenant.
+    /// The tenant that the figures are for.
     pub tenant: Text,
-    /// In a report: requests that asked to start since the last one. In an allotment: requests
-    /// that this router may start each second, in tenths.
+    /// In tenths of a request per second. In a report: the rate of requests that asked to start since
+    /// the last report. In an allotment: the rate at which the router may start requests.
     pub rate: u32,
-    /// In a report: requests open now. In an allotment: requests this router may hold open.
+    /// In a report: requests open now. In an allotment: requests that the router may have open.
     pub open: u32,
 }
 
-/// What tenants used of a router since its last report.
+/// The usage of tenants at a router since its last report.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// Tenants with any use.
+    /// The tenants with any usage.
     pub records: List<UsageRecord>,
 }
 
@@ -414,6 +416,6 @@
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageAllotment {
-    /// Tenants whose use, over all routers, comes near a limit.
+    /// The tenants whose usage over all routers is close to a limit.
     pub records: List<UsageRecord>,
 }
--- a/crates/wire/src/primitives.rs
+++ b/crates/wire/src/primitives.rs
@@ -1,8 +1,8 @@
-//! Length-prefixed building blocks of messages.
+//! Length-prefixed types that messages are built from.
 
 use binrw::binrw;
 
-/// UTF-8 text of at most 65,535 bytes.
+/// UTF-8 text of at most 65,535 bytes, with a 16-bit length. Encoding longer text fails.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -16,12 +16,12 @@
 }
 
 impl Text {
-    /// Wraps text.
+    /// Creates a text. The length is checked only when it is encoded.
     pub fn new(text: impl Into<String>) -> Self {
         Self { value: text.into() }
     }
 
-    /// The text.
+    /// The text as a string slice.
     pub fn as_str(&self) -> &str {
         &self.value
     }
@@ -33,7 +33,7 @@
     }
 }
 
-/// Opaque bytes, encoded by a higher layer.
+/// Opaque bytes with a 32-bit length. The layer above defines their encoding.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -41,13 +41,13 @@
     #[br(temp)]
     #[bw(try_calc = u32::try_from(bytes.len()))]
     length: u32,
-    /// The bytes.
+    /// The content, without the length.
     #[br(count = length)]
     pub bytes: Vec<u8>,
 }
 
 impl Blob {
-    /// Wraps bytes.
+    /// Creates a blob from encoded bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         Self { bytes }
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Items of one type with their count in front.
+/// Items of one type, preceded by their 32-bit count.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
     #[br(temp)]
     #[bw(try_calc = u32::try_from(items.len()))]
     count: u32,
-    /// The items.
+    /// The items, in order.
     #[br(count = count)]
     pub items: Vec<T>,
 }
@@ -82,7 +82,7 @@
 where
     T: for<'a> binrw::BinRead<Args<'a> = ()> + for<'a> binrw::BinWrite<Args<'a> = ()> + 'static,
 {
-    /// Wraps items.
+    /// Creates a list in the given order.
     pub fn new(items: Vec<T>) -> Self {
         Self { items }
     }
--- a/crates/wire/src/tests.rs
+++ b/crates/wire/src/tests.rs
@@ -125,7 +125,7 @@
     assert!(thread.join().unwrap().is_err());
 }
 
-/// A peer without the key that returns whatever it is sent.
+/// A peer without the key that sends back whatever it receives.
 struct ReflectingPeer(std::collections::VecDeque<u8>);
 
 impl Read for ReflectingPeer {
