--- a/crates/consensus-harness/src/cluster.rs
+++ b/crates/consensus-harness/src/cluster.rs
@@ -142,8 +142,8 @@
         self.start(id, Membership::of_voters(voters));
     }
 
-    /// Starts a replica that has no membership on an empty disk, as a replacement for a replica with a
-    /// lost disk must start.
+    /// Starts a replica that has no membership on an empty disk, as a replacement for a replica
+    /// with a lost disk must start.
     pub fn start_without_membership(&mut self, id: u64) {
         self.start(id, Membership::default());
     }
@@ -219,8 +219,8 @@
         }
     }
 
-    /// Takes the message at `position` from the network and delivers it, unless its link is blocked or
-    /// its receiver is stopped.
+    /// Takes the message at `position` from the network and delivers it, unless its link is blocked
+    /// or its receiver is stopped.
     pub fn deliver(&mut self, position: usize) {
         let message = self.network.swap_remove(position);
         let to = message.to.0;
--- a/crates/consensus-harness/src/scripts.rs
+++ b/crates/consensus-harness/src/scripts.rs
@@ -16,8 +16,9 @@
     cluster.violation.map_or(Ok(()), Err)
 }
 
-/// A follower votes for the first candidate of a term and then loses power. After its restart a second
-/// candidate of the same term requests its vote. Detects a vote that was sent before it was synced.
+/// A follower votes for the first candidate of a term and then loses power. After its restart a
+/// second candidate of the same term requests its vote. Detects a vote that was sent before it was
+/// synced.
 pub fn double_vote(seed: u64) -> Result<(), Violation> {
     let mut cluster = Cluster::new(3, seed);
     cluster.run_until_leader();
@@ -48,9 +49,9 @@
 }
 
 /// The leader and one follower commit a command while the other follower is isolated. The first
-/// follower then loses its disk and restarts under its old number while the leader is isolated, so that
-/// neither running replica has the acknowledged command. Returns the number of the replica that lost
-/// its disk.
+/// follower then loses its disk and restarts under its old number while the leader is isolated, so
+/// that neither running replica has the acknowledged command. Returns the number of the replica
+/// that lost its disk.
 pub fn restart_with_empty_disk(cluster: &mut Cluster) -> u64 {
     cluster.commit_one();
     cluster.run_until(60, |_| false);
@@ -86,8 +87,9 @@
     }
 }
 
-/// Figure 3.7 of the thesis: the leader of term 4 learns that a majority has stored an entry of term 2.
-/// An entry of term 3 could still overwrite it, so it must not be committed by counting replicas.
+/// Figure 3.7 of the thesis: the leader of term 4 learns that a majority has stored an entry of
+/// term 2. An entry of term 3 could still overwrite it, so it must not be committed by counting
+/// replicas.
 pub fn old_term_is_counted(seed: u64) -> Result<(), Violation> {
     let membership = Membership::of_voters([1, 2, 3, 4, 5].map(ReplicaId));
     let recovered = Recovered {
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -7,9 +7,9 @@
 use crate::{Body, EntryKind, LogIndex, Raft, ReplicaId, Role, Term};
 
 impl Raft {
-    /// Starts a leadership transfer to a voter, which first receives all missing entries (§3.10). The
-    /// transfer is abandoned after `election_ticks`. No effect unless this replica leads and `to` is
-    /// another voter.
+    /// Starts a leadership transfer to a voter, which first receives all missing entries (§3.10).
+    /// The transfer is abandoned after `election_ticks`. No effect unless this replica leads and
+    /// `to` is another voter.
     pub fn transfer_leadership(&mut self, to: ReplicaId) {
         let possible = self.role == Role::Leader && to != self.id && self.membership().is_voter(to);
         if !possible {
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -61,8 +61,8 @@
     /// This replica is not the leader.
     #[error("not the leader")]
     NotLeader,
-    /// The previous change is not committed yet, or the leader has not yet committed an entry of its
-    /// own term (§4.1 and its erratum).
+    /// The previous change is not committed yet, or the leader has not yet committed an entry of
+    /// its own term (§4.1 and its erratum).
     #[error("another change is under way")]
     Busy,
     /// The learner has not stored all committed entries yet.
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -81,8 +81,8 @@
     AppendReply {
         /// 1 when the receiver's log matches the leader's log at `previous_index`, else 0.
         accepted: u8,
-        /// If accepted, the last position that is stored and matches the leader's log. Otherwise the
-        /// position from which the leader should send next.
+        /// If accepted, the last position that is stored and matches the leader's log. Otherwise
+        /// the position from which the leader should send next.
         index: LogIndex,
     },
     /// The leader's periodic message that keeps its followers from campaigning.
--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -112,7 +112,8 @@
     pub(crate) role: Role,
     pub(crate) leader: Option<ReplicaId>,
     pub(crate) log: Log,
-    /// Memberships with the log positions of their entries, oldest first. The last one is in effect.
+    /// Memberships with the log positions of their entries, oldest first. The last one is in
+    /// effect.
     pub(crate) memberships: Vec<(LogIndex, Membership)>,
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     pub(crate) votes: BTreeMap<ReplicaId, bool>,
@@ -343,8 +344,8 @@
         }
     }
 
-    /// Makes `data`, the encoded state machine at `index`, the latest snapshot and drops the entries
-    /// up to there. `None` if `index` is not applied yet or not after the latest snapshot.
+    /// Makes `data`, the encoded state machine at `index`, the latest snapshot and drops the
+    /// entries up to there. `None` if `index` is not applied yet or not after the latest snapshot.
     pub fn compact(&mut self, index: LogIndex, data: Vec<u8>) -> Option<Snapshot> {
         let term = self.log.term_at(index)?;
         if index > self.log.applied || index <= self.snapshot.index {
@@ -478,8 +479,9 @@
     }
 
     /// True when a message from a member must be dropped because it comes from another disk than
-    /// the recorded one. Such a member has lost the votes and entries that it acknowledged. Counting
-    /// it could elect a leader or commit entries with a majority that lacks acknowledged entries.
+    /// the recorded one. Such a member has lost the votes and entries that it acknowledged.
+    /// Counting it could elect a leader or commit entries with a majority that lacks acknowledged
+    /// entries.
     fn has_foreign_disk(&mut self, message: &Envelope) -> bool {
         let Some(member) = self.membership().get(message.from) else {
             return false;
@@ -508,14 +510,14 @@
         }
     }
 
-    /// True when a leader has been in contact within the minimum election timeout. Vote requests are
-    /// then ignored unless the leader asked for the election (§4.2.3, §6.2).
+    /// True when a leader has been in contact within the minimum election timeout. Vote requests
+    /// are then ignored unless the leader asked for the election (§4.2.3, §6.2).
     fn leader_is_recent(&self) -> bool {
         self.leader.is_some() && self.election_elapsed < self.params.election_ticks
     }
 
-    /// Replies to a leader or pre-candidate of an older term with the current term, so that it steps
-    /// down.
+    /// Replies to a leader or pre-candidate of an older term with the current term, so that it
+    /// steps down.
     fn answer_older_term(&mut self, message: &Envelope) {
         match message.body {
             Body::Append { .. } | Body::Heartbeat { .. } | Body::SnapshotChunk { .. } => {
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -35,10 +35,10 @@
 }
 
 impl<D: Directory> Replica<D> {
-    /// Opens a replica. A new folder starts with `first_membership`, the membership of a new cluster.
-    /// If it is empty, the replica neither votes nor campaigns until a leader has added it; a replica
-    /// that replaces one with a lost disk must start this way. `seed` determines the election
-    /// timeouts and the disk identity of a new folder.
+    /// Opens a replica. A new folder starts with `first_membership`, the membership of a new
+    /// cluster. If it is empty, the replica neither votes nor campaigns until a leader has added
+    /// it; a replica that replaces one with a lost disk must start this way. `seed` determines the
+    /// election timeouts and the disk identity of a new folder.
     pub fn open(
         directory: D,
         identity: &FolderIdentity,
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -145,8 +145,8 @@
                 .get(&id)
                 .map_or(LogIndex(0), |progress| progress.matched)
         });
-        // An entry of an earlier term can be overwritten even when a majority has stored it, so only
-        // entries of the current term are committed by counting replicas (§3.6.2).
+        // An entry of an earlier term can be overwritten even when a majority has stored it, so
+        // only entries of the current term are committed by counting replicas (§3.6.2).
         let own_term = self.log.term_at(reached) == Some(self.term);
         if reached > self.log.committed && (own_term || !enforced(Guard::CurrentTermCommit)) {
             self.commit_to(reached);
@@ -157,8 +157,8 @@
     }
 
     /// Sends the new commit position at once to the members that already have all entries. A client
-    /// that waits for an entry may be connected to any of them and would otherwise wait for the next
-    /// heartbeat.
+    /// that waits for an entry may be connected to any of them and would otherwise wait for the
+    /// next heartbeat.
     fn announce_commit(&mut self) {
         if self.role != Role::Leader {
             return;
@@ -297,8 +297,8 @@
             .progress
             .get(&id)
             .map_or(LogIndex(0), |progress| progress.matched);
-        // The learner must have all committed entries on its disk: once it is a voter, any one other
-        // replica may be lost.
+        // The learner must have all committed entries on its disk: once it is a voter, any one
+        // other replica may be lost.
         if matched < self.log.committed {
             return Err(ChangeError::NotCaughtUp(id));
         }
--- a/crates/consensus/src/wal.rs
+++ b/crates/consensus/src/wal.rs
@@ -1,8 +1,8 @@
 //! The write-ahead log and the snapshot file.
 //!
-//! A record consists of its length, a checksum of the length, a checksum of the payload, the payload
-//! and an end mark. An incomplete record at the end of the file is a torn write that was never
-//! acknowledged; it is truncated. A complete record with a wrong checksum may have been
+//! A record consists of its length, a checksum of the length, a checksum of the payload, the
+//! payload and an end mark. An incomplete record at the end of the file is a torn write that was
+//! never acknowledged; it is truncated. A complete record with a wrong checksum may have been
 //! acknowledged; the folder is refused and the replica must rejoin under a new number. The length
 //! has its own checksum because a flipped bit in it must not look like a torn write.
 
@@ -111,8 +111,8 @@
 }
 
 impl<D: Directory> Wal<D> {
-    /// Opens a data folder and recovers its state. A new folder gets the disk identity `new_disk` and
-    /// an empty snapshot with `first_membership`.
+    /// Opens a data folder and recovers its state. A new folder gets the disk identity `new_disk`
+    /// and an empty snapshot with `first_membership`.
     pub fn open(
         mut directory: D,
         identity: &FolderIdentity,
@@ -301,8 +301,8 @@
 }
 
 /// Returns the entries after the snapshot if they are contiguous with it and their log has the same
-/// term at its position. A crash after the snapshot was replaced and before the log was leaves a log
-/// that may not match.
+/// term at its position. A crash after the snapshot was replaced and before the log was leaves a
+/// log that may not match.
 fn entries_after_snapshot(mut entries: Vec<Entry>, snapshot: &Snapshot) -> Vec<Entry> {
     let at_snapshot = entries.iter().find(|entry| entry.index == snapshot.index);
     if at_snapshot.is_some_and(|entry| entry.term != snapshot.term) {
--- a/crates/consensus/tests/scenarios.rs
+++ b/crates/consensus/tests/scenarios.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn isolated_leader_steps_down_and_confirms_no_read() {
+fn isolated_leader_steps_down_and_confirms_no_stale_read() {
     let mut cluster = Cluster::new(3, 2);
     cluster.commit_one();
     let old = cluster.leader().unwrap();
@@ -111,8 +111,8 @@
     panic!("{change:?} is still refused after 100 attempts");
 }
 
-/// Replaces replica 3, whose disk is lost, by replica 4. Crashes replica 2 right after the change is
-/// committed, so that replicas 1 and 4 must hold all acknowledged commands.
+/// Replaces replica 3, whose disk is lost, by replica 4. Crashes replica 2 right after the change
+/// is committed, so that replicas 1 and 4 must hold all acknowledged commands.
 fn replace_a_replica_then_lose_another(cluster: &mut Cluster) {
     cluster.commit_one();
     cluster.crash(3);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -12,7 +12,8 @@
 /// Why a settings file is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The file is not valid TOML, or has an unknown key, a missing key or a value of the wrong type.
+    /// The file is not valid TOML, or has an unknown key, a missing key or a value of the wrong
+    /// type.
     #[error("line {line}: {message}")]
     Syntax {
         /// The line number, from 1.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,8 @@
 //! Frames and messages between drumshore processes.
 //!
-//! A connection starts with a [`handshake`] in which both sides prove that they hold the cluster key.
-//! After it, each message is sent in one checksummed [`frame`]. Callers provide the byte streams.
+//! A connection starts with a [`handshake`] in which both sides prove that they hold the cluster
+//! key. After it, each message is sent in one checksummed [`frame`]. Callers provide the byte
+//! streams.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -188,8 +188,8 @@
 pub struct IndexQuestion {
     /// Identifies the question in the answer and in the booking that follows it.
     pub ticket: u32,
-    /// The slot of an engine that could serve the prompt. The engines of the same pool with the same
-    /// weights are the candidates.
+    /// The slot of an engine that could serve the prompt. The engines of the same pool with the
+    /// same weights are the candidates.
     pub like: u16,
     /// Tokens in one cache block.
     pub block_tokens: u32,
@@ -395,8 +395,8 @@
 pub struct UsageRecord {
     /// The tenant that the figures are for.
     pub tenant: Text,
-    /// In tenths of a request per second. In a report: the rate of requests that asked to start since
-    /// the last report. In an allotment: the rate at which the router may start requests.
+    /// In tenths of a request per second. In a report: the rate of requests that asked to start
+    /// since the last report. In an allotment: the rate at which the router may start requests.
     pub rate: u32,
     /// In a report: requests open now. In an allotment: requests that the router may have open.
     pub open: u32,
