--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
 //! Frames and messages between drumshore processes.
 //!
-//! A connection starts with a [`handshake`] in which both sides prove that they hold the cluster
+//! A connection starts with a [`mod@handshake`] in which both sides prove that they hold the cluster
 //! key. After it, each message is sent in one checksummed [`frame`]. Callers provide the byte
 //! streams.
 #![forbid(unsafe_code)]
