--- a/crates/gateway-core/src/control/members.rs
+++ b/crates/gateway-core/src/control/members.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-use drumshore_consensus::{Change, Directory, MemberRole, ReplicaId};
+use drumshore_consensus::{Directory, MemberRole, MembershipChange, ReplicaId};
 use drumshore_core::Timestamp;
 
 use super::{ControlCore, Effect};
@@ -82,7 +82,7 @@
         }
     }
 
-    fn next_change(&self) -> Option<Change> {
+    fn next_change(&self) -> Option<MembershipChange> {
         let membership = self.replica.raft().membership();
         let joiner = self
             .join_requests
@@ -94,8 +94,8 @@
             // The old replica's disk is lost, or it would have returned under its old identifier.
             let predecessor = members.find(|member| address_of(member.id) == address_of(*joiner));
             return Some(match predecessor {
-                Some(member) => Change::Remove(member.id),
-                None => Change::AddLearner(*joiner),
+                Some(member) => MembershipChange::Remove(member.id),
+                None => MembershipChange::AddLearner(*joiner),
             });
         }
         let mut learners = membership
@@ -104,10 +104,10 @@
             .filter(|member| member.role == MemberRole::Learner);
         let learner = learners.find(|member| self.is_responsive(member.id))?;
         if membership.voters().count() < self.params.voters {
-            return Some(Change::Promote(learner.id));
+            return Some(MembershipChange::Promote(learner.id));
         }
         let unresponsive = membership.voters().find(|id| !self.is_responsive(*id))?;
-        Some(Change::Remove(unresponsive))
+        Some(MembershipChange::Remove(unresponsive))
     }
 
     fn is_responsive(&self, replica: ReplicaId) -> bool {
@@ -115,8 +115,8 @@
         if replica == raft.id() {
             return true;
         }
-        let silent_ticks = raft.silent_ticks(replica).unwrap_or(u64::MAX);
+        let ticks_since_response = raft.ticks_since_response(replica).unwrap_or(u64::MAX);
         let max_silent_ticks = self.params.voter_timeout.as_micros() / self.params.tick.as_micros();
-        u128::from(silent_ticks) < max_silent_ticks
+        u128::from(ticks_since_response) < max_silent_ticks
     }
 }
