--- a/crates/gateway-core/tests/backoff.rs
+++ b/crates/gateway-core/tests/backoff.rs
@@ -82,7 +82,7 @@
 
 /// Guards against retries that cause the next backoff. The pool runs at half its capacity and recovers within some
 /// seconds after all its back ends rejected requests. Of the callers that start from 8 s after that on, 0.99 are served;
-/// it was 0.4 when the first back end whose backoff ended received all waiting requests.
+/// it was 0.4 when a back end received all waiting requests at the end of its backoff.
 #[rstest]
 #[case::few_routers(7)]
 #[case::many_routers(40)]
@@ -190,7 +190,7 @@
                     f64::from(tally.late_served) / f64::from(tally.late_asked)
                 );
             };
-            print("ignored", false, RetryTiming::AsRouterAsks);
+            print("limits ignored", false, RetryTiming::AsRouterAsks);
             print(
                 "at the end of the shortest backoff",
                 true,
--- a/crates/gateway-core/tests/backoff/mod.rs
+++ b/crates/gateway-core/tests/backoff/mod.rs
@@ -82,6 +82,7 @@
 /// Outcomes of callers, and requests at back ends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
+    /// Callers, each counted at its first request.
     pub asked: u32,
     pub served: u32,
     pub never_served: u32,
--- a/crates/gateway-core/tests/cluster/mod.rs
+++ b/crates/gateway-core/tests/cluster/mod.rs
@@ -57,7 +57,7 @@
     delayed_messages: Vec<(Timestamp, Ipv4Addr, Ipv4Addr, Message)>,
     params: ControlParams,
     next_ticket: u64,
-    next_seed: u64,
+    next_random_seed: u64,
 }
 
 pub fn address(number: u8) -> Ipv4Addr {
@@ -91,7 +91,7 @@
             in_flight: Vec::new(),
             params,
             next_ticket: 0,
-            next_seed: 100,
+            next_random_seed: 100,
         };
         for seed in seeds {
             cluster.add(seed, bootstrap_id(seed));
@@ -111,13 +111,13 @@
 
     /// Starts a machine with an empty disk, which asks to join the cluster.
     pub fn join(&mut self, at: Ipv4Addr) {
-        self.next_seed += 1;
-        let replica = ReplicaId(bootstrap_id(at).0 | self.next_seed);
+        self.next_random_seed += 1;
+        let replica = ReplicaId(bootstrap_id(at).0 | self.next_random_seed);
         self.add(at, replica);
     }
 
     pub fn start(&mut self, at: Ipv4Addr) {
-        self.next_seed += 1;
+        self.next_random_seed += 1;
         let founding = self.machines[&at].replica == bootstrap_id(at);
         let members = if founding {
             Membership::of_voters(self.seeds.iter().map(|seed| bootstrap_id(*seed)))
@@ -136,7 +136,7 @@
             self.seeds.clone(),
             at.to_string(),
             params,
-            self.next_seed,
+            self.next_random_seed,
         );
         machine.core = Some(core.unwrap());
     }
--- a/crates/gateway-core/tests/configuration_in_force/main.rs
+++ b/crates/gateway-core/tests/configuration_in_force/main.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Guards against routers that keep following a minority of the control machines: these are partitioned from the others,
-/// while routers still reach them.
+/// Guards against routers that keep following a minority of the control machines, up to all machines of a zone, that is
+/// cut off from the others while routers still reach it.
 #[rstest]
 #[case::one_of_five(5, &[1])]
 #[case::two_of_five(5, &[1, 2])]
@@ -55,7 +55,7 @@
 #[case::four_of_nine(9, &[1, 2, 3, 4])]
 #[case::two_of_ten(10, &[5, 10])]
 #[case::four_of_ten(10, &[5, 10, 1, 6])]
-fn a_zone_whose_control_machines_are_partitioned_applies_changes_in_time(
+fn changes_are_applied_in_time_while_a_minority_of_control_machines_is_cut_off(
     #[case] machines: u8,
     #[case] cut: &[u8],
 ) {
--- a/crates/gateway-core/tests/configuration_in_force/simulation.rs
+++ b/crates/gateway-core/tests/configuration_in_force/simulation.rs
@@ -54,6 +54,7 @@
 struct RouterChecks {
     /// The router runs, and exchanges messages with all connected control machines in both directions.
     undisturbed: HeldSince,
+    /// Version in force at the last check.
     served: u64,
     incarnation: u64,
     /// All versions up to this one are applied.
--- a/crates/gateway-core/tests/control/back_ends.rs
+++ b/crates/gateway-core/tests/control/back_ends.rs
@@ -9,15 +9,15 @@
     let registered = cluster.heartbeat(address(1), &ready);
     cluster.run(SECOND);
     assert_eq!(cluster.replies[&registered], Reply::Accepted);
-    let mut leaving = ready.clone();
-    leaving.lifecycle = Lifecycle::Draining;
+    let mut draining = ready.clone();
+    draining.lifecycle = Lifecycle::Draining;
     cluster.cut.insert(address(1));
-    let unacknowledged = cluster.heartbeat(address(1), &leaving);
+    let unacknowledged = cluster.heartbeat(address(1), &draining);
     cluster.run(2 * SECOND);
     assert_eq!(cluster.replies[&unacknowledged], Reply::Unavailable);
     cluster.cut.clear();
     cluster.run(2 * SECOND);
-    let acknowledged = cluster.heartbeat(address(2), &leaving);
+    let acknowledged = cluster.heartbeat(address(2), &draining);
     cluster.run(SECOND);
     assert_eq!(cluster.replies[&acknowledged], Reply::Accepted);
     let record = cluster.core(address(3)).state().instance("i-1").cloned();
@@ -42,7 +42,7 @@
 
 #[test]
 fn an_unresponsive_back_end_expires_and_its_next_heartbeat_restores_it() {
-    // After crashes, dead incarnations made up most of the back ends of a pool.
+    // Dead incarnations that did not expire made up most of the back ends of a pool after crashes.
     let mut cluster = cluster_with_leader(3);
     let leader = cluster.leader().unwrap();
     cluster.heartbeat(leader, &back_end(1, 1));
@@ -57,9 +57,9 @@
 fn an_unresponsive_draining_back_end_stays_draining() {
     let mut cluster = cluster_with_leader(3);
     let leader = cluster.leader().unwrap();
-    let mut leaving = back_end(1, 1);
-    leaving.lifecycle = Lifecycle::Draining;
-    cluster.heartbeat(leader, &leaving);
+    let mut draining = back_end(1, 1);
+    draining.lifecycle = Lifecycle::Draining;
+    cluster.heartbeat(leader, &draining);
     cluster.run(20 * SECOND);
     cluster.heartbeat(leader, &back_end(1, 1));
     cluster.run(SECOND);
@@ -155,8 +155,8 @@
     assert!(!announces_loss(&mut cluster), "it is announced only once");
 }
 
-/// Back ends with a heartbeat interval of 3 s. When a fixed 2.5 s stood for two heartbeats, the successor was missing from
-/// the state from 2.5 s after its registration until its next heartbeat.
+/// Back ends send heartbeats each 3 s. When two heartbeat intervals were assumed to last 2.5 s, the successor was missing
+/// from the state from 2.5 s after its registration until its next heartbeat.
 #[test]
 fn a_late_heartbeat_of_the_predecessor_does_not_remove_a_back_end_with_slow_heartbeats() {
     let params = ControlParams {
--- a/crates/gateway-core/tests/control/fleet.rs
+++ b/crates/gateway-core/tests/control/fleet.rs
@@ -240,12 +240,12 @@
     let news = Message::News(Blob::new(message.encode()));
     cluster.core(follower).on_control(now, news);
     cluster.settle();
-    let received_loads = |to: u64| {
+    let received = |to: u64| {
         let sent = cluster.to_routers.iter();
         sent.filter(|sent| sent.1 == ConnectionId(to) && sent.2 == message)
             .count()
     };
-    assert_eq!((received_loads(1), received_loads(2)), (expected, 0));
+    assert_eq!((received(1), received(2)), (expected, 0));
 }
 
 #[test]
@@ -271,15 +271,12 @@
     let core = cluster.core(leader);
     core.on_router(now, ConnectionId(1), message.clone());
     cluster.settle();
-    let received_loads = |at: Ipv4Addr, to: u64| {
+    let received = |at: Ipv4Addr, to: u64| {
         let sent = (at, ConnectionId(to), message.clone());
         cluster.to_routers.contains(&sent)
     };
-    assert!(received_loads(follower, 2));
-    assert!(
-        !received_loads(leader, 1),
-        "the reporting router is not notified"
-    );
+    assert!(received(follower, 2));
+    assert!(!received(leader, 1), "the reporting router is not notified");
 }
 
 /// Connects routers to the leader that each report loads of different back ends, and returns the bytes a second that the
@@ -318,10 +315,10 @@
         cluster.run(Duration::from_millis(50));
     }
     let to_routers = cluster.to_routers.iter().map(|sent| &sent.2);
-    let received_loads = to_routers.chain(&cluster.sent_to_control);
+    let messages = to_routers.chain(&cluster.sent_to_control);
     let is_load =
         |message: &&Message| matches!(message, Message::LoadsOfAll { .. } | Message::News(_));
-    let bytes: usize = received_loads
+    let bytes: usize = messages
         .filter(is_load)
         .map(|message| message.encode().len())
         .sum();
--- a/crates/gateway-core/tests/control/quarantine.rs
+++ b/crates/gateway-core/tests/control/quarantine.rs
@@ -11,7 +11,7 @@
 const ROUTER: &str = "10.0.1.1:80";
 const LINK: ConnectionId = ConnectionId(1);
 const OTHER_LINK: ConnectionId = ConnectionId(2);
-/// Time until a quarantined fingerprint is released without a trial.
+/// Duration of a quarantine, after which the fingerprint is released.
 const QUARANTINE: Duration = Duration::from_secs(600);
 
 fn fingerprint(number: u8) -> RequestFingerprint {
@@ -49,6 +49,7 @@
     cluster.settle();
 }
 
+/// A cluster with a router that is connected to all machines.
 fn cluster_with_router(founders: u8) -> Cluster {
     let mut cluster = cluster_with_leader(founders);
     for number in 1..=founders {
@@ -64,15 +65,15 @@
     link: ConnectionId,
     fingerprint: RequestFingerprint,
 ) -> Option<u8> {
-    let to_it = cluster.to_routers.iter().rev();
-    let mut to_it = to_it.filter(|(from, to, _)| *from == machine && *to == link);
-    to_it.find_map(|(.., message)| match message {
-        Message::FingerprintSuspicions(list) => suspected(&list.items, fingerprint),
+    let sent = cluster.to_routers.iter().rev();
+    let mut sent = sent.filter(|(from, to, _)| *from == machine && *to == link);
+    sent.find_map(|(.., message)| match message {
+        Message::FingerprintSuspicions(list) => crashes_of(&list.items, fingerprint),
         _ => None,
     })
 }
 
-fn suspected(suspicions: &[FingerprintSuspicion], fingerprint: RequestFingerprint) -> Option<u8> {
+fn crashes_of(suspicions: &[FingerprintSuspicion], fingerprint: RequestFingerprint) -> Option<u8> {
     let mut suspicions = suspicions.iter();
     let found = suspicions.find(|suspicion| suspicion.fingerprint == fingerprint);
     found.map(|suspicion| suspicion.crashes)
@@ -143,8 +144,8 @@
     let mut cluster = cluster_with_router(5);
     let leader = cluster.leader().unwrap();
     let others = others_than(leader, 5);
-    for replaced in [leader, others[0], others[1]] {
-        cluster.kill(replaced);
+    for stopped in [leader, others[0], others[1]] {
+        cluster.kill(stopped);
     }
     cluster.run(2 * SECOND);
     report(&mut cluster, others[2], &three_crashes(fingerprint(1)));
@@ -299,8 +300,8 @@
     }
 }
 
-/// One trial at one router after 10 s, 60 s and 300 s, whichever machine leads. A request that completes in its trial is
-/// released.
+/// One trial at one router after 10 s, 60 s and 300 s, whichever machine leads. When the request completes in the
+/// trial, its fingerprint is released.
 #[test]
 fn a_quarantined_fingerprint_gets_a_trial_at_one_router_at_a_time() {
     let mut cluster = cluster_with_router(3);
@@ -368,17 +369,17 @@
     report(&mut cluster, leader, &reports);
     cluster.to_routers.clear();
     cluster.run(10 * SECOND);
-    let last_reported_crashes = cluster
+    let bytes = cluster
         .to_routers
         .iter()
         .map(|(.., message)| match message {
             Message::FingerprintSuspicions(list) => list.items.len() * FingerprintSuspicion::BYTES,
             _ => 0,
         });
-    let last_reported_crashes: usize = last_reported_crashes.sum();
+    let bytes: usize = bytes.sum();
     assert!(
-        last_reported_crashes > 0 && last_reported_crashes <= 10 * BYTES_PER_SECOND,
-        "{last_reported_crashes} bytes in 10 s"
+        bytes > 0 && bytes <= 10 * BYTES_PER_SECOND,
+        "{bytes} bytes in 10 s"
     );
 }
 
--- a/crates/gateway-core/tests/control/rollout.rs
+++ b/crates/gateway-core/tests/control/rollout.rs
@@ -19,8 +19,8 @@
         }
     }
     let recorded_at = recorded_at.expect("the load is in the replicated state");
-    let ordered_instances = cluster.orders[0].at;
-    assert!(ordered_instances.since(recorded_at) >= Duration::from_millis(200));
+    let ordered_at = cluster.orders[0].at;
+    assert!(ordered_at.since(recorded_at) >= Duration::from_millis(200));
 }
 
 #[test]
@@ -45,7 +45,7 @@
     assert!(cluster
         .report_requests
         .iter()
-        .any(|(_, asked_instance)| *asked_instance == instance));
+        .any(|(_, requested)| *requested == instance));
     let report = BackEndReport {
         orders_taken: 3,
         busy: false,
--- a/crates/gateway-core/tests/control/routers.rs
+++ b/crates/gateway-core/tests/control/routers.rs
@@ -237,9 +237,9 @@
     cluster.link_router(leader, ConnectionId(1), "10.0.1.1:80");
     let key = |name: &str| StoredKey::new("salt", name);
     let store = StoreId::at("10.0.9.1:80");
-    let mut received = |news| {
+    let mut received = |update| {
         let now = cluster.now;
-        cluster.core(leader).on_store_update(now, store, news);
+        cluster.core(leader).on_store_update(now, store, update);
         cluster.to_routers.clear();
         cluster.run(Duration::from_millis(100));
         let messages = cluster.to_routers.iter();
--- a/crates/gateway-core/tests/control/unresponsive.rs
+++ b/crates/gateway-core/tests/control/unresponsive.rs
@@ -7,7 +7,7 @@
 #[case::at_a_follower(false, 0)]
 fn the_leader_reports_an_unresponsive_back_end_to_the_other_routers(
     #[case] at_leader: bool,
-    #[case] messages: usize,
+    #[case] expected: usize,
 ) {
     let (mut cluster, machine) = with_two_routers(at_leader);
     let message = Message::Suspects(List::new(vec![LoadEntry::key_of("i-1")]));
@@ -20,7 +20,7 @@
         sent.filter(|(_, connection, sent)| *connection == ConnectionId(to) && *sent == message)
             .count()
     };
-    assert_eq!((received(1), received(2)), (0, messages));
+    assert_eq!((received(1), received(2)), (0, expected));
 }
 
 /// The number of reports to the second router that the first back end is unresponsive.
@@ -82,12 +82,12 @@
         core.on_router(now, ConnectionId(1), message.clone());
         cluster.run(Duration::from_millis(50));
     }
-    let messages = |to: u64| {
+    let received = |to: u64| {
         let sent = cluster.to_routers.iter();
         sent.filter(|(_, connection, sent)| *connection == ConnectionId(to) && *sent == message)
             .count()
     };
-    assert_eq!((messages(1), messages(2)), (0, 3));
+    assert_eq!((received(1), received(2)), (0, 3));
 }
 
 #[test]
--- a/crates/gateway-core/tests/limits.rs
+++ b/crates/gateway-core/tests/limits.rs
@@ -91,6 +91,7 @@
     limit: TenantLimit,
     /// Levels sent to routers: arrival time, router and message.
     levels_in_flight: VecDeque<(Timestamp, usize, Message)>,
+    /// Routers and control machines do not reach each other.
     is_cut_off: bool,
     /// A router whose reports are lost, while it receives the leader's levels.
     router_with_lost_reports: Option<usize>,
--- a/crates/gateway-core/tests/limits_of_back_ends.rs
+++ b/crates/gateway-core/tests/limits_of_back_ends.rs
@@ -37,7 +37,7 @@
                     let max_in_window = tallies.map(|tally| tally.max_in_window).max().unwrap();
                     if max_in_window > allowed(limit) {
                         violations.push(format!(
-                            "{routers} routers, limit {limit}, {scenario:?}, {demand} times the limit requested: {max_in_window} sent, {} allowed",
+                            "{routers} routers, limit {limit}, {scenario:?}, {demand} times: {max_in_window} sent, {} allowed",
                             allowed(limit)
                         ));
                     }
--- a/crates/gateway-core/tests/limits_of_back_ends/mod.rs
+++ b/crates/gateway-core/tests/limits_of_back_ends/mod.rs
@@ -20,8 +20,8 @@
 /// Callers send requests for this time, or until [`MAX_REQUESTS`] at high rates.
 const REQUEST_PERIOD: Duration = Duration::from_secs(30);
 const MAX_REQUESTS: f64 = 3_000.0;
-/// A router's requests are counted only when it received the limit at least this long ago: requests that were in
-/// flight with the first answer could not keep to it.
+/// The requests of a router are counted from this time on after it first received the limit; earlier ones may have been
+/// under way already.
 const COUNT_DELAY: Duration = Duration::from_millis(500);
 const WINDOW: Duration = Duration::from_secs(4);
 /// Interval at which routers get their view confirmed, with the number of routers.
--- a/crates/gateway-core/tests/pool/mod.rs
+++ b/crates/gateway-core/tests/pool/mod.rs
@@ -96,6 +96,7 @@
 /// Outcomes of requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
+    /// First attempts of callers.
     pub asked: u32,
     pub in_time: u32,
     /// Answered in time counted from the retry, after a refusal.
@@ -162,7 +163,7 @@
             while due > 0.0 && self.random.random::<f64>() < due {
                 let kind = self.sample_kind();
                 self.tallies[kind].asked += 1;
-                self.ask(kind, self.now, false);
+                self.send_request(kind, self.now, false);
                 due -= 1.0;
             }
             self.send_retries();
@@ -184,7 +185,7 @@
         self.kinds.len() - 1
     }
 
-    fn ask(&mut self, kind_number: usize, asked: Timestamp, is_retry: bool) {
+    fn send_request(&mut self, kind_number: usize, asked: Timestamp, is_retry: bool) {
         let kind = self.kinds[kind_number];
         let router = self.random.random_range(0..ROUTERS);
         let now = self.now;
@@ -235,7 +236,7 @@
                 break;
             }
             self.retries.pop();
-            self.ask(kind, Timestamp(asked), true);
+            self.send_request(kind, Timestamp(asked), true);
         }
     }
 
