--- a/crates/control/src/core/index.rs
+++ b/crates/control/src/core/index.rs
@@ -6,7 +6,7 @@
 use drumshore_consensus::{Directory, ReplicaId};
 use drumshore_core::{EngineId, EngineName, Timestamp};
 use drumshore_routing::{
-    Booking, CacheReport, Holding, LoadReport, Question, QuestionId, QuestionPrefix, ReportWanted,
+    Booking, CacheReport, Holding, IndexLookup, LoadReport, LookupId, LookupPrefix, ReportWanted,
     SequenceHash,
 };
 use drumshore_wire::{
@@ -130,24 +130,27 @@
 
     fn booking(&mut self, connection: ConnectionId, record: &BookingRecord) -> Option<Booking> {
         let engine = self.fleet.of_slot(record.slot)?.id();
-        let question = QuestionId {
-            asker: connection.0,
+        let question = LookupId {
+            requester: connection.0,
             ticket: record.ticket,
         };
         let missing_tokens = u32::from(record.missing) * WAITING_UNIT_TOKENS;
-        Some(self.indexer.booking_of(question, engine, missing_tokens))
+        Some(
+            self.indexer
+                .booking_for_lookup(question, engine, missing_tokens),
+        )
     }
 }
 
-fn question(connection: ConnectionId, asked: &IndexQuestion) -> Question {
+fn question(connection: ConnectionId, asked: &IndexQuestion) -> IndexLookup {
     let hashes = asked.prefixes.items.iter().zip(1u32..);
-    let prefixes = hashes.map(|(hash, number)| QuestionPrefix {
+    let prefixes = hashes.map(|(hash, number)| LookupPrefix {
         hash: SequenceHash(*hash),
         blocks: number * u32::from(asked.step),
     });
-    Question {
-        id: QuestionId {
-            asker: connection.0,
+    IndexLookup {
+        id: LookupId {
+            requester: connection.0,
             ticket: asked.ticket,
         },
         prefixes: prefixes.collect(),
--- a/crates/gateway-core/src/router/holders.rs
+++ b/crates/gateway-core/src/router/holders.rs
@@ -10,7 +10,7 @@
 
 use drumshore_core::{EngineId, Incarnation, Timestamp};
 use drumshore_routing::index::Holder;
-use drumshore_routing::{BeliefIndex, BeliefParams, PrefixChain, SequenceHash};
+use drumshore_routing::{PrefixChain, PrefixIndex, PrefixIndexParams, SequenceHash};
 
 use super::Prompt;
 use crate::{HolderEntry, LoadEntry, StoredKey};
@@ -39,18 +39,18 @@
 
 /// What one router believes.
 pub(super) struct Holders {
-    index: BeliefIndex,
+    index: PrefixIndex,
     news: Vec<HolderEntry>,
 }
 
 impl Default for Holders {
     fn default() -> Self {
-        let params = BeliefParams {
+        let params = PrefixIndexParams {
             capacity: REMEMBERED_PREFIXES,
             holders_per_prefix: HOLDERS_PER_PREFIX,
         };
         Self {
-            index: BeliefIndex::new(params),
+            index: PrefixIndex::new(params),
             news: Vec::new(),
         }
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -34,9 +34,9 @@
     /// The largest head of a request, in bytes.
     pub max_head_bytes: usize,
     /// How long a head, and then a body, may take to arrive.
-    pub read_patience: Duration,
+    pub read_timeout: Duration,
     /// How long a caller may take to accept bytes.
-    pub write_patience: Duration,
+    pub write_timeout: Duration,
     /// How long a connection may rest between requests.
     pub idle_patience: Duration,
     /// The stack of a connection's thread, in bytes.
@@ -48,8 +48,8 @@
         Self {
             max_connections: 4_096,
             max_head_bytes: 16 * 1024,
-            read_patience: Duration::from_secs(10),
-            write_patience: Duration::from_secs(10),
+            read_timeout: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(10),
             idle_patience: Duration::from_secs(60),
             stack_bytes: 128 * 1024,
         }
@@ -170,7 +170,7 @@
 }
 
 fn refuse_connection(stream: &TcpStream, shared: &Shared) {
-    let _ = stream.set_write_timeout(Some(shared.params.write_patience));
+    let _ = stream.set_write_timeout(Some(shared.params.write_timeout));
     let verdict = Verdict::not_run(ErrorCode::Overloaded, "too many connections");
     Responder::new(stream, false).refuse(&verdict.retry_after(Duration::from_secs(1)));
 }
@@ -215,7 +215,7 @@
     let params = &shared.params;
     let ready = stream
         .set_nodelay(true)
-        .and_then(|()| stream.set_write_timeout(Some(params.write_patience)))
+        .and_then(|()| stream.set_write_timeout(Some(params.write_timeout)))
         .and_then(|()| stream.try_clone());
     let Ok(reading) = ready else {
         return;
@@ -231,7 +231,7 @@
         input,
         params.max_head_bytes,
         params.idle_patience,
-        params.read_patience,
+        params.read_timeout,
     );
     let head = match head {
         Ok(head) => head,
@@ -243,7 +243,7 @@
     };
     shared.active_requests.fetch_add(1, Ordering::SeqCst);
     let keep_alive = head.keep_alive && !shared.closing.load(Ordering::SeqCst);
-    let mut request = Request::new(head, input, stream, params.read_patience);
+    let mut request = Request::new(head, input, stream, params.read_timeout);
     let responder = Responder::new(stream, keep_alive);
     shared.handler.handle(&mut request, responder);
     let body_done = request.body_done;
--- a/crates/http/src/tests.rs
+++ b/crates/http/src/tests.rs
@@ -36,7 +36,7 @@
 fn params() -> ServerParams {
     ServerParams {
         max_head_bytes: 2_048,
-        read_patience: Duration::from_millis(200),
+        read_timeout: Duration::from_millis(200),
         ..ServerParams::default()
     }
 }
@@ -175,7 +175,7 @@
 fn connections_beyond_the_bound_are_refused_and_the_others_served() {
     let server = start(ServerParams {
         max_connections: 2,
-        read_patience: Duration::from_secs(60),
+        read_timeout: Duration::from_secs(60),
         ..params()
     });
     let mut served = [connect(&server), connect(&server)];
--- a/crates/node/src/router/mod.rs
+++ b/crates/node/src/router/mod.rs
@@ -134,8 +134,8 @@
         // Refusals need connections too.
         max_connections: limits.max_open_requests as usize * 2,
         max_head_bytes: limits.max_header_bytes as usize,
-        read_patience: Duration::from_millis(limits.read_timeout_ms),
-        write_patience: Duration::from_millis(limits.write_timeout_ms),
+        read_timeout: Duration::from_millis(limits.read_timeout_ms),
+        write_timeout: Duration::from_millis(limits.write_timeout_ms),
         ..ServerParams::default()
     };
     let listen: SocketAddr = settings.listen;
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -79,7 +79,7 @@
             .iter()
             .map(|usage| UsageRecord {
                 tenant: Text::new(usage.tenant.as_str()),
-                rate: (f64::from(usage.asked) * RATE_UNIT / seconds) as u32,
+                rate: (f64::from(usage.requests) * RATE_UNIT / seconds) as u32,
                 open: usage.open,
             })
             .collect::<Vec<_>>();
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -17,8 +17,9 @@
     WeightsVersion, ZoneName,
 };
 use drumshore_routing::{
-    Admission, AdmissionParams, BeliefParams, DecisionLog, DecisionRecord, EngineObservation,
-    EngineSet, FairQueue, Placement, Placer, RetryBudget, RetryParams, Scheduler, SchedulerParams,
+    Admission, AdmissionParams, DecisionLog, DecisionRecord, EngineObservation, EngineSet,
+    FairQueue, Placement, Placer, PrefixIndexParams, RetryBudget, RetryParams, Scheduler,
+    SchedulerParams,
 };
 use drumshore_wire::Message;
 use rand::SeedableRng;
@@ -52,7 +53,7 @@
     /// How engines are chosen.
     pub scheduler: SchedulerParams,
     /// What is remembered of their caches.
-    pub belief: BeliefParams,
+    pub belief: PrefixIndexParams,
     /// What may be open.
     pub admission: AdmissionParams,
     /// What may be tried again.
@@ -87,7 +88,7 @@
             zone,
             controls,
             scheduler: SchedulerParams::default(),
-            belief: BeliefParams::default(),
+            belief: PrefixIndexParams::default(),
             admission: AdmissionParams { max_open: 2_048 },
             retry: RetryParams::default(),
             queue_capacity: 4_096,
--- a/crates/router/src/core/placement.rs
+++ b/crates/router/src/core/placement.rs
@@ -114,7 +114,7 @@
                 goal: prompt.goal,
                 zone: &self.params.zone,
                 excluded: &request.excluded,
-                known: None,
+                index_answer: None,
                 may_ask,
             };
             let (number, now) = (id.sequence, self.now);
--- a/crates/router/src/core/questions.rs
+++ b/crates/router/src/core/questions.rs
@@ -170,7 +170,7 @@
 }
 
 fn question(ticket: u32, like: u16, chain: &PrefixChain, weight: f64) -> IndexQuestion {
-    let prefixes = chain.question_prefixes();
+    let prefixes = chain.lookup_prefixes();
     let step = prefixes.first().map_or(1, |prefix| prefix.blocks);
     let hashes = prefixes.iter().map(|prefix| prefix.hash.0);
     IndexQuestion {
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -184,7 +184,7 @@
                 };
                 if !self.place(item.item) {
                     if let Some(queue) = self.queues.get_mut(&model) {
-                        queue.unpop(item, weight);
+                        queue.requeue_front(item, weight);
                     }
                     break;
                 }
--- a/crates/routing/examples/place.rs
+++ b/crates/routing/examples/place.rs
@@ -5,7 +5,7 @@
     WeightsVersion, ZoneName,
 };
 use drumshore_routing::{
-    AnswerReport, BeliefParams, Decision, EngineObservation, EngineState, Placer, PrefixChain,
+    AnswerReport, Decision, EngineObservation, EngineState, Placer, PrefixChain, PrefixIndexParams,
     PrefixRoot, Prompt, RoutingRequest, Scheduler, SchedulerParams,
 };
 use rand::SeedableRng;
@@ -17,7 +17,7 @@
 fn main() {
     let random = ChaCha8Rng::seed_from_u64(1);
     let scheduler = Scheduler::new(SchedulerParams::default(), random);
-    let mut placer = Placer::new(scheduler, BeliefParams::default());
+    let mut placer = Placer::new(scheduler, PrefixIndexParams::default());
     for name in ["a", "b", "c"] {
         placer.engines_mut().observe(EngineObservation {
             name: EngineName::new(name),
@@ -42,7 +42,7 @@
             goal: PlacementGoal::Latency,
             zone: &ZoneName::new("zone-1"),
             excluded: &[],
-            known: None,
+            index_answer: None,
             may_ask: false,
         };
         match placer.place(request, &routing, now) {
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 struct TenantUse {
     open: u32,
-    asked: u32,
+    requests: u32,
     tokens: f64,
     refilled_at: Timestamp,
     allotment: Option<Allotment>,
@@ -54,7 +54,7 @@
     /// The tenant.
     pub tenant: TenantName,
     /// Requests that asked to start.
-    pub asked: u32,
+    pub requests: u32,
     /// Requests open now.
     pub open: u32,
 }
@@ -87,7 +87,7 @@
             return AdmissionDecision::Refused(verdict.retry_after(Duration::from_secs(1)));
         }
         let tenant = self.tenant_use(request, now);
-        tenant.asked += 1;
+        tenant.requests += 1;
         if let Err(verdict) = tenant.check(request.limits, now) {
             return AdmissionDecision::Refused(verdict);
         }
@@ -118,18 +118,18 @@
 
     /// What tenants used since the last call. Tenants that use nothing are forgotten.
     pub fn take_usage(&mut self) -> Vec<TenantUsage> {
-        let used = |tenant: &TenantUse| tenant.asked > 0 || tenant.open > 0;
+        let used = |tenant: &TenantUse| tenant.requests > 0 || tenant.open > 0;
         let usage = self.tenants.iter().filter(|(_, tenant)| used(tenant));
         let usage = usage
             .map(|(name, tenant)| TenantUsage {
                 tenant: name.clone(),
-                asked: tenant.asked,
+                requests: tenant.requests,
                 open: tenant.open,
             })
             .collect();
         self.tenants.retain(|_, tenant| used(tenant));
         for tenant in self.tenants.values_mut() {
-            tenant.asked = 0;
+            tenant.requests = 0;
         }
         usage
     }
@@ -140,7 +140,7 @@
             .entry(request.tenant.clone())
             .or_insert_with(|| TenantUse {
                 open: 0,
-                asked: 0,
+                requests: 0,
                 tokens: full,
                 refilled_at: now,
                 allotment: None,
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -145,7 +145,7 @@
 
     /// Shows the engine as it is at this moment, for the oracle of measurements: what waits and
     /// runs there, and what it holds of the request that is placed next.
-    pub fn show_exactly(
+    pub fn set_exact_state(
         &mut self,
         waiting_tokens: u32,
         running: u32,
--- a/crates/routing/src/fair_queue.rs
+++ b/crates/routing/src/fair_queue.rs
@@ -106,7 +106,7 @@
     }
 
     /// Puts a request back at the head of its tenant's line, with its turn.
-    pub fn unpop(&mut self, queued: QueuedItem<T>, weight: u32) {
+    pub fn requeue_front(&mut self, queued: QueuedItem<T>, weight: u32) {
         let class = self.classes.entry(queued.priority).or_default();
         class.turn.retain(|tenant| *tenant != queued.tenant);
         class.turn.push_front(queued.tenant.clone());
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -12,14 +12,14 @@
 
 /// Bounds on what is remembered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BeliefParams {
+pub struct PrefixIndexParams {
     /// Prefixes remembered.
     pub capacity: usize,
     /// Engines remembered for one prefix; the longest unused goes first.
     pub holders_per_prefix: usize,
 }
 
-impl Default for BeliefParams {
+impl Default for PrefixIndexParams {
     fn default() -> Self {
         Self {
             capacity: 200_000,
@@ -54,15 +54,15 @@
 
 /// Beliefs in bounded memory, in two generations like [`crate::heat::HeatMap`].
 #[derive(Clone, Debug)]
-pub struct BeliefIndex {
-    params: BeliefParams,
+pub struct PrefixIndex {
+    params: PrefixIndexParams,
     young: FxHashMap<SequenceHash, Vec<Holder>>,
     old: FxHashMap<SequenceHash, Vec<Holder>>,
 }
 
-impl BeliefIndex {
+impl PrefixIndex {
     /// An index that believes nothing.
-    pub fn new(params: BeliefParams) -> Self {
+    pub fn new(params: PrefixIndexParams) -> Self {
         Self {
             params,
             young: FxHashMap::default(),
--- a/crates/routing/src/indexer.rs
+++ b/crates/routing/src/indexer.rs
@@ -23,7 +23,7 @@
     /// How long a booking counts when no report confirms it. Longer than a report is late.
     pub booking_lifetime: Duration,
     /// Questions whose prefixes are remembered until the booking that follows them.
-    pub remembered_questions: usize,
+    pub remembered_lookups: usize,
     /// Complete reports of one engine are asked for at most this often.
     pub resync_interval: Duration,
     /// Expected time to compute one prompt token, in microseconds. By it a queue that was reported
@@ -35,7 +35,7 @@
     fn default() -> Self {
         Self {
             booking_lifetime: Duration::from_secs(2),
-            remembered_questions: 8_192,
+            remembered_lookups: 8_192,
             resync_interval: Duration::from_secs(5),
             prefill_us_per_token: 25.0,
         }
@@ -44,16 +44,16 @@
 
 /// A router's question, to be named by the booking that follows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct QuestionId {
+pub struct LookupId {
     /// Who asked.
-    pub asker: u64,
+    pub requester: u64,
     /// The asker's own number.
     pub ticket: u32,
 }
 
 /// One prefix of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct QuestionPrefix {
+pub struct LookupPrefix {
     /// Its hash.
     pub hash: SequenceHash,
     /// Its blocks.
@@ -62,11 +62,11 @@
 
 /// What a router wants to know.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Question {
+pub struct IndexLookup {
     /// Its name.
-    pub id: QuestionId,
+    pub id: LookupId,
     /// Prefixes of the prompt, shortest first.
-    pub prefixes: Vec<QuestionPrefix>,
+    pub prefixes: Vec<LookupPrefix>,
     /// Tokens in a block.
     pub block_tokens: u32,
     /// Tokens of the prompt.
@@ -145,7 +145,7 @@
     entries: usize,
     swept_entries: usize,
     expected: ExpectedBlocks,
-    questions: VecDeque<(QuestionId, Vec<SequenceHash>)>,
+    questions: VecDeque<(LookupId, Vec<SequenceHash>)>,
 }
 
 impl Indexer {
@@ -233,7 +233,7 @@
     /// soonest, best first.
     pub fn ask(
         &mut self,
-        question: &Question,
+        question: &IndexLookup,
         candidates: impl Iterator<Item = EngineId>,
         now: Timestamp,
     ) -> Vec<Holding> {
@@ -244,7 +244,7 @@
             .collect();
         holdings.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.engine.cmp(&b.1.engine)));
         holdings.truncate(question.limit);
-        if self.questions.len() == self.params.remembered_questions {
+        if self.questions.len() == self.params.remembered_lookups {
             self.questions.pop_front();
         }
         let hashes = question.prefixes.iter().map(|prefix| prefix.hash).collect();
@@ -253,9 +253,9 @@
     }
 
     /// The booking that follows a question, with the question's prefixes.
-    pub fn booking_of(
+    pub fn booking_for_lookup(
         &mut self,
-        question: QuestionId,
+        question: LookupId,
         engine: EngineId,
         missing_tokens: u32,
     ) -> Booking {
@@ -311,7 +311,7 @@
     }
 
     /// The blocks of the longest prefix that each engine holds, or soon will.
-    fn deepest(&self, prefixes: &[QuestionPrefix], now: Timestamp) -> FxHashMap<EngineId, u32> {
+    fn deepest(&self, prefixes: &[LookupPrefix], now: Timestamp) -> FxHashMap<EngineId, u32> {
         let mut deepest = FxHashMap::default();
         for prefix in prefixes.iter().rev() {
             let held = self.blocks.get(&prefix.hash).into_iter().flatten().copied();
@@ -403,7 +403,7 @@
     }
 }
 
-fn cost_tokens(question: &Question, holding: &Holding) -> f64 {
+fn cost_tokens(question: &IndexLookup, holding: &Holding) -> f64 {
     let held = holding.blocks * question.block_tokens;
     let missing = question.prompt_tokens.saturating_sub(held);
     f64::from(holding.waiting_tokens) + f64::from(missing) * question.recompute_weight
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -33,13 +33,13 @@
 pub use decision::{AttemptRecord, CandidateRecord, DecisionLog, DecisionRecord};
 pub use engines::{Engine, EngineObservation, EngineSet, EngineState, LoadReport};
 pub use fair_queue::{FairQueue, QueuedItem};
-pub use index::{BeliefIndex, BeliefParams};
+pub use index::{PrefixIndex, PrefixIndexParams};
 pub use indexer::{
-    Booking, Holding, Indexer, IndexerParams, Question, QuestionId, QuestionPrefix, ReportWanted,
+    Booking, Holding, IndexLookup, Indexer, IndexerParams, LookupId, LookupPrefix, ReportWanted,
 };
 pub use params::{Policy, SchedulerParams};
 pub use placer::{AnswerLoad, AnswerReport, Decision, LookupAnswer, Placement, Placer};
-pub use prefix::{PrefixChain, PrefixRoot, Prompt, MAX_QUESTION_PREFIXES};
+pub use prefix::{PrefixChain, PrefixRoot, Prompt, MAX_LOOKUP_PREFIXES};
 pub use protocols::{CacheChange, CacheReport, SequenceHash};
 pub use publisher::CachePublisher;
 pub use retry::{RetryBudget, RetryParams};
--- a/crates/routing/src/params.rs
+++ b/crates/routing/src/params.rs
@@ -12,13 +12,14 @@
     /// The least that waits and runs.
     LeastLoaded,
     /// Cost with this router's own beliefs only.
-    OwnBelief,
+    #[serde(rename = "own-belief")]
+    LocalIndex,
     /// Cost with rendezvous homes only.
     Rendezvous,
     /// Cost with beliefs and homes.
     #[default]
     Product,
-    /// Cost with what [`crate::Engine::show_exactly`] has shown: the oracle of measurements.
+    /// Cost with what [`crate::Engine::set_exact_state`] has shown: the oracle of measurements.
     Exact,
 }
 
--- a/crates/routing/src/placer.rs
+++ b/crates/routing/src/placer.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::index::Overlap;
-use crate::question_budget::QuestionBudget;
+use crate::question_budget::LookupBudget;
 use crate::{
-    BeliefIndex, BeliefParams, Choice, Engine, EngineSet, KnownCache, LoadReport, NoChoice, Policy,
-    RoutingRequest, Scheduler, MAX_QUESTION_PREFIXES,
+    Choice, Engine, EngineSet, KnownCache, LoadReport, NoChoice, Policy, PrefixIndex,
+    PrefixIndexParams, RoutingRequest, Scheduler, MAX_LOOKUP_PREFIXES,
 };
 
 /// Times to the first token below this say little about an engine's speed.
@@ -81,18 +81,18 @@
 #[derive(Clone, Debug)]
 pub struct Placer {
     engines: EngineSet,
-    index: BeliefIndex,
+    index: PrefixIndex,
     scheduler: Scheduler,
-    questions: QuestionBudget,
+    questions: LookupBudget,
 }
 
 impl Placer {
     /// Knows no engines and believes nothing.
-    pub fn new(scheduler: Scheduler, belief: BeliefParams) -> Self {
+    pub fn new(scheduler: Scheduler, belief: PrefixIndexParams) -> Self {
         Self {
             engines: EngineSet::default(),
-            index: BeliefIndex::new(belief),
-            questions: QuestionBudget::new(
+            index: PrefixIndex::new(belief),
+            questions: LookupBudget::new(
                 scheduler.params().index_bytes_per_second,
                 scheduler.params().index_stake_tokens,
             ),
@@ -116,7 +116,7 @@
     }
 
     /// The beliefs, to take in what engines publish of their caches.
-    pub fn index_mut(&mut self) -> &mut BeliefIndex {
+    pub fn index_mut(&mut self) -> &mut PrefixIndex {
         &mut self.index
     }
 
@@ -136,7 +136,7 @@
         let choice = self
             .scheduler
             .choose(&self.engines, &self.index, routing, now)?;
-        let prefixes = routing.chain.hashes().len().min(MAX_QUESTION_PREFIXES);
+        let prefixes = routing.chain.hashes().len().min(MAX_LOOKUP_PREFIXES);
         let informed = self.scheduler.params().policy == Policy::Product;
         let may_ask = routing.may_ask && informed && prefixes > 0;
         if may_ask && self.questions.take(prefixes, choice.stake_tokens, now) {
@@ -172,7 +172,7 @@
             })
             .collect();
         let informed = RoutingRequest {
-            known: Some(&known),
+            index_answer: Some(&known),
             may_ask: false,
             ..*routing
         };
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -4,7 +4,7 @@
 use drumshore_guard::{enforced, Guard};
 use xxhash_rust::xxh3::{xxh3_64_with_seed, Xxh3};
 
-use crate::{QuestionPrefix, SequenceHash};
+use crate::{LookupPrefix, SequenceHash};
 
 /// Bytes of text that stand for one token where the engine's tokenizer is not at hand.
 pub const TEXT_BYTES_PER_TOKEN: usize = 4;
@@ -68,7 +68,7 @@
 }
 
 /// Prefixes that a question to the index names, at most.
-pub const MAX_QUESTION_PREFIXES: usize = 16;
+pub const MAX_LOOKUP_PREFIXES: usize = 16;
 
 /// The prefixes of one prompt that engines can hold, shortest first.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -128,12 +128,12 @@
 
     /// The prefixes that a question to the index names: all of a short chain; of a longer one those
     /// in even steps, which are powers of two so that chains of other lengths name the same ones.
-    pub fn question_prefixes(&self) -> Vec<QuestionPrefix> {
+    pub fn lookup_prefixes(&self) -> Vec<LookupPrefix> {
         let count = self.hashes.len();
-        let step = count.div_ceil(MAX_QUESTION_PREFIXES).next_power_of_two();
+        let step = count.div_ceil(MAX_LOOKUP_PREFIXES).next_power_of_two();
         (1..=count)
             .filter(|blocks| blocks % step == 0)
-            .map(|blocks| QuestionPrefix {
+            .map(|blocks| LookupPrefix {
                 hash: self.hashes[blocks - 1],
                 blocks: blocks as u32,
             })
--- a/crates/routing/src/question_budget.rs
+++ b/crates/routing/src/question_budget.rs
@@ -14,14 +14,14 @@
 /// A budget of bytes, refilled by time. What has to be at stake for a question rises as the budget
 /// runs low, so that under load only the questions that save most are asked.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct QuestionBudget {
+pub(crate) struct LookupBudget {
     bytes_per_second: f64,
     highest_stake: f64,
     left: f64,
     refilled_at: Timestamp,
 }
 
-impl QuestionBudget {
+impl LookupBudget {
     /// A full budget; `highest_stake` is in prompt tokens.
     pub(crate) fn new(bytes_per_second: f64, highest_stake: f64) -> Self {
         Self {
--- a/crates/routing/src/recorder.rs
+++ b/crates/routing/src/recorder.rs
@@ -11,8 +11,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    AnswerReport, BeliefParams, Decision, EngineObservation, LoadReport, LookupAnswer, NoChoice,
-    Placement, Placer, PrefixChain, RoutingRequest, Scheduler, SchedulerParams, SequenceHash,
+    AnswerReport, Decision, EngineObservation, LoadReport, LookupAnswer, NoChoice, Placement,
+    Placer, PrefixChain, PrefixIndexParams, RoutingRequest, Scheduler, SchedulerParams,
+    SequenceHash,
 };
 
 /// Something that a placer was told or asked.
@@ -132,7 +133,7 @@
     let random = ChaCha8Rng::seed_from_u64(*seed);
     let scheduler = Scheduler::new(params.clone(), random);
     let mut replayer = Replayer {
-        placer: Placer::new(scheduler, BeliefParams::default()),
+        placer: Placer::new(scheduler, PrefixIndexParams::default()),
         placements: BTreeMap::new(),
     };
     Ok(lines
@@ -191,7 +192,7 @@
             goal: place.goal,
             zone: &place.zone,
             excluded: &place.excluded,
-            known: None,
+            index_answer: None,
             may_ask: place.may_ask,
         };
         let decided: Result<Decision, NoChoice> = match &place.answers {
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -17,7 +17,7 @@
 use crate::index::Overlap;
 use crate::params::{Policy, SchedulerParams};
 use crate::rendezvous::{weight, TopRanked};
-use crate::{BeliefIndex, Engine, EngineSet, PrefixChain, SequenceHash};
+use crate::{Engine, EngineSet, PrefixChain, PrefixIndex, SequenceHash};
 
 const SUSPECT_PENALTY_US: f64 = 10_000_000.0;
 const TIE_JITTER: f64 = 0.02;
@@ -42,7 +42,7 @@
     /// Engines where it failed before.
     pub excluded: &'a [EngineId],
     /// What the index answered; only these engines are considered when there are any.
-    pub known: Option<&'a [KnownCache]>,
+    pub index_answer: Option<&'a [KnownCache]>,
     /// True when the index can be asked.
     pub may_ask: bool,
 }
@@ -126,7 +126,7 @@
     pub fn choose(
         &mut self,
         engines: &EngineSet,
-        index: &BeliefIndex,
+        index: &PrefixIndex,
         request: &RoutingRequest<'_>,
         now: Timestamp,
     ) -> Result<Choice, NoChoice> {
@@ -175,7 +175,7 @@
         let waiting = f64::from(engine.waiting_tokens()) * token_us;
         let running = f64::from(engine.running()) * params.running_us * engine.slowness;
         let missing = (f64::from(request.chain.prompt_tokens()) - cached_tokens).max(0.0);
-        let informed = request.known.is_some_and(|known| !known.is_empty());
+        let informed = request.index_answer.is_some_and(|known| !known.is_empty());
         let weight = params.recompute_weight_of(request.goal, informed);
         let mut cost = waiting + running + missing * token_us * weight;
         let zone = &engine.observation.zone;
@@ -192,7 +192,7 @@
 
     /// The index has ranked all engines; those that it does not name are worse.
     fn keep_known(&self, possible: &mut Vec<&Engine>, request: &RoutingRequest<'_>) {
-        let known = request.known.unwrap_or_default();
+        let known = request.index_answer.unwrap_or_default();
         let is_known = |engine: &&Engine| {
             let named = known.iter().any(|known| known.engine == engine.id);
             named && !self.is_full(engine)
@@ -205,10 +205,10 @@
     fn overlaps(
         &self,
         engines: &EngineSet,
-        index: &BeliefIndex,
+        index: &PrefixIndex,
         request: &RoutingRequest<'_>,
     ) -> Vec<Overlap> {
-        if !matches!(self.params.policy, Policy::OwnBelief | Policy::Product) {
+        if !matches!(self.params.policy, Policy::LocalIndex | Policy::Product) {
             return Vec::new();
         }
         let mut overlaps = index.overlaps(request.chain);
@@ -230,7 +230,7 @@
         if !wanted || hashes.is_empty() {
             return Homes::default();
         }
-        let counted = request.known.is_some();
+        let counted = request.index_answer.is_some();
         let rates: Vec<f64> = hashes
             .iter()
             .map(|hash| self.rate(*hash, counted, now))
@@ -350,7 +350,7 @@
             f64::from(request.chain.tokens_in(overlap.blocks)) * held
         });
         let family = homes.tokens(engine, request.chain);
-        let mut known = request.known.unwrap_or_default().iter();
+        let mut known = request.index_answer.unwrap_or_default().iter();
         let known = known.find(|known| known.engine == engine.id);
         let certain = match (self.params.policy, known) {
             (Policy::Exact, _) => Some(f64::from(engine.exact_cached_tokens())),
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -14,9 +14,9 @@
 };
 use crate::scheduler::{NoChoice, RoutingRequest};
 use crate::{
-    BeliefIndex, BeliefParams, Choice, EngineObservation, EngineSet, EngineState, FairQueue,
-    LoadReport, PrefixChain, PrefixRoot, Prompt, QueuedItem, RetryBudget, RetryParams, Scheduler,
-    SchedulerParams, SequenceHash,
+    Choice, EngineObservation, EngineSet, EngineState, FairQueue, LoadReport, PrefixChain,
+    PrefixIndex, PrefixIndexParams, PrefixRoot, Prompt, QueuedItem, RetryBudget, RetryParams,
+    Scheduler, SchedulerParams, SequenceHash,
 };
 
 const NOW: Timestamp = Timestamp(1_000_000_000);
@@ -50,7 +50,7 @@
 
 struct World {
     engines: EngineSet,
-    index: BeliefIndex,
+    index: PrefixIndex,
     scheduler: Scheduler,
     chain: PrefixChain,
 }
@@ -64,7 +64,7 @@
         let hashes = (1..=4).map(SequenceHash).collect();
         Self {
             engines,
-            index: BeliefIndex::new(BeliefParams::default()),
+            index: PrefixIndex::new(PrefixIndexParams::default()),
             scheduler: Scheduler::new(SchedulerParams::default(), ChaCha8Rng::seed_from_u64(1)),
             chain: PrefixChain::from_hashes(hashes, 2_048, 9_000),
         }
@@ -78,7 +78,7 @@
             zone: &ZoneName::new("a"),
             excluded: &[],
             goal: Default::default(),
-            known: None,
+            index_answer: None,
             may_ask: false,
         };
         self.scheduler
@@ -239,11 +239,11 @@
 
 #[test]
 fn the_index_keeps_to_its_bound() {
-    let params = BeliefParams {
+    let params = PrefixIndexParams {
         capacity: 100,
         holders_per_prefix: 2,
     };
-    let mut index = BeliefIndex::new(params);
+    let mut index = PrefixIndex::new(params);
     for number in 0..10_000 {
         let chain = PrefixChain::from_hashes(vec![SequenceHash(number)], 16, 16);
         index.record_chain(&chain, EngineName::new("e").id(), Incarnation(1), NOW);
--- a/crates/routing/tests/indexer.rs
+++ b/crates/routing/tests/indexer.rs
@@ -5,8 +5,8 @@
 
 use drumshore_core::{EngineId, Incarnation, Timestamp};
 use drumshore_routing::{
-    Booking, CacheChange, CachePublisher, CacheReport, Holding, Indexer, IndexerParams, LoadReport,
-    Question, QuestionId, QuestionPrefix, ReportWanted, SequenceHash,
+    Booking, CacheChange, CachePublisher, CacheReport, Holding, IndexLookup, Indexer,
+    IndexerParams, LoadReport, LookupId, LookupPrefix, ReportWanted, SequenceHash,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -43,13 +43,16 @@
 }
 
 /// Asks for a chain of blocks 1, 2, 3 and so on.
-fn question(ticket: u32, blocks: u64) -> Question {
-    let prefixes = (1..=blocks).map(|number| QuestionPrefix {
+fn question(ticket: u32, blocks: u64) -> IndexLookup {
+    let prefixes = (1..=blocks).map(|number| LookupPrefix {
         hash: hash(number),
         blocks: number as u32,
     });
-    Question {
-        id: QuestionId { asker: 1, ticket },
+    IndexLookup {
+        id: LookupId {
+            requester: 1,
+            ticket,
+        },
         prefixes: prefixes.collect(),
         block_tokens: BLOCK_TOKENS,
         prompt_tokens: blocks as u32 * BLOCK_TOKENS,
@@ -147,11 +150,11 @@
 fn a_booking_is_seen_before_any_report() {
     let mut indexer = indexer_with(&[]);
     ask(&mut indexer, 3, at(0));
-    let asked = QuestionId {
-        asker: 1,
+    let asked = LookupId {
+        requester: 1,
         ticket: 1,
     };
-    let booking = indexer.booking_of(asked, ENGINE, 300_000);
+    let booking = indexer.booking_for_lookup(asked, ENGINE, 300_000);
     indexer.book(&booking, at(1));
     let booked = Holding {
         engine: ENGINE,
@@ -327,8 +330,8 @@
             engine.take(step);
         }
         for block in 1..6u64 {
-            let prefix = QuestionPrefix { hash: hash(block), blocks: 1 };
-            let single = Question { prefixes: vec![prefix], ..question(1, 1) };
+            let prefix = LookupPrefix { hash: hash(block), blocks: 1 };
+            let single = IndexLookup { prefixes: vec![prefix], ..question(1, 1) };
             let found = indexer.ask(&single, [ENGINE].into_iter(), now);
             let blocks = found.first().map_or(0, |holding| holding.blocks);
             prop_assert_eq!(blocks == 1, engine.held.contains(&block), "block {}", block);
--- a/crates/testbed/src/bench/decision.rs
+++ b/crates/testbed/src/bench/decision.rs
@@ -7,7 +7,7 @@
     WeightsVersion, ZoneName,
 };
 use drumshore_routing::{
-    AnswerReport, BeliefParams, Decision, EngineObservation, EngineState, Placer, PrefixRoot,
+    AnswerReport, Decision, EngineObservation, EngineState, Placer, PrefixIndexParams, PrefixRoot,
     RoutingRequest, Scheduler, SchedulerParams,
 };
 use rand::SeedableRng;
@@ -36,7 +36,7 @@
 pub(super) fn measure(engines: usize, seed: u64) -> DecisionReport {
     let random = ChaCha8Rng::seed_from_u64(seed);
     let scheduler = Scheduler::new(SchedulerParams::default(), random);
-    let mut placer = Placer::new(scheduler, BeliefParams::default());
+    let mut placer = Placer::new(scheduler, PrefixIndexParams::default());
     for number in 0..engines {
         placer.engines_mut().observe(EngineObservation {
             name: EngineName::new(format!("engine-{number}")),
@@ -64,7 +64,7 @@
             goal: PlacementGoal::Latency,
             zone: &ZoneName::new("zone-1"),
             excluded: &[],
-            known: None,
+            index_answer: None,
             may_ask: false,
         };
         let started = Instant::now();
--- a/crates/testbed/src/bench/index.rs
+++ b/crates/testbed/src/bench/index.rs
@@ -4,7 +4,7 @@
 
 use drumshore_core::{EngineId, EngineName, Incarnation, Timestamp};
 use drumshore_routing::{
-    CacheChange, CacheReport, Indexer, IndexerParams, Question, QuestionId, QuestionPrefix,
+    CacheChange, CacheReport, Indexer, IndexerParams, IndexLookup, LookupId, LookupPrefix,
     SequenceHash,
 };
 use procfs::process::Process;
@@ -167,12 +167,12 @@
         for ticket in 0..QUESTIONS {
             let engine = self.random.random_range(0..ENGINES);
             let first = self.random.random_range(0..self.blocks);
-            let prefixes = (0..PREFIXES).map(|offset| QuestionPrefix {
+            let prefixes = (0..PREFIXES).map(|offset| LookupPrefix {
                 hash: self.block(engine, (first + offset as usize) % self.blocks),
                 blocks: offset as u32 + 1,
             });
-            let question = Question {
-                id: QuestionId { asker: 1, ticket },
+            let question = IndexLookup {
+                id: LookupId { requester: 1, ticket },
                 prefixes: prefixes.collect(),
                 block_tokens: 2_048,
                 prompt_tokens: 40_000,
--- a/crates/testbed/src/bench/routing/control.rs
+++ b/crates/testbed/src/bench/routing/control.rs
@@ -6,8 +6,8 @@
 use drumshore_routing::indexer::MIN_BOOKED_TOKENS;
 use drumshore_routing::recorder::TraceEvent;
 use drumshore_routing::{
-    AnswerLoad, Booking, CacheReport, EngineObservation, EngineState, Holding, LoadReport,
-    LookupAnswer, Placement, Question, QuestionId,
+    AnswerLoad, Booking, CacheReport, EngineObservation, EngineState, Holding, IndexLookup,
+    LoadReport, LookupAnswer, LookupId, Placement,
 };
 use drumshore_wire::frame::encode_frame;
 use drumshore_wire::{
@@ -129,9 +129,9 @@
             return;
         };
         let scheduler = self.placers[job.router].scheduler().params();
-        let question = Question {
+        let question = IndexLookup {
             id: question_id(job.router, number),
-            prefixes: job.chain.question_prefixes(),
+            prefixes: job.chain.lookup_prefixes(),
             block_tokens: job.chain.block_tokens(),
             prompt_tokens: job.chain.prompt_tokens(),
             recompute_weight: scheduler.informed_recompute_weight,
@@ -163,7 +163,7 @@
         self.index_bytes += booking_bytes();
         let own = job.router % self.indexers.len();
         let question = question_id(job.router, number);
-        let booking = self.indexers[own].booking_of(question, placement.engine, missing);
+        let booking = self.indexers[own].booking_for_lookup(question, placement.engine, missing);
         for machine in 0..self.indexers.len() {
             let relayed = if machine == own {
                 Duration::ZERO
@@ -177,9 +177,9 @@
     }
 }
 
-fn question_id(router: usize, number: u64) -> QuestionId {
-    QuestionId {
-        asker: router as u64,
+fn question_id(router: usize, number: u64) -> LookupId {
+    LookupId {
+        requester: router as u64,
         ticket: number as u32,
     }
 }
@@ -199,7 +199,7 @@
     encode_frame(message).map_or(0, |frame| frame.len() as u64)
 }
 
-fn question_bytes(question: &Question) -> u64 {
+fn question_bytes(question: &IndexLookup) -> u64 {
     let hashes = question.prefixes.iter().map(|prefix| prefix.hash.0);
     frame_bytes(&Message::IndexQuestion(IndexQuestion {
         ticket: question.id.ticket,
--- a/crates/testbed/src/bench/routing/mod.rs
+++ b/crates/testbed/src/bench/routing/mod.rs
@@ -24,7 +24,7 @@
 pub const POLICIES: [Policy; 6] = [
     Policy::RoundRobin,
     Policy::LeastLoaded,
-    Policy::OwnBelief,
+    Policy::LocalIndex,
     Policy::Rendezvous,
     Policy::Product,
     Policy::Exact,
@@ -34,7 +34,7 @@
     match policy {
         Policy::RoundRobin => "round-robin",
         Policy::LeastLoaded => "least-loaded",
-        Policy::OwnBelief => "own-belief",
+        Policy::LocalIndex => "own-belief",
         Policy::Rendezvous => "rendezvous",
         Policy::Product => "product",
         Policy::Exact => "oracle",
--- a/crates/testbed/src/bench/routing/run.rs
+++ b/crates/testbed/src/bench/routing/run.rs
@@ -8,8 +8,8 @@
 };
 use drumshore_routing::recorder::{PlaceEvent, TraceEvent, TraceLine};
 use drumshore_routing::{
-    AnswerReport, BeliefParams, Decision, EngineState, Indexer, IndexerParams, LookupAnswer,
-    Placement, Placer, Policy, PrefixChain, PrefixRoot, RoutingRequest, Scheduler, SchedulerParams,
+    AnswerReport, Decision, EngineState, Indexer, IndexerParams, LookupAnswer, Placement, Placer,
+    Policy, PrefixChain, PrefixIndexParams, PrefixRoot, RoutingRequest, Scheduler, SchedulerParams,
 };
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
@@ -111,7 +111,7 @@
             let random = ChaCha8Rng::seed_from_u64(router_seed(seed, router));
             Placer::new(
                 Scheduler::new(scheduler.clone(), random),
-                BeliefParams::default(),
+                PrefixIndexParams::default(),
             )
         });
         let mut bench = Self {
@@ -318,7 +318,7 @@
             goal: self.params.profile.goal(),
             zone: &zone,
             excluded: &job.excluded,
-            known: None,
+            index_answer: None,
             may_ask,
         };
         let placer = &mut self.placers[job.router];
@@ -424,7 +424,7 @@
                 Some(core) => {
                     engine.observation.state = EngineState::Ready;
                     engine.observation.incarnation = core.incarnation();
-                    engine.show_exactly(
+                    engine.set_exact_state(
                         core.waiting_tokens(),
                         core.running() as u32,
                         core.cached_tokens(&probe),
