--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -26,9 +26,9 @@
         }
     }
 
-    /// All that is read from now on has to arrive within `patience`.
-    pub(crate) fn set_patience(&mut self, patience: Duration) {
-        self.deadline = Some(Instant::now() + patience);
+    /// All that is read from now on has to arrive within `timeout`.
+    pub(crate) fn restart_deadline(&mut self, timeout: Duration) {
+        self.deadline = Some(Instant::now() + timeout);
     }
 
     /// What was read ahead and not consumed.
@@ -54,7 +54,7 @@
         let result = self.stream.read(&mut self.buffer[length..]);
         self.buffer
             .truncate(length + result.as_ref().map_or(0, |count| *count));
-        result.map_err(timeout_as_such)
+        result.map_err(map_would_block_to_timed_out)
     }
 
     fn arm_timeout(&self) -> io::Result<()> {
@@ -82,7 +82,7 @@
 }
 
 /// Sockets report a timeout as `WouldBlock`.
-fn timeout_as_such(error: io::Error) -> io::Error {
+fn map_would_block_to_timed_out(error: io::Error) -> io::Error {
     if error.kind() == io::ErrorKind::WouldBlock {
         return io::ErrorKind::TimedOut.into();
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -13,7 +13,7 @@
 mod server;
 
 pub use request::{Header, Method, Request};
-pub use responder::{Responder, Sent, StreamBody};
+pub use responder::{Responder, SendOutcome, StreamBody};
 pub use server::{Handler, Server, ServerParams, ServerStatus};
 
 /// Header that says whether a refused request may have run.
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -65,22 +65,22 @@
 }
 
 impl Head {
-    /// Reads a head of at most `max_bytes`. The first byte may take `idle`, the whole head
-    /// `patience` from then on.
+    /// Reads a head of at most `max_bytes`. The first byte may take `idle_timeout`, the whole head
+    /// `read_timeout` from then on.
     pub(crate) fn read(
         input: &mut Input,
         max_bytes: usize,
-        idle: Duration,
-        patience: Duration,
+        idle_timeout: Duration,
+        read_timeout: Duration,
     ) -> Result<Self, HeadError> {
         if input.buffered().is_empty() {
-            input.set_patience(idle);
+            input.restart_deadline(idle_timeout);
             match input.fill() {
                 Ok(0) | Err(_) => return Err(HeadError::Closed),
                 Ok(_) => {}
             }
         }
-        input.set_patience(patience);
+        input.restart_deadline(read_timeout);
         loop {
             if let Some((head, length)) = parse(input.buffered())? {
                 check_size(length, max_bytes)?;
@@ -190,8 +190,8 @@
     head: Head,
     input: &'c mut Input,
     output: &'c TcpStream,
-    patience: Duration,
-    pub(crate) body_done: bool,
+    read_timeout: Duration,
+    pub(crate) body_read: bool,
 }
 
 impl<'c> Request<'c> {
@@ -199,15 +199,15 @@
         head: Head,
         input: &'c mut Input,
         output: &'c TcpStream,
-        patience: Duration,
+        read_timeout: Duration,
     ) -> Self {
-        let body_done = matches!(head.body, BodyLength::None | BodyLength::Known(0));
+        let body_read = matches!(head.body, BodyLength::None | BodyLength::Known(0));
         Self {
             head,
             input,
             output,
-            patience,
-            body_done,
+            read_timeout,
+            body_read,
         }
     }
 
@@ -251,11 +251,11 @@
             check_body(length, max_bytes)?;
         }
         let expects = self.header("expect").unwrap_or("");
-        if !self.body_done && expects.eq_ignore_ascii_case("100-continue") {
+        if !self.body_read && expects.eq_ignore_ascii_case("100-continue") {
             let mut output = self.output;
             let _ = output.write_all(CONTINUE);
         }
-        self.input.set_patience(self.patience);
+        self.input.restart_deadline(self.read_timeout);
         let mut body = Vec::new();
         let read = match self.head.body {
             BodyLength::None => Ok(0),
@@ -270,7 +270,7 @@
             let message = "the connection ended within the body";
             return Err(Verdict::not_run(ErrorCode::BadRequest, message));
         }
-        self.body_done = true;
+        self.body_read = true;
         Ok(body)
     }
 }
--- a/crates/http/src/responder.rs
+++ b/crates/http/src/responder.rs
@@ -11,9 +11,9 @@
 
 /// Proof that an answer was sent, as far as the socket tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The socket took all of it.
-    Whole,
+    Complete,
     /// The caller is gone.
     CallerGone,
 }
@@ -57,7 +57,7 @@
     }
 
     /// Sends a whole answer.
-    pub fn send(self, status: u16, content_type: &str, body: &[u8]) -> Sent {
+    pub fn send(self, status: u16, content_type: &str, body: &[u8]) -> SendOutcome {
         let mut bytes = self.head(status, content_type);
         bytes.extend_from_slice(format!("content-length: {}\r\n\r\n", body.len()).as_bytes());
         bytes.extend_from_slice(body);
@@ -65,7 +65,7 @@
     }
 
     /// Sends a document as JSON.
-    pub fn send_json(self, status: u16, document: &impl Serialize) -> Sent {
+    pub fn send_json(self, status: u16, document: &impl Serialize) -> SendOutcome {
         match serde_json::to_vec(document) {
             Ok(body) => self.send(status, "application/json", &body),
             Err(error) => self.send(500, "text/plain", error.to_string().as_bytes()),
@@ -73,7 +73,7 @@
     }
 
     /// Sends a verdict: status, headers and JSON body say the same.
-    pub fn refuse(mut self, verdict: &Verdict) -> Sent {
+    pub fn refuse(mut self, verdict: &Verdict) -> SendOutcome {
         self.add_header(EXECUTION_HEADER, verdict.execution.as_str());
         if let Some(delay) = verdict.retry_after {
             let seconds = delay.as_millis().div_ceil(1_000).max(1);
@@ -123,10 +123,10 @@
     }
 }
 
-fn outcome(result: io::Result<()>) -> Sent {
+fn outcome(result: io::Result<()>) -> SendOutcome {
     match result {
-        Ok(()) => Sent::Whole,
-        Err(_) => Sent::CallerGone,
+        Ok(()) => SendOutcome::Complete,
+        Err(_) => SendOutcome::CallerGone,
     }
 }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -14,17 +14,17 @@
 use crate::responder::Responder;
 
 /// Connections beyond the bound that are told so at the same time; more are closed unheard.
-const REFUSALS_AT_ONCE: usize = 64;
+const MAX_CONCURRENT_REFUSALS: usize = 64;
 
 /// How long a closing connection waits for bytes that are still on their way.
-const LINGER: Duration = Duration::from_millis(300);
+const LINGER_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Bytes that a closing connection reads and drops at most: a caller whose body is too large
 /// reads its refusal only when it has sent the body.
-const LINGER_BYTES: usize = 64 << 20;
+const MAX_LINGER_BYTES: usize = 64 << 20;
 
 /// How long a closing connection reads in all.
-const LONGEST_LINGER: Duration = Duration::from_secs(2);
+const MAX_LINGER: Duration = Duration::from_secs(2);
 
 /// Bounds of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// How long a caller may take to accept bytes.
     pub write_timeout: Duration,
     /// How long a connection may rest between requests.
-    pub idle_patience: Duration,
+    pub idle_timeout: Duration,
     /// The stack of a connection's thread, in bytes.
     pub stack_bytes: usize,
 }
@@ -50,7 +50,7 @@
             max_head_bytes: 16 * 1024,
             read_timeout: Duration::from_secs(10),
             write_timeout: Duration::from_secs(10),
-            idle_patience: Duration::from_secs(60),
+            idle_timeout: Duration::from_secs(60),
             stack_bytes: 128 * 1024,
         }
     }
@@ -134,13 +134,13 @@
 }
 
 fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
-    const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(20);
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
     loop {
         match listener.accept() {
             Ok((stream, _)) => admit(stream, shared),
             Err(error) => {
                 tracing::warn!("http: accept failed: {error}");
-                thread::sleep(PAUSE_AFTER_ERROR);
+                thread::sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
@@ -148,9 +148,9 @@
 
 fn admit(stream: TcpStream, shared: &Arc<Shared>) {
     let count = shared.connections.fetch_add(1, Ordering::SeqCst);
-    let guard = Counted::new(Arc::clone(shared));
+    let counter = ConnectionCounter::new(Arc::clone(shared));
     let max = shared.params.max_connections;
-    if count >= max + REFUSALS_AT_ONCE {
+    if count >= max + MAX_CONCURRENT_REFUSALS {
         return;
     }
     let spawned = thread::Builder::new()
@@ -158,11 +158,11 @@
         .stack_size(shared.params.stack_bytes)
         .spawn(move || {
             if count < max {
-                serve(&stream, &guard.shared);
+                serve(&stream, &counter.shared);
             } else {
-                refuse_connection(&stream, &guard.shared);
+                refuse_connection(&stream, &counter.shared);
             }
-            close_in_order(&stream);
+            close_gracefully(&stream);
         });
     if let Err(error) = spawned {
         tracing::warn!("http: no thread for a connection: {error}");
@@ -177,13 +177,13 @@
 
 /// Closes so that the peer can read the last answer: a socket that is closed with bytes unread
 /// is reset, and a reset may overtake the answer.
-fn close_in_order(mut stream: &TcpStream) {
-    let deadline = Instant::now() + LONGEST_LINGER;
-    let mut left = LINGER_BYTES;
+fn close_gracefully(mut stream: &TcpStream) {
+    let deadline = Instant::now() + MAX_LINGER;
+    let mut left = MAX_LINGER_BYTES;
     let mut discarded = [0; 4 * 1024];
     let prepared = stream
         .shutdown(Shutdown::Write)
-        .and_then(|()| stream.set_read_timeout(Some(LINGER)));
+        .and_then(|()| stream.set_read_timeout(Some(LINGER_READ_TIMEOUT)));
     if prepared.is_err() {
         return;
     }
@@ -195,17 +195,17 @@
     }
 }
 
-struct Counted {
+struct ConnectionCounter {
     shared: Arc<Shared>,
 }
 
-impl Counted {
+impl ConnectionCounter {
     fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionCounter {
     fn drop(&mut self) {
         self.shared.connections.fetch_sub(1, Ordering::SeqCst);
     }
@@ -230,7 +230,7 @@
     let head = Head::read(
         input,
         params.max_head_bytes,
-        params.idle_patience,
+        params.idle_timeout,
         params.read_timeout,
     );
     let head = match head {
@@ -246,7 +246,7 @@
     let mut request = Request::new(head, input, stream, params.read_timeout);
     let responder = Responder::new(stream, keep_alive);
     shared.handler.handle(&mut request, responder);
-    let body_done = request.body_done;
+    let body_read = request.body_read;
     shared.active_requests.fetch_sub(1, Ordering::SeqCst);
-    keep_alive && body_done
+    keep_alive && body_read
 }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct TenantUse {
+struct TenantState {
     open: u32,
     requests: u32,
     tokens: f64,
@@ -67,7 +67,7 @@
 pub struct Admission {
     params: AdmissionParams,
     open: u32,
-    tenants: BTreeMap<TenantName, TenantUse>,
+    tenants: BTreeMap<TenantName, TenantState>,
 }
 
 impl Admission {
@@ -118,7 +118,7 @@
 
     /// What tenants used since the last call. Tenants that use nothing are forgotten.
     pub fn take_usage(&mut self) -> Vec<TenantUsage> {
-        let used = |tenant: &TenantUse| tenant.requests > 0 || tenant.open > 0;
+        let used = |tenant: &TenantState| tenant.requests > 0 || tenant.open > 0;
         let usage = self.tenants.iter().filter(|(_, tenant)| used(tenant));
         let usage = usage
             .map(|(name, tenant)| TenantUsage {
@@ -134,11 +134,11 @@
         usage
     }
 
-    fn tenant_use(&mut self, request: &AdmissionRequest<'_>, now: Timestamp) -> &mut TenantUse {
+    fn tenant_use(&mut self, request: &AdmissionRequest<'_>, now: Timestamp) -> &mut TenantState {
         let full = f64::from(request.limits.requests_per_second) * BURST_SECONDS;
         self.tenants
             .entry(request.tenant.clone())
-            .or_insert_with(|| TenantUse {
+            .or_insert_with(|| TenantState {
                 open: 0,
                 requests: 0,
                 tokens: full,
@@ -148,7 +148,7 @@
     }
 }
 
-impl TenantUse {
+impl TenantState {
     fn check(&mut self, limits: &TenantLimits, now: Timestamp) -> Result<(), Verdict> {
         let rate = f64::from(limits.requests_per_second);
         let rate = self
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -199,7 +199,7 @@
     }
 
     /// Computing a prompt took `ratio` times what was expected.
-    pub fn observe_speed(&mut self, ratio: f64) {
+    pub fn observe_slowness(&mut self, ratio: f64) {
         let moved = self.slowness + SLOWNESS_GAIN * (ratio - self.slowness);
         self.slowness = moved.clamp(1.0, MAX_SLOWNESS);
     }
--- a/crates/routing/src/fair_queue.rs
+++ b/crates/routing/src/fair_queue.rs
@@ -32,16 +32,16 @@
 }
 
 #[derive(Debug)]
-struct Class<T> {
+struct PriorityClass<T> {
     tenants: BTreeMap<TenantName, TenantQueue<T>>,
-    turn: VecDeque<TenantName>,
+    rotation: VecDeque<TenantName>,
 }
 
-impl<T> Default for Class<T> {
+impl<T> Default for PriorityClass<T> {
     fn default() -> Self {
         Self {
             tenants: BTreeMap::new(),
-            turn: VecDeque::new(),
+            rotation: VecDeque::new(),
         }
     }
 }
@@ -51,7 +51,7 @@
 pub struct FairQueue<T> {
     capacity: usize,
     length: usize,
-    classes: BTreeMap<Priority, Class<T>>,
+    classes: BTreeMap<Priority, PriorityClass<T>>,
 }
 
 impl<T> FairQueue<T> {
@@ -79,7 +79,7 @@
     pub fn push(&mut self, queued: QueuedItem<T>, weight: u32) -> Option<QueuedItem<T>> {
         let class = self.classes.entry(queued.priority).or_default();
         if !class.tenants.contains_key(&queued.tenant) {
-            class.turn.push_back(queued.tenant.clone());
+            class.rotation.push_back(queued.tenant.clone());
         }
         let tenant = class
             .tenants
@@ -100,7 +100,7 @@
 
     /// Takes the request whose turn it is.
     pub fn pop(&mut self) -> Option<QueuedItem<T>> {
-        let item = self.classes.values_mut().find_map(Class::pop)?;
+        let item = self.classes.values_mut().find_map(PriorityClass::pop)?;
         self.length -= 1;
         Some(item)
     }
@@ -108,8 +108,8 @@
     /// Puts a request back at the head of its tenant's line, with its turn.
     pub fn requeue_front(&mut self, queued: QueuedItem<T>, weight: u32) {
         let class = self.classes.entry(queued.priority).or_default();
-        class.turn.retain(|tenant| *tenant != queued.tenant);
-        class.turn.push_front(queued.tenant.clone());
+        class.rotation.retain(|tenant| *tenant != queued.tenant);
+        class.rotation.push_front(queued.tenant.clone());
         let tenant = class
             .tenants
             .entry(queued.tenant.clone())
@@ -123,20 +123,21 @@
         self.length += 1;
     }
 
-    /// Takes out every request that `take` wants, in queue order.
-    pub fn drain_where(&mut self, take: impl Fn(&QueuedItem<T>) -> bool) -> Vec<QueuedItem<T>> {
-        let mut taken = Vec::new();
+    /// Takes out every request that `matches` wants, in queue order.
+    pub fn drain_where(&mut self, matches: impl Fn(&QueuedItem<T>) -> bool) -> Vec<QueuedItem<T>> {
+        let mut removed = Vec::new();
         for class in self.classes.values_mut() {
             for tenant in class.tenants.values_mut() {
                 let items = std::mem::take(&mut tenant.items);
-                let (out, kept): (Vec<_>, Vec<_>) = items.into_iter().partition(|item| take(item));
+                let (out, kept): (Vec<_>, Vec<_>) =
+                    items.into_iter().partition(|item| matches(item));
                 tenant.items = kept.into();
-                taken.extend(out);
+                removed.extend(out);
             }
-            class.forget_empty();
+            class.remove_empty_tenants();
         }
-        self.length -= taken.len();
-        taken
+        self.length -= removed.len();
+        removed
     }
 
     fn shed(&mut self) -> Option<QueuedItem<T>> {
@@ -150,39 +151,39 @@
             .values_mut()
             .max_by_key(|tenant| tenant.items.len() as u64 / tenant.weight)?;
         let item = fullest.items.pop_back()?;
-        class.forget_empty();
+        class.remove_empty_tenants();
         self.length -= 1;
         Some(item)
     }
 }
 
-impl<T> Class<T> {
+impl<T> PriorityClass<T> {
     fn pop(&mut self) -> Option<QueuedItem<T>> {
         loop {
-            let name = self.turn.front()?.clone();
+            let name = self.rotation.front()?.clone();
             let Some(tenant) = self.tenants.get_mut(&name) else {
-                self.turn.pop_front();
+                self.rotation.pop_front();
                 continue;
             };
             let Some(cost) = tenant.items.front().map(|item| item.cost) else {
                 self.tenants.remove(&name);
-                self.turn.pop_front();
+                self.rotation.pop_front();
                 continue;
             };
             if tenant.deficit >= cost {
                 tenant.deficit -= cost;
                 let item = tenant.items.pop_front();
-                self.forget_empty();
+                self.remove_empty_tenants();
                 return item;
             }
             tenant.deficit += QUANTUM_TOKENS * tenant.weight;
-            self.turn.rotate_left(1);
+            self.rotation.rotate_left(1);
         }
     }
 
-    fn forget_empty(&mut self) {
+    fn remove_empty_tenants(&mut self) {
         self.tenants.retain(|_, tenant| !tenant.items.is_empty());
         let tenants = &self.tenants;
-        self.turn.retain(|name| tenants.contains_key(name));
+        self.rotation.retain(|name| tenants.contains_key(name));
     }
 }
--- a/crates/routing/src/homes.rs
+++ b/crates/routing/src/homes.rs
@@ -9,13 +9,13 @@
 pub(crate) struct Homes {
     /// All engines of the family; the homes of this very prompt come first.
     pub(crate) members: Vec<EngineId>,
-    pub(crate) homes: usize,
+    pub(crate) home_count: usize,
     /// The rate at which each member is asked for each block of the family, a second.
     pub(crate) member_rates: Vec<f64>,
     /// The rate at which each home is asked for each block behind these, a second.
     pub(crate) home_rates: Vec<f64>,
     /// The part of the members' rates, and of the homes', that the request itself adds.
-    pub(crate) own_rates: (f64, f64),
+    pub(crate) request_rates: (f64, f64),
 }
 
 /// Tokens of a prompt at an engine of its family.
@@ -47,14 +47,14 @@
             let chance = |rate: f64| 1.0 - (-rate.max(0.0) * retention).exp();
             let members = self.member_rates.iter();
             let mut blocks: f64 = members.map(|rate| chance(rate - of_member)).sum();
-            if rank < self.homes {
+            if rank < self.home_count {
                 let homes = self.home_rates.iter();
                 blocks += homes.map(|rate| chance(rate - of_home)).sum::<f64>();
             }
             blocks * block_tokens
         };
         FamilyTokens {
-            expected: held(self.own_rates),
+            expected: held(self.request_rates),
             credited: held((0.0, 0.0)),
         }
     }
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -52,7 +52,7 @@
     pub used_at: Timestamp,
 }
 
-/// Beliefs in bounded memory, in two generations like [`crate::heat::HeatMap`].
+/// Beliefs in bounded memory, in two generations like [`crate::prefix_rates::PrefixRates`].
 #[derive(Clone, Debug)]
 pub struct PrefixIndex {
     params: PrefixIndexParams,
--- a/crates/routing/src/indexer.rs
+++ b/crates/routing/src/indexer.rs
@@ -113,9 +113,9 @@
 /// One start of one engine. Numbers are not used again, so that what is left of an earlier start
 /// is never taken for a later one's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct StartNumber(u32);
+struct EngineEpoch(u32);
 
-type Starts = SmallVec<[StartNumber; 4]>;
+type EngineEpochs = SmallVec<[EngineEpoch; 4]>;
 
 #[derive(Clone, Copy, Debug)]
 struct BookedTokens {
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug)]
 struct IndexedEngine {
     incarnation: Incarnation,
-    start: StartNumber,
+    epoch: EngineEpoch,
     next_change: u64,
     changes_lost: bool,
     resynced_at: Timestamp,
@@ -139,13 +139,13 @@
 pub struct Indexer {
     params: IndexerParams,
     engines: BTreeMap<EngineId, IndexedEngine>,
-    live: FxHashMap<StartNumber, EngineId>,
-    next_start: u32,
-    blocks: FxHashMap<SequenceHash, Starts>,
+    live_epochs: FxHashMap<EngineEpoch, EngineId>,
+    next_epoch: u32,
+    blocks: FxHashMap<SequenceHash, EngineEpochs>,
     entries: usize,
-    swept_entries: usize,
+    entries_after_sweep: usize,
     expected: ExpectedBlocks,
-    questions: VecDeque<(LookupId, Vec<SequenceHash>)>,
+    recent_lookups: VecDeque<(LookupId, Vec<SequenceHash>)>,
 }
 
 impl Indexer {
@@ -155,12 +155,12 @@
             expected: ExpectedBlocks::new(params.booking_lifetime),
             params,
             engines: BTreeMap::new(),
-            live: FxHashMap::default(),
-            next_start: 0,
+            live_epochs: FxHashMap::default(),
+            next_epoch: 0,
             blocks: FxHashMap::default(),
             entries: 0,
-            swept_entries: 0,
-            questions: VecDeque::new(),
+            entries_after_sweep: 0,
+            recent_lookups: VecDeque::new(),
         }
     }
 
@@ -174,8 +174,8 @@
         let Some(known) = self.engines.get(&engine) else {
             return ReportWanted::Complete;
         };
-        let rested = now.since(known.resynced_at) >= self.params.resync_interval;
-        if known.changes_lost && rested {
+        let interval_elapsed = now.since(known.resynced_at) >= self.params.resync_interval;
+        if known.changes_lost && interval_elapsed {
             return ReportWanted::Complete;
         }
         ReportWanted::ChangesFrom(known.incarnation, known.next_change)
@@ -184,9 +184,9 @@
     /// Takes in an engine's report.
     pub fn on_report(&mut self, engine: EngineId, report: &CacheReport, now: Timestamp) {
         let known = self.engines.get(&engine);
-        let same_start = known.is_some_and(|known| known.incarnation == report.incarnation);
-        if !same_start || report.complete {
-            self.begin_start(engine, report, now);
+        let same_incarnation = known.is_some_and(|known| known.incarnation == report.incarnation);
+        if !same_incarnation || report.complete {
+            self.begin_epoch(engine, report, now);
         }
         let Some(known) = self.engines.get_mut(&engine) else {
             return;
@@ -196,14 +196,14 @@
             known.changes_lost |= report.first > known.next_change;
             let repeated = known.next_change.saturating_sub(report.first) as usize;
             changes = changes.get(repeated..).unwrap_or_default();
-            let behind = report.first + report.changes.len() as u64;
-            known.next_change = known.next_change.max(behind);
+            let next_reported = report.first + report.changes.len() as u64;
+            known.next_change = known.next_change.max(next_reported);
         }
-        let start = known.start;
+        let epoch = known.epoch;
         for change in changes {
             match change {
-                CacheChange::Stored(block) => self.store(*block, start),
-                CacheChange::Removed(block) => self.remove(*block, start),
+                CacheChange::Stored(block) => self.store(*block, epoch),
+                CacheChange::Removed(block) => self.remove(*block, epoch),
             }
         }
         self.sweep();
@@ -220,7 +220,7 @@
     /// Forgets an engine that is gone.
     pub fn forget(&mut self, engine: EngineId) {
         if let Some(known) = self.engines.remove(&engine) {
-            self.live.remove(&known.start);
+            self.live_epochs.remove(&known.epoch);
         }
     }
 
@@ -233,39 +233,42 @@
     /// soonest, best first.
     pub fn ask(
         &mut self,
-        question: &IndexLookup,
+        lookup: &IndexLookup,
         candidates: impl Iterator<Item = EngineId>,
         now: Timestamp,
     ) -> Vec<Holding> {
-        let deepest = self.deepest(&question.prefixes, now);
+        let deepest = self.deepest(&lookup.prefixes, now);
         let mut holdings: Vec<(f64, Holding)> = candidates
             .filter_map(|engine| self.holding(engine, &deepest, now))
-            .map(|holding| (cost_tokens(question, &holding), holding))
+            .map(|holding| (cost_tokens(lookup, &holding), holding))
             .collect();
         holdings.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.engine.cmp(&b.1.engine)));
-        holdings.truncate(question.limit);
-        if self.questions.len() == self.params.remembered_lookups {
-            self.questions.pop_front();
+        holdings.truncate(lookup.limit);
+        if self.recent_lookups.len() == self.params.remembered_lookups {
+            self.recent_lookups.pop_front();
         }
-        let hashes = question.prefixes.iter().map(|prefix| prefix.hash).collect();
-        self.questions.push_back((question.id, hashes));
+        let hashes = lookup.prefixes.iter().map(|prefix| prefix.hash).collect();
+        self.recent_lookups.push_back((lookup.id, hashes));
         holdings.into_iter().map(|(_, holding)| holding).collect()
     }
 
     /// The booking that follows a question, with the question's prefixes.
     pub fn booking_for_lookup(
         &mut self,
-        question: LookupId,
+        lookup: LookupId,
         engine: EngineId,
         missing_tokens: u32,
     ) -> Booking {
         // The latest questions are booked first, as a rule.
-        let asked = self.questions.iter().rposition(|(id, _)| *id == question);
-        let taken = asked.and_then(|position| self.questions.remove(position));
+        let asked = self
+            .recent_lookups
+            .iter()
+            .rposition(|(id, _)| *id == lookup);
+        let removed = asked.and_then(|position| self.recent_lookups.remove(position));
         Booking {
             engine,
             missing_tokens,
-            prefixes: taken.map_or(Vec::new(), |(_, prefixes)| prefixes),
+            prefixes: removed.map_or(Vec::new(), |(_, prefixes)| prefixes),
         }
     }
 
@@ -282,9 +285,9 @@
             tokens: booking.missing_tokens,
             at: now,
         });
-        let start = known.start;
+        let epoch = known.epoch;
         for prefix in &booking.prefixes {
-            self.expected.expect(*prefix, start, now);
+            self.expected.expect(*prefix, epoch, now);
         }
     }
 
@@ -315,9 +318,9 @@
         let mut deepest = FxHashMap::default();
         for prefix in prefixes.iter().rev() {
             let held = self.blocks.get(&prefix.hash).into_iter().flatten().copied();
-            let expected = self.expected.starts(prefix.hash, now);
-            for start in held.chain(expected) {
-                if let Some(engine) = self.live.get(&start) {
+            let expected = self.expected.epochs(prefix.hash, now);
+            for epoch in held.chain(expected) {
+                if let Some(engine) = self.live_epochs.get(&epoch) {
                     deepest.entry(*engine).or_insert(prefix.blocks);
                 }
             }
@@ -325,18 +328,18 @@
         deepest
     }
 
-    fn begin_start(&mut self, engine: EngineId, report: &CacheReport, now: Timestamp) {
+    fn begin_epoch(&mut self, engine: EngineId, report: &CacheReport, now: Timestamp) {
         let before = self.engines.remove(&engine);
         if let Some(before) = &before {
-            self.live.remove(&before.start);
+            self.live_epochs.remove(&before.epoch);
         }
         let same = before.filter(|before| before.incarnation == report.incarnation);
-        self.next_start += 1;
-        let start = StartNumber(self.next_start);
-        self.live.insert(start, engine);
+        self.next_epoch += 1;
+        let epoch = EngineEpoch(self.next_epoch);
+        self.live_epochs.insert(epoch, engine);
         let indexed = IndexedEngine {
             incarnation: report.incarnation,
-            start,
+            epoch,
             next_change: if report.complete { report.first } else { 1 },
             changes_lost: false,
             resynced_at: now,
@@ -348,22 +351,22 @@
         self.engines.insert(engine, indexed);
     }
 
-    fn store(&mut self, block: SequenceHash, start: StartNumber) {
-        let starts = self.blocks.entry(block).or_default();
-        let before = starts.len();
-        starts.retain(|existing| self.live.contains_key(existing) && *existing != start);
-        starts.push(start);
-        self.entries = self.entries + starts.len() - before;
+    fn store(&mut self, block: SequenceHash, epoch: EngineEpoch) {
+        let epochs = self.blocks.entry(block).or_default();
+        let before = epochs.len();
+        epochs.retain(|existing| self.live_epochs.contains_key(existing) && *existing != epoch);
+        epochs.push(epoch);
+        self.entries = self.entries + epochs.len() - before;
     }
 
-    fn remove(&mut self, block: SequenceHash, start: StartNumber) {
-        let Some(starts) = self.blocks.get_mut(&block) else {
+    fn remove(&mut self, block: SequenceHash, epoch: EngineEpoch) {
+        let Some(epochs) = self.blocks.get_mut(&block) else {
             return;
         };
-        let before = starts.len();
-        starts.retain(|existing| *existing != start);
-        self.entries -= before - starts.len();
-        if starts.is_empty() {
+        let before = epochs.len();
+        epochs.retain(|existing| *existing != epoch);
+        self.entries -= before - epochs.len();
+        if epochs.is_empty() {
             self.blocks.remove(&block);
         }
     }
@@ -371,16 +374,16 @@
     /// Drops what earlier starts left, whenever the entries have doubled since the last time.
     fn sweep(&mut self) {
         const MIN_ENTRIES: usize = 10_000;
-        if self.entries < self.swept_entries.max(MIN_ENTRIES) * 2 {
+        if self.entries < self.entries_after_sweep.max(MIN_ENTRIES) * 2 {
             return;
         }
-        let live = &self.live;
-        self.blocks.retain(|_, starts| {
-            starts.retain(|start| live.contains_key(start));
-            !starts.is_empty()
+        let live_epochs = &self.live_epochs;
+        self.blocks.retain(|_, epochs| {
+            epochs.retain(|epoch| live_epochs.contains_key(epoch));
+            !epochs.is_empty()
         });
         self.entries = self.blocks.values().map(SmallVec::len).sum();
-        self.swept_entries = self.entries;
+        self.entries_after_sweep = self.entries;
     }
 }
 
@@ -403,18 +406,18 @@
     }
 }
 
-fn cost_tokens(question: &IndexLookup, holding: &Holding) -> f64 {
-    let held = holding.blocks * question.block_tokens;
-    let missing = question.prompt_tokens.saturating_sub(held);
-    f64::from(holding.waiting_tokens) + f64::from(missing) * question.recompute_weight
+fn cost_tokens(lookup: &IndexLookup, holding: &Holding) -> f64 {
+    let held = holding.blocks * lookup.block_tokens;
+    let missing = lookup.prompt_tokens.saturating_sub(held);
+    f64::from(holding.waiting_tokens) + f64::from(missing) * lookup.recompute_weight
 }
 
 /// Blocks that engines will hold soon, in two generations that each last a lifetime.
 #[derive(Clone, Debug)]
 struct ExpectedBlocks {
     lifetime: Duration,
-    young: FxHashMap<SequenceHash, Starts>,
-    old: FxHashMap<SequenceHash, Starts>,
+    young: FxHashMap<SequenceHash, EngineEpochs>,
+    old: FxHashMap<SequenceHash, EngineEpochs>,
     young_since: Timestamp,
 }
 
@@ -428,22 +431,22 @@
         }
     }
 
-    fn expect(&mut self, block: SequenceHash, start: StartNumber, now: Timestamp) {
+    fn expect(&mut self, block: SequenceHash, epoch: EngineEpoch, now: Timestamp) {
         if now.since(self.young_since) >= self.lifetime {
             self.old = std::mem::take(&mut self.young);
             self.young_since = now;
         }
-        let starts = self.young.entry(block).or_default();
-        if !starts.contains(&start) {
-            starts.push(start);
+        let epochs = self.young.entry(block).or_default();
+        if !epochs.contains(&epoch) {
+            epochs.push(epoch);
         }
     }
 
-    fn starts(
+    fn epochs(
         &self,
         block: SequenceHash,
         now: Timestamp,
-    ) -> impl Iterator<Item = StartNumber> + '_ {
+    ) -> impl Iterator<Item = EngineEpoch> + '_ {
         let age = now.since(self.young_since);
         let young = (age < self.lifetime * 2).then_some(&self.young);
         let old = (age < self.lifetime).then_some(&self.old);
--- a/crates/routing/src/placer.rs
+++ b/crates/routing/src/placer.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::index::Overlap;
-use crate::question_budget::LookupBudget;
+use crate::lookup_budget::LookupBudget;
 use crate::{
     Choice, Engine, EngineSet, KnownCache, LoadReport, NoChoice, Policy, PrefixIndex,
     PrefixIndexParams, RoutingRequest, Scheduler, MAX_LOOKUP_PREFIXES,
@@ -63,8 +63,8 @@
     pub incarnation: Incarnation,
     request: u64,
     prompt_tokens: u32,
-    believed: Option<Overlap>,
-    believed_tokens: u32,
+    index_overlap: Option<Overlap>,
+    index_overlap_tokens: u32,
     expected_tokens: u32,
     waiting_tokens: u32,
     placed_at: Timestamp,
@@ -83,7 +83,7 @@
     engines: EngineSet,
     index: PrefixIndex,
     scheduler: Scheduler,
-    questions: LookupBudget,
+    lookup_budget: LookupBudget,
 }
 
 impl Placer {
@@ -92,7 +92,7 @@
         Self {
             engines: EngineSet::default(),
             index: PrefixIndex::new(belief),
-            questions: LookupBudget::new(
+            lookup_budget: LookupBudget::new(
                 scheduler.params().index_bytes_per_second,
                 scheduler.params().index_stake_tokens,
             ),
@@ -139,7 +139,7 @@
         let prefixes = routing.chain.hashes().len().min(MAX_LOOKUP_PREFIXES);
         let informed = self.scheduler.params().policy == Policy::Product;
         let may_ask = routing.may_ask && informed && prefixes > 0;
-        if may_ask && self.questions.take(prefixes, choice.stake_tokens, now) {
+        if may_ask && self.lookup_budget.take(prefixes, choice.stake_tokens, now) {
             return Ok(Decision::Ask(choice.engine));
         }
         let (placement, choice) = self.book(request, routing, choice, now)?;
@@ -200,9 +200,9 @@
             incarnation,
             request,
             prompt_tokens: chain.prompt_tokens(),
-            believed: choice.believed,
-            believed_tokens: choice
-                .believed
+            index_overlap: choice.index_overlap,
+            index_overlap_tokens: choice
+                .index_overlap
                 .map_or(0, |overlap| chain.tokens_in(overlap.blocks)),
             expected_tokens: choice.expected_cached_tokens,
             waiting_tokens: engine.waiting_tokens(),
@@ -241,12 +241,12 @@
         let Some(cached) = report.cached_tokens else {
             return 0;
         };
-        if let Some(overlap) = placement.believed {
+        if let Some(overlap) = placement.index_overlap {
             let age = placement.placed_at.since(overlap.used_at);
-            engine.observe_retention(age, cached >= placement.believed_tokens);
+            engine.observe_retention(age, cached >= placement.index_overlap_tokens);
         }
         if let Some(took) = took {
-            learn_speed(engine, placement, cached, took, prefill_us);
+            update_slowness(engine, placement, cached, took, prefill_us);
         }
         placement.expected_tokens.saturating_sub(cached)
     }
@@ -267,7 +267,7 @@
     }
 }
 
-fn learn_speed(
+fn update_slowness(
     engine: &mut Engine,
     placement: &Placement,
     cached: u32,
@@ -278,6 +278,6 @@
     let work = f64::from(placement.waiting_tokens) + f64::from(missing);
     let expected_us = work * prefill_us;
     if expected_us >= MIN_SPEED_SAMPLE_US {
-        engine.observe_speed(took.as_micros() as f64 / expected_us);
+        engine.observe_slowness(took.as_micros() as f64 / expected_us);
     }
 }
--- a/crates/routing/src/heat.rs
+++ b/crates/routing/src/prefix_rates.rs
@@ -16,14 +16,14 @@
 /// Decayed request rates of prefixes. Two generations bound the memory: when the young one is
 /// full it becomes the old one, and what was not asked for since is forgotten.
 #[derive(Clone, Debug)]
-pub struct HeatMap {
+pub struct PrefixRates {
     time_constant: Duration,
     generation_entries: usize,
     young: FxHashMap<SequenceHash, Counter>,
     old: FxHashMap<SequenceHash, Counter>,
 }
 
-impl HeatMap {
+impl PrefixRates {
     /// `time_constant` is how far back a rate looks; `capacity` bounds the entries.
     pub fn new(time_constant: Duration, capacity: usize) -> Self {
         Self {
@@ -35,7 +35,7 @@
     }
 
     /// What one request adds to a rate, in requests a second.
-    pub fn own_rate(&self) -> f64 {
+    pub fn rate_per_request(&self) -> f64 {
         1.0 / self.time_constant.as_secs_f64()
     }
 
@@ -45,7 +45,7 @@
     }
 
     /// Counts one request for a prefix and returns its rate with it, in requests a second.
-    pub fn touch(&mut self, prefix: SequenceHash, now: Timestamp) -> f64 {
+    pub fn record_request(&mut self, prefix: SequenceHash, now: Timestamp) -> f64 {
         let decayed = self.count(prefix, now);
         self.rotate_when_full();
         self.young.insert(
--- a/crates/routing/src/recorder.rs
+++ b/crates/routing/src/recorder.rs
@@ -123,12 +123,12 @@
 /// A trace that cannot be replayed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the trace does not begin with its start")]
-pub struct NoStart;
+pub struct MissingStart;
 
 /// Replays a trace and gives its decisions, in order.
-pub fn replay(lines: &[TraceLine]) -> Result<Vec<TraceDecision>, NoStart> {
+pub fn replay(lines: &[TraceLine]) -> Result<Vec<TraceDecision>, MissingStart> {
     let Some(TraceEvent::Start { params, seed }) = lines.first().map(|line| &line.event) else {
-        return Err(NoStart);
+        return Err(MissingStart);
     };
     let random = ChaCha8Rng::seed_from_u64(*seed);
     let scheduler = Scheduler::new(params.clone(), random);
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -12,17 +12,17 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::decision::CandidateRecord;
-use crate::heat::HeatMap;
 use crate::homes::Homes;
 use crate::index::Overlap;
 use crate::params::{Policy, SchedulerParams};
+use crate::prefix_rates::PrefixRates;
 use crate::rendezvous::{weight, TopRanked};
 use crate::{Engine, EngineSet, PrefixChain, PrefixIndex, SequenceHash};
 
 const SUSPECT_PENALTY_US: f64 = 10_000_000.0;
 const TIE_JITTER: f64 = 0.02;
-const HEAT_TIME_CONSTANT: Duration = Duration::from_secs(30);
-const HEAT_CAPACITY: usize = 100_000;
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(30);
+const RATE_CAPACITY: usize = 100_000;
 /// Under this name all requests are counted.
 const ALL_REQUESTS: SequenceHash = SequenceHash(0);
 
@@ -64,7 +64,7 @@
     /// Prompt tokens expected in its cache.
     pub expected_cached_tokens: u32,
     /// The belief behind the expectation, when it was one of this router's own.
-    pub believed: Option<Overlap>,
+    pub index_overlap: Option<Overlap>,
     /// The best candidates, best first.
     pub candidates: Vec<CandidateRecord>,
     /// Prompt tokens that have to be computed until the first token is out, those that wait
@@ -87,7 +87,7 @@
     expected_tokens: f64,
     credited_tokens: f64,
     waiting_tokens: f64,
-    believed: Option<Overlap>,
+    index_overlap: Option<Overlap>,
     cost_us: f64,
 }
 
@@ -95,20 +95,20 @@
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     params: SchedulerParams,
-    heat: HeatMap,
+    prefix_rates: PrefixRates,
     random: ChaCha8Rng,
-    turn: usize,
+    round_robin_counter: usize,
 }
 
 impl Scheduler {
     /// A scheduler whose random choices follow from `random`.
     pub fn new(params: SchedulerParams, random: ChaCha8Rng) -> Self {
-        let heat = HeatMap::new(HEAT_TIME_CONSTANT, HEAT_CAPACITY);
+        let prefix_rates = PrefixRates::new(RATE_TIME_CONSTANT, RATE_CAPACITY);
         Self {
             params,
-            heat,
+            prefix_rates,
             random,
-            turn: 0,
+            round_robin_counter: 0,
         }
     }
 
@@ -137,14 +137,14 @@
         if possible.is_empty() {
             return Err(NoChoice::NoneReady);
         }
-        self.keep_known(&mut possible, request);
+        self.keep_answered_engines(&mut possible, request);
         let overlaps = self.overlaps(engines, index, request);
         let homes = self.homes(&possible, request, now);
         let mut candidates = self.candidates(&possible, request, &overlaps, &homes, now)?;
         if self.params.policy == Policy::RoundRobin {
-            self.turn += 1;
-            let turn = self.turn % candidates.len();
-            candidates.swap(0, turn);
+            self.round_robin_counter += 1;
+            let position = self.round_robin_counter % candidates.len();
+            candidates.swap(0, position);
         } else {
             candidates.sort_by(|a, b| a.cost_us.total_cmp(&b.cost_us));
         }
@@ -155,7 +155,7 @@
         Ok(Choice {
             engine: best.engine,
             expected_cached_tokens: best.expected_tokens as u32,
-            believed: best.believed,
+            index_overlap: best.index_overlap,
             candidates: records(engines, &candidates, now),
             stake_tokens,
         })
@@ -191,7 +191,7 @@
     }
 
     /// The index has ranked all engines; those that it does not name are worse.
-    fn keep_known(&self, possible: &mut Vec<&Engine>, request: &RoutingRequest<'_>) {
+    fn keep_answered_engines(&self, possible: &mut Vec<&Engine>, request: &RoutingRequest<'_>) {
         let known = request.index_answer.unwrap_or_default();
         let is_known = |engine: &&Engine| {
             let named = known.iter().any(|known| known.engine == engine.id);
@@ -212,7 +212,7 @@
             return Vec::new();
         }
         let mut overlaps = index.overlaps(request.chain);
-        overlaps.retain(|overlap| is_of_this_start(engines, overlap));
+        overlaps.retain(|overlap| is_current_incarnation(engines, overlap));
         overlaps
     }
 
@@ -238,14 +238,14 @@
         let all = self.rate(ALL_REQUESTS, counted, now);
         // A suspect engine is no home, so that all routers turn to the same next one.
         let eligible = || possible.iter().filter(|engine| !engine.is_suspect(now));
-        let fair_part = all / eligible().count().max(1) as f64;
-        let limit = (fair_part * self.params.family_share).max(self.params.min_family_rate);
+        let fair_share = all / eligible().count().max(1) as f64;
+        let limit = (fair_share * self.params.family_share).max(self.params.min_family_rate);
         let deepest = hashes.len() - 1;
         let fits = |rate: &f64| *rate <= limit;
         let family = rates.iter().position(fits).unwrap_or(deepest);
-        let count = (rates[family] / limit).ceil().max(1.0) as usize;
-        let count = count.min(self.params.max_homes);
-        let mut ranking = TopRanked::new(count * self.params.family_spread.max(1));
+        let home_count = (rates[family] / limit).ceil().max(1.0) as usize;
+        let home_count = home_count.min(self.params.max_homes);
+        let mut ranking = TopRanked::new(home_count * self.params.family_spread.max(1));
         for engine in eligible() {
             ranking.offer(weight(hashes[family], engine.id), engine.id);
         }
@@ -253,15 +253,15 @@
         // Among the family's engines, the whole prompt decides: its own blocks are held once.
         members.sort_by_key(|engine| std::cmp::Reverse(weight(hashes[deepest], *engine)));
         let spread = members.len().max(1) as f64;
-        let own = self.heat.own_rate() * self.params.routers;
+        let own = self.prefix_rates.rate_per_request() * self.params.routers;
         Homes {
-            homes: count.min(members.len()),
+            home_count: home_count.min(members.len()),
             members,
-            own_rates: (own / spread, own / count as f64),
+            request_rates: (own / spread, own / home_count as f64),
             member_rates: rates[..=family].iter().map(|rate| rate / spread).collect(),
             home_rates: rates[family + 1..]
                 .iter()
-                .map(|rate| rate / count as f64)
+                .map(|rate| rate / home_count as f64)
                 .collect(),
         }
     }
@@ -269,9 +269,9 @@
     /// The rate of a prefix over all routers; a request that was counted is not counted again.
     fn rate(&mut self, prefix: SequenceHash, counted: bool, now: Timestamp) -> f64 {
         let own = if counted {
-            self.heat.rate(prefix, now)
+            self.prefix_rates.rate(prefix, now)
         } else {
-            self.heat.touch(prefix, now)
+            self.prefix_rates.record_request(prefix, now)
         };
         own * self.params.routers
     }
@@ -341,24 +341,24 @@
         homes: &Homes,
         now: Timestamp,
     ) -> Candidate {
-        let believed = overlaps
+        let index_overlap = overlaps
             .iter()
             .find(|overlap| overlap.engine == engine.id)
             .copied();
-        let from_belief = believed.map_or(0.0, |overlap| {
+        let from_index = index_overlap.map_or(0.0, |overlap| {
             let held = engine.hold_probability(now.since(overlap.used_at));
             f64::from(request.chain.tokens_in(overlap.blocks)) * held
         });
         let family = homes.tokens(engine, request.chain);
         let mut known = request.index_answer.unwrap_or_default().iter();
         let known = known.find(|known| known.engine == engine.id);
-        let certain = match (self.params.policy, known) {
+        let known_tokens = match (self.params.policy, known) {
             (Policy::Exact, _) => Some(f64::from(engine.exact_cached_tokens())),
             (_, Some(known)) => Some(f64::from(known.cached_tokens)),
             (_, None) => None,
         };
-        let expected_tokens = certain.unwrap_or(from_belief.max(family.expected));
-        let credited_tokens = certain.unwrap_or(from_belief.max(family.credited));
+        let expected_tokens = known_tokens.unwrap_or(from_index.max(family.expected));
+        let credited_tokens = known_tokens.unwrap_or(from_index.max(family.credited));
         let jitter = 1.0 + TIE_JITTER * self.random.random::<f64>();
         let cost_us = self.cost_us(engine, request, credited_tokens, now) * jitter;
         Candidate {
@@ -366,7 +366,7 @@
             expected_tokens,
             credited_tokens,
             waiting_tokens: f64::from(engine.waiting_tokens()),
-            believed,
+            index_overlap,
             cost_us,
         }
     }
@@ -379,7 +379,7 @@
 
 /// A belief counts only for the start of the engine that it was formed about: an engine that
 /// restarted came back empty.
-fn is_of_this_start(engines: &EngineSet, overlap: &Overlap) -> bool {
+fn is_current_incarnation(engines: &EngineSet, overlap: &Overlap) -> bool {
     engines
         .get(overlap.engine)
         .is_some_and(|engine| engine.observation.incarnation == overlap.incarnation)
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -48,14 +48,14 @@
     }
 }
 
-struct World {
+struct SchedulerFixture {
     engines: EngineSet,
     index: PrefixIndex,
     scheduler: Scheduler,
     chain: PrefixChain,
 }
 
-impl World {
+impl SchedulerFixture {
     fn new(count: usize) -> Self {
         let mut engines = EngineSet::default();
         for number in 0..count {
@@ -85,15 +85,15 @@
             .choose(&self.engines, &self.index, &request, NOW)
     }
 
-    fn believe(&mut self, name: &str, incarnation: u64) {
+    fn record_cached(&mut self, name: &str, incarnation: u64) {
         let engine = EngineName::new(name).id();
         self.index
             .record_chain(&self.chain, engine, Incarnation(incarnation), NOW);
     }
 }
 
-fn chosen_name(world: &World, choice: &Choice) -> String {
-    world
+fn chosen_name(fixture: &SchedulerFixture, choice: &Choice) -> String {
+    fixture
         .engines
         .get(choice.engine)
         .unwrap()
@@ -128,22 +128,22 @@
 
 #[test]
 fn the_engine_that_holds_the_prefix_is_chosen() {
-    let mut world = World::new(8);
-    world.believe("e5", 1);
-    let choice = world.choose().unwrap();
-    assert_eq!(chosen_name(&world, &choice), "e5");
+    let mut fixture = SchedulerFixture::new(8);
+    fixture.record_cached("e5", 1);
+    let choice = fixture.choose().unwrap();
+    assert_eq!(chosen_name(&fixture, &choice), "e5");
     assert_eq!(choice.expected_cached_tokens, 8_192);
 }
 
 #[test]
 fn a_belief_about_an_earlier_start_counts_for_nothing() {
-    let mut world = World::new(8);
-    world.believe("e5", 1);
-    world
+    let mut fixture = SchedulerFixture::new(8);
+    fixture.record_cached("e5", 1);
+    fixture
         .engines
         .observe(observation("e5", 2, 1, EngineState::Ready));
-    let choice = world.choose().unwrap();
-    assert!(choice.believed.is_none());
+    let choice = fixture.choose().unwrap();
+    assert!(choice.index_overlap.is_none());
     let restarted = choice
         .candidates
         .iter()
@@ -157,45 +157,47 @@
 #[case::joining(1, EngineState::Joining)]
 #[case::older_weights(0, EngineState::Ready)]
 fn an_engine_that_may_not_serve_gets_nothing(#[case] version: u64, #[case] state: EngineState) {
-    let mut world = World::new(1);
-    world.engines.observe(observation("e0", 1, version, state));
-    world.believe("e0", 1);
-    assert_eq!(world.choose().unwrap_err(), NoChoice::NoneReady);
+    let mut fixture = SchedulerFixture::new(1);
+    fixture
+        .engines
+        .observe(observation("e0", 1, version, state));
+    fixture.record_cached("e0", 1);
+    assert_eq!(fixture.choose().unwrap_err(), NoChoice::NoneReady);
 }
 
 #[test]
 fn a_full_holder_is_passed_over_and_all_full_is_said() {
-    let mut world = World::new(2);
-    world.believe("e0", 1);
+    let mut fixture = SchedulerFixture::new(2);
+    fixture.record_cached("e0", 1);
     let busy = LoadReport {
         waiting_tokens: 500_000,
         running: 1,
         at: NOW,
     };
-    world
+    fixture
         .engines
         .get_mut(EngineName::new("e0").id())
         .unwrap()
         .load = busy;
-    let choice = world.choose().unwrap();
-    assert_eq!(chosen_name(&world, &choice), "e1");
-    world
+    let choice = fixture.choose().unwrap();
+    assert_eq!(chosen_name(&fixture, &choice), "e1");
+    fixture
         .engines
         .get_mut(EngineName::new("e1").id())
         .unwrap()
         .load = busy;
-    assert_eq!(world.choose().unwrap_err(), NoChoice::AllFull);
+    assert_eq!(fixture.choose().unwrap_err(), NoChoice::AllFull);
 }
 
 #[test]
 fn routers_that_never_spoke_agree_on_a_home() {
     let chosen: Vec<String> = (0..5)
         .map(|seed| {
-            let mut world = World::new(100);
+            let mut fixture = SchedulerFixture::new(100);
             let random = ChaCha8Rng::seed_from_u64(seed);
-            world.scheduler = Scheduler::new(SchedulerParams::default(), random);
-            let choice = world.choose().unwrap();
-            chosen_name(&world, &choice)
+            fixture.scheduler = Scheduler::new(SchedulerParams::default(), random);
+            let choice = fixture.choose().unwrap();
+            chosen_name(&fixture, &choice)
         })
         .collect();
     assert!(chosen.iter().all(|name| *name == chosen[0]), "{chosen:?}");
@@ -203,20 +205,20 @@
 
 #[test]
 fn a_suspect_engine_is_a_last_resort() {
-    let mut world = World::new(2);
-    world.believe("e0", 1);
-    let engine = world.engines.get_mut(EngineName::new("e0").id()).unwrap();
+    let mut fixture = SchedulerFixture::new(2);
+    fixture.record_cached("e0", 1);
+    let engine = fixture.engines.get_mut(EngineName::new("e0").id()).unwrap();
     engine.suspect_until = Some(NOW.plus(Duration::from_secs(1)));
-    let choice = world.choose().unwrap();
-    assert_eq!(chosen_name(&world, &choice), "e1");
-    world.engines.remove(EngineName::new("e1").id());
-    assert!(world.choose().is_ok());
+    let choice = fixture.choose().unwrap();
+    assert_eq!(chosen_name(&fixture, &choice), "e1");
+    fixture.engines.remove(EngineName::new("e1").id());
+    assert!(fixture.choose().is_ok());
 }
 
 #[test]
 fn what_was_sent_since_the_report_counts_as_load() {
-    let mut world = World::new(1);
-    let engine = world.engines.get_mut(EngineName::new("e0").id()).unwrap();
+    let mut fixture = SchedulerFixture::new(1);
+    let engine = fixture.engines.get_mut(EngineName::new("e0").id()).unwrap();
     engine.on_sent(7, 900, NOW);
     assert_eq!(engine.waiting_tokens(), 900);
     let waited = engine.on_first_token(7, NOW.plus(Duration::from_millis(5)));
@@ -228,8 +230,8 @@
 
 #[test]
 fn retention_moves_only_when_contradicted() {
-    let mut world = World::new(1);
-    let engine = world.engines.get_mut(EngineName::new("e0").id()).unwrap();
+    let mut fixture = SchedulerFixture::new(1);
+    let engine = fixture.engines.get_mut(EngineName::new("e0").id()).unwrap();
     let initial = engine.retention;
     engine.observe_retention(Duration::from_secs(1), true);
     assert_eq!(engine.retention, initial);
--- a/crates/routing/tests/indexer.rs
+++ b/crates/routing/tests/indexer.rs
@@ -43,7 +43,7 @@
 }
 
 /// Asks for a chain of blocks 1, 2, 3 and so on.
-fn question(ticket: u32, blocks: u64) -> IndexLookup {
+fn lookup(ticket: u32, blocks: u64) -> IndexLookup {
     let prefixes = (1..=blocks).map(|number| LookupPrefix {
         hash: hash(number),
         blocks: number as u32,
@@ -62,7 +62,7 @@
 }
 
 fn ask(indexer: &mut Indexer, blocks: u64, now: Timestamp) -> Vec<Holding> {
-    indexer.ask(&question(1, blocks), [ENGINE, OTHER].into_iter(), now)
+    indexer.ask(&lookup(1, blocks), [ENGINE, OTHER].into_iter(), now)
 }
 
 fn holding_at(
@@ -331,7 +331,7 @@
         }
         for block in 1..6u64 {
             let prefix = LookupPrefix { hash: hash(block), blocks: 1 };
-            let single = IndexLookup { prefixes: vec![prefix], ..question(1, 1) };
+            let single = IndexLookup { prefixes: vec![prefix], ..lookup(1, 1) };
             let found = indexer.ask(&single, [ENGINE].into_iter(), now);
             let blocks = found.first().map_or(0, |holding| holding.blocks);
             prop_assert_eq!(blocks == 1, engine.held.contains(&block), "block {}", block);
