--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,41 +1,43 @@
-//! Whether a request may start now: rate and concurrency of its tenant, room in the process.
+//! Admission control: limits the request rate and concurrency of each tenant, and the open requests
+//! of the process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use drumshore_core::{ErrorCode, TenantLimits, TenantName, Timestamp, Verdict};
 
-/// Bounds of the process itself.
+/// Limits of the router process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionParams {
-    /// Requests open at once, over all tenants.
+    /// Maximum number of open requests of all tenants together.
     pub max_open: u32,
 }
 
-/// What is asked.
+/// A request to be admitted.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// Who asks.
+    /// The tenant that sent the request.
     pub tenant: &'a TenantName,
-    /// The tenant's limits over the whole fleet.
+    /// The limits of the tenant over all routers together.
     pub limits: &'a TenantLimits,
 }
 
-/// This router's share of a tenant's limits, as the control machines see the fleet's use.
+/// This router's share of a tenant's limits. The control machines compute it from the usage that
+/// all routers report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allotment {
-    /// Requests a second.
+    /// Maximum requests a second.
     pub requests_per_second: f64,
-    /// Requests open at once.
+    /// Maximum number of open requests.
     pub open: u32,
 }
 
-/// The answer.
+/// The result of [`Admission::admit`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It may start; [`Admission::release`] must follow.
+    /// The request may start. [`Admission::release`] must be called when it ends.
     Admitted,
-    /// It may not, and did not run.
+    /// The request may not start; it has not run.
     Refused(Verdict),
 }
 
@@ -48,21 +50,21 @@
     allotment: Option<Allotment>,
 }
 
-/// What one tenant used since the last report.
+/// The usage of one tenant since the last report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantUsage {
-    /// The tenant.
+    /// The tenant that used the router.
     pub tenant: TenantName,
-    /// Requests that asked to start.
+    /// Requests received, including those refused at the tenant's limits.
     pub requests: u32,
-    /// Requests open now.
+    /// Requests open at the time of the report.
     pub open: u32,
 }
 
-/// Seconds of a rate limit that may be used in one burst.
+/// Capacity of a tenant's token bucket, in seconds of its rate limit.
 const BURST_SECONDS: f64 = 1.0;
 
-/// The admission control of one router.
+/// Admission control of one router, with a token bucket for each tenant.
 #[derive(Clone, Debug)]
 pub struct Admission {
     params: AdmissionParams,
@@ -71,7 +73,7 @@
 }
 
 impl Admission {
-    /// Nothing is open.
+    /// Starts without open requests.
     pub fn new(params: AdmissionParams) -> Self {
         Self {
             params,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Decides on one request.
+    /// Admits or refuses one request and counts it for the tenant's usage.
     pub fn admit(&mut self, request: &AdmissionRequest<'_>, now: Timestamp) -> AdmissionDecision {
         if self.open >= self.params.max_open {
             let verdict = Verdict::not_run(ErrorCode::Overloaded, "too many requests are open");
@@ -96,7 +98,7 @@
         AdmissionDecision::Admitted
     }
 
-    /// An admitted request ended.
+    /// Records the end of an admitted request.
     pub fn release(&mut self, tenant: &TenantName) {
         self.open = self.open.saturating_sub(1);
         if let Some(tenant) = self.tenants.get_mut(tenant) {
@@ -104,19 +106,21 @@
         }
     }
 
-    /// Requests open now.
+    /// Number of open requests of all tenants.
     pub fn open(&self) -> u32 {
         self.open
     }
 
-    /// Takes this router's share of a tenant's limits; `None` lifts it.
+    /// Sets this router's share of a tenant's limits; `None` restores the full limits. Ignored for
+    /// a tenant that has no recent requests.
     pub fn set_allotment(&mut self, tenant: &TenantName, allotment: Option<Allotment>) {
         if let Some(tenant) = self.tenants.get_mut(tenant) {
             tenant.allotment = allotment;
         }
     }
 
-    /// What tenants used since the last call. Tenants that use nothing are forgotten.
+    /// Returns the usage of each tenant since the last call and resets it. Tenants without usage
+    /// are removed.
     pub fn take_usage(&mut self) -> Vec<TenantUsage> {
         let used = |tenant: &TenantState| tenant.requests > 0 || tenant.open > 0;
         let usage = self.tenants.iter().filter(|(_, tenant)| used(tenant));
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -1,4 +1,4 @@
-//! What was decided and what was believed at that moment, kept for `explain` and for traces.
+//! Records of placement decisions with the data that they were based on, for `explain` and traces.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,72 +9,74 @@
 
 use crate::EngineState;
 
-/// One engine that was considered.
+/// One engine that the scheduler considered. The fields hold what the router knew at that time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CandidateRecord {
-    /// Its name.
+    /// The name of the engine.
     pub engine: EngineName,
-    /// The incarnation believed.
+    /// The last known incarnation.
     pub incarnation: Incarnation,
-    /// The weights believed.
+    /// The last known weights version.
     pub weights_version: WeightsVersion,
-    /// The state believed.
+    /// The last known state.
     pub state: EngineState,
-    /// Prompt tokens expected in its cache.
+    /// Prompt tokens of the request expected in the engine's cache.
     pub expected_cached_tokens: u32,
-    /// Prompt tokens believed to wait there.
+    /// Estimated prompt tokens in the engine's queue.
     pub waiting_tokens: u32,
-    /// Sequences believed to run there.
+    /// Estimated number of sequences that the engine runs.
     pub running: u32,
-    /// The age of the load report, in milliseconds.
+    /// The age of the engine's load report, in milliseconds.
     pub load_age_ms: u64,
-    /// The cost, in microseconds to the first token; the lowest wins.
+    /// The expected cost: microseconds to the first token, with weights and penalties. The engine
+    /// with the lowest cost is chosen.
     pub cost_us: u64,
 }
 
 /// One attempt at a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// When it was decided, in microseconds of the router's clock.
+    /// The time of the decision, in microseconds of the router's clock.
     pub at: Timestamp,
-    /// The engine chosen, when there was one.
+    /// The chosen engine; `None` if no engine could take the request.
     pub chosen: Option<EngineName>,
-    /// Why this one.
+    /// Why this engine was chosen.
     pub reason: String,
     /// The best candidates, best first.
     pub candidates: Vec<CandidateRecord>,
-    /// Engines that were excluded because an earlier attempt failed there.
+    /// Engines excluded because an earlier attempt failed there.
     pub excluded: Vec<EngineName>,
     /// Prompt tokens that the engine reported as cached.
     pub cached_tokens: Option<u32>,
-    /// How the attempt failed, when it did.
+    /// The error of a failed attempt.
     pub verdict: Option<Verdict>,
 }
 
-/// The story of one request.
+/// All attempts at one request and their outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DecisionRecord {
-    /// The request.
+    /// The identifier of the request.
     pub request: RequestId,
-    /// Whose it is.
+    /// The tenant that sent the request.
     pub tenant: TenantName,
-    /// What it asked for.
+    /// The requested model.
     pub model: ModelName,
-    /// The configuration revision in force.
+    /// The configuration revision that the router used.
     pub revision: u64,
-    /// Prompt tokens.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// True when it may not be repeated.
+    /// True if the request may not be repeated after it may have run.
     pub non_repeatable: bool,
-    /// The attempts, first to last.
+    /// The attempts in chronological order.
     pub attempts: Vec<AttemptRecord>,
-    /// How it ended: `None` while it runs or when it was answered whole.
+    /// The error that the caller received; `None` while the request runs or after a complete
+    /// answer.
     pub verdict: Option<Verdict>,
-    /// True when the caller got a whole answer.
+    /// True if the caller received a complete answer.
     pub answered: bool,
 }
 
-/// The last decisions of a router, bounded.
+/// The most recent decision records of a router, in bounded memory.
 #[derive(Clone, Debug)]
 pub struct DecisionLog {
     capacity: usize,
@@ -83,7 +85,7 @@
 }
 
 impl DecisionLog {
-    /// A log for `capacity` requests.
+    /// Creates a log that keeps the records of `capacity` requests.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Starts the story of a request; the oldest one is forgotten when the log is full.
+    /// Adds the record of a new request and removes the oldest one if the log is full.
     pub fn open(&mut self, record: DecisionRecord) {
         if self.order.len() >= self.capacity {
             if let Some(oldest) = self.order.pop_front() {
@@ -103,17 +105,17 @@
         self.records.insert(record.request, record);
     }
 
-    /// The story of a request, to be continued.
+    /// The record of a request, for updates.
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut DecisionRecord> {
         self.records.get_mut(&request)
     }
 
-    /// The story of a request.
+    /// The record of a request, if it is still kept.
     pub fn get(&self, request: RequestId) -> Option<&DecisionRecord> {
         self.records.get(&request)
     }
 
-    /// The stories kept, oldest first.
+    /// The kept records, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = &DecisionRecord> {
         self.order
             .iter()
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -1,4 +1,5 @@
-//! What is known of each engine: state, fences, load, speed, and how long it keeps blocks.
+//! A router's view of each engine: state, incarnation and weights version, load, speed, and how
+//! long its cache keeps unused blocks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,51 +10,51 @@
 use drumshore_guard::{enforced, Guard};
 use serde::{Deserialize, Serialize};
 
-/// The state of a back end, merged from all that is known of it.
+/// The state of an engine, as combined from all reports about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineState {
-    /// Known, but not yet serving.
+    /// Known, but not ready to serve yet.
     Joining,
-    /// Takes work.
+    /// Accepts requests.
     Ready,
-    /// Failed lately; gets work only when nothing else is left.
+    /// Failed recently; receives requests only if no other engine can take them.
     Suspect,
-    /// Finishes what it has; gets nothing new.
+    /// Finishes its open requests and receives no new ones.
     Leaving,
 }
 
-/// An engine as the control machines describe it.
+/// An engine as described by the control machines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineObservation {
-    /// Its name.
+    /// The unique name of the engine.
     pub name: EngineName,
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Its zone.
+    /// The zone that the engine runs in.
     pub zone: ZoneName,
-    /// Its pool.
+    /// The pool of engines that it belongs to.
     pub pool: PoolName,
-    /// Its start.
+    /// Identifies the current run of the engine process; changes at a restart.
     pub incarnation: Incarnation,
-    /// The weights it holds.
+    /// The version of the weights that it has loaded.
     pub weights_version: WeightsVersion,
-    /// Its state.
+    /// The state according to the control machines.
     pub state: EngineState,
 }
 
-/// How busy an engine said it was.
+/// The load that an engine reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Prompt tokens that wait to be computed.
+    /// Prompt tokens in the queue, not computed yet.
     pub waiting_tokens: u32,
     /// Sequences that are producing tokens.
     pub running: u32,
-    /// When it was so, on the receiver's clock.
+    /// The time that the report describes, on the receiver's clock.
     pub at: Timestamp,
 }
 
-/// A request sent to an engine that has not produced its first token.
+/// A request that was sent to an engine and has not produced its first token yet.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     request: u64,
@@ -61,20 +62,20 @@
     sent_at: Timestamp,
 }
 
-/// One engine.
+/// A router's view of one engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Its compact identity.
+    /// Compact identifier, derived from the name.
     pub id: EngineId,
-    /// What the control machines say of it.
+    /// The last description from the control machines.
     pub observation: EngineObservation,
-    /// Its last load report.
+    /// The most recent load report.
     pub load: LoadReport,
-    /// Until when this router avoids it after a failure of its own.
+    /// This router avoids the engine until this time, because a request of its own failed there.
     pub suspect_until: Option<Timestamp>,
-    /// How long the engine is seen to keep unused blocks.
+    /// Estimated time that the engine's cache keeps an unused block.
     pub retention: Duration,
-    /// Measured time to compute one prompt token, as a ratio to the expected one.
+    /// Measured time to compute a prompt token divided by the expected time, at least 1.
     pub slowness: f64,
     pending: Vec<Pending>,
     open: u32,
@@ -103,7 +104,7 @@
         }
     }
 
-    /// True when new work may go to it at all.
+    /// True if the engine may receive new requests.
     pub fn is_eligible(&self) -> bool {
         match self.observation.state {
             EngineState::Ready | EngineState::Suspect => true,
@@ -112,13 +113,14 @@
         }
     }
 
-    /// True when it should only get work that nothing else can take.
+    /// True if the engine should only receive requests that no other engine can take.
     pub fn is_suspect(&self, now: Timestamp) -> bool {
         self.observation.state == EngineState::Suspect
             || self.suspect_until.is_some_and(|until| until > now)
     }
 
-    /// Prompt tokens that wait: the last report, and what this router sent since.
+    /// Estimated prompt tokens in the queue: those of the last load report plus those that this
+    /// router has sent since.
     pub fn waiting_tokens(&self) -> u32 {
         let since = self
             .pending
@@ -128,23 +130,26 @@
         self.load.waiting_tokens.saturating_add(sent)
     }
 
-    /// Requests of this router that the engine holds.
+    /// Number of open requests that this router has at the engine.
     pub fn open_requests(&self) -> u32 {
         self.open
     }
 
-    /// Sequences running there: the report, or this router's own when that is more.
+    /// Estimated number of running sequences: the reported number, or this router's own open
+    /// requests if there are more of them.
     pub fn running(&self) -> u32 {
         self.load.running.max(self.open)
     }
 
-    /// Prompt tokens of the request at hand that it holds, when that was shown.
+    /// Cached prompt tokens of the request to be placed next, as set by
+    /// [`Engine::set_exact_state`]; 0 otherwise.
     pub fn exact_cached_tokens(&self) -> u32 {
         self.exact_cached_tokens
     }
 
-    /// Shows the engine as it is at this moment, for the oracle of measurements: what waits and
-    /// runs there, and what it holds of the request that is placed next.
+    /// Sets the true queue and running sequences of the engine, and the cached tokens of the
+    /// request to be placed next. Benchmarks use it to compare policies with
+    /// [`crate::Policy::Exact`], which has perfect knowledge.
     pub fn set_exact_state(
         &mut self,
         waiting_tokens: u32,
@@ -155,14 +160,14 @@
         self.load = LoadReport {
             waiting_tokens,
             running,
-            // Everything that was sent up to now is in these figures.
+            // These figures include every request sent up to and including `now`.
             at: Timestamp(now.0 + 1),
         };
         self.suspect_until = None;
         self.exact_cached_tokens = cached_tokens;
     }
 
-    /// A request was sent; `tokens` of its prompt are believed uncached.
+    /// Records a request sent to the engine; `tokens` of its prompt are not expected in the cache.
     pub fn on_sent(&mut self, request: u64, tokens: u32, now: Timestamp) {
         self.open += 1;
         self.pending.push(Pending {
@@ -172,7 +177,8 @@
         });
     }
 
-    /// A request's first token arrived; returns how long it took, when it was pending.
+    /// Records the first token of a request. Returns the time since the request was sent, or `None`
+    /// if the request was not pending.
     pub fn on_first_token(&mut self, request: u64, now: Timestamp) -> Option<Duration> {
         let position = self
             .pending
@@ -181,13 +187,14 @@
         Some(now.since(self.pending.swap_remove(position).sent_at))
     }
 
-    /// A request ended, however it did.
+    /// Records the end of a request, successful or not.
     pub fn on_ended(&mut self, request: u64) {
         self.pending.retain(|pending| pending.request != request);
         self.open = self.open.saturating_sub(1);
     }
 
-    /// A block that was unused for `age` turned out held or gone.
+    /// Updates the retention estimate with a block that was unused for `age` and was found cached
+    /// (`held`) or evicted.
     pub fn observe_retention(&mut self, age: Duration, held: bool) {
         let current = self.retention.as_secs_f64();
         let age = age.as_secs_f64();
@@ -198,14 +205,15 @@
         }
     }
 
-    /// Computing a prompt took `ratio` times what was expected.
+    /// Updates the slowness estimate with a prompt whose computation took `ratio` times as long as
+    /// expected.
     pub fn observe_slowness(&mut self, ratio: f64) {
         let moved = self.slowness + SLOWNESS_GAIN * (ratio - self.slowness);
         self.slowness = moved.clamp(1.0, MAX_SLOWNESS);
     }
 
-    /// The chance that a block unused for `age` is still held: 1 up to half the retention,
-    /// then falling in a straight line to 0 at one and a half.
+    /// Estimated probability that a block unused for `age` is still cached: 1 up to half the
+    /// retention, then decreasing linearly to 0 at one and a half times the retention.
     pub fn hold_probability(&self, age: Duration) -> f64 {
         let share = age.as_secs_f64() / self.retention.as_secs_f64();
         (1.5 - share).clamp(0.0, 1.0)
@@ -223,8 +231,8 @@
     }
 }
 
-/// All engines that a router knows, by identity. Decisions look at all engines of a pool, so they
-/// lie one behind the other.
+/// All engines that a router knows, sorted by identifier. They are stored contiguously because a
+/// decision iterates over all engines of a pool.
 #[derive(Clone, Debug, Default)]
 pub struct EngineSet {
     engines: Vec<Engine>,
@@ -232,7 +240,8 @@
 }
 
 impl EngineSet {
-    /// Takes in what the control machines say of one engine.
+    /// Adds or updates an engine. A new incarnation resets all estimates about it, but not the
+    /// number of open requests.
     pub fn observe(&mut self, observation: EngineObservation) {
         match self.position(observation.name.id()) {
             Ok(position) => {
@@ -250,7 +259,7 @@
         }
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that no longer exists.
     pub fn remove(&mut self, id: EngineId) {
         if let Ok(position) = self.position(id) {
             self.engines.remove(position);
@@ -258,7 +267,7 @@
         }
     }
 
-    /// Forgets all engines not on the list.
+    /// Removes all engines for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(EngineId) -> bool) {
         let before = self.engines.len();
         self.engines.retain(|engine| keep(engine.id));
@@ -267,19 +276,19 @@
         }
     }
 
-    /// One engine.
+    /// Looks up an engine.
     pub fn get(&self, id: EngineId) -> Option<&Engine> {
         let position = self.position(id).ok()?;
         self.engines.get(position)
     }
 
-    /// One engine, to be changed.
+    /// Looks up an engine for updates.
     pub fn get_mut(&mut self, id: EngineId) -> Option<&mut Engine> {
         let position = self.position(id).ok()?;
         self.engines.get_mut(position)
     }
 
-    /// The engines of a pool, in the order of their identities.
+    /// The engines of a pool, ordered by identifier.
     pub fn pool(&self, pool: &PoolName) -> impl Iterator<Item = &Engine> {
         let members = self.pools.get(pool).map_or(&[][..], Vec::as_slice);
         members
@@ -287,7 +296,7 @@
             .filter_map(|position| self.engines.get(*position))
     }
 
-    /// All engines.
+    /// All engines, ordered by identifier.
     pub fn iter(&self) -> impl Iterator<Item = &Engine> {
         self.engines.iter()
     }
--- a/crates/routing/src/fair_queue.rs
+++ b/crates/routing/src/fair_queue.rs
@@ -1,7 +1,9 @@
-//! A bounded queue that is strict between priorities and fair between tenants of one priority.
+//! A bounded queue with strict order between priorities and fair order between the tenants of one
+//! priority.
 //!
-//! Fairness is deficit round robin (Shreedhar and Varghese, 1996) over tenants, weighted, with
-//! the prompt's tokens as cost: a tenant with many long prompts does not starve a small one.
+//! Tenants are served by weighted deficit round robin (Shreedhar and Varghese, 1996). The cost of a
+//! request is its prompt length, so that a tenant with many long prompts does not starve a small
+//! one.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,18 +11,18 @@
 
 const QUANTUM_TOKENS: u64 = 4_096;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueuedItem<T> {
-    /// What waits.
+    /// The owner's handle of the request.
     pub item: T,
-    /// Whose it is.
+    /// The tenant that sent the request.
     pub tenant: TenantName,
-    /// How urgent it is.
+    /// Requests of a more urgent priority are always taken first.
     pub priority: Priority,
-    /// What it costs, in prompt tokens.
+    /// The cost in prompt tokens.
     pub cost: u64,
-    /// When it is of no use any more.
+    /// The time after which the request is no longer worth serving; the owner removes it then.
     pub deadline: Timestamp,
 }
 
@@ -46,7 +48,7 @@
     }
 }
 
-/// The queue. Its length is bounded by its owner through [`FairQueue::push`].
+/// The queue. [`FairQueue::push`] sheds a request when the capacity is exceeded.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     capacity: usize,
@@ -55,7 +57,7 @@
 }
 
 impl<T> FairQueue<T> {
-    /// An empty queue for `capacity` requests.
+    /// Creates an empty queue for at most `capacity` requests.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -64,18 +66,19 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// True when none waits.
+    /// True if no request is queued.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Queues a request. When the queue is full, the newest request of the lowest priority and
-    /// of the tenant with most waiting there has to go, which may be this one; it is returned.
+    /// Queues a request. If this exceeds the capacity, one request is removed and returned,
+    /// possibly the new one: in the lowest queued priority, the newest request of the tenant that
+    /// has the most requests relative to its weight.
     pub fn push(&mut self, queued: QueuedItem<T>, weight: u32) -> Option<QueuedItem<T>> {
         let class = self.classes.entry(queued.priority).or_default();
         if !class.tenants.contains_key(&queued.tenant) {
@@ -98,14 +101,16 @@
         None
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<QueuedItem<T>> {
         let item = self.classes.values_mut().find_map(PriorityClass::pop)?;
         self.length -= 1;
         Some(item)
     }
 
-    /// Puts a request back at the head of its tenant's line, with its turn.
+    /// Puts a request that [`FairQueue::pop`] returned back to the front of its tenant's queue and
+    /// refunds its cost, so that it is the next request of its priority. Does not check the
+    /// capacity.
     pub fn requeue_front(&mut self, queued: QueuedItem<T>, weight: u32) {
         let class = self.classes.entry(queued.priority).or_default();
         class.rotation.retain(|tenant| *tenant != queued.tenant);
@@ -123,7 +128,8 @@
         self.length += 1;
     }
 
-    /// Takes out every request that `matches` wants, in queue order.
+    /// Removes and returns all requests for which `matches` returns true: by priority, then by
+    /// tenant, and in queue order for each tenant.
     pub fn drain_where(&mut self, matches: impl Fn(&QueuedItem<T>) -> bool) -> Vec<QueuedItem<T>> {
         let mut removed = Vec::new();
         for class in self.classes.values_mut() {
--- a/crates/routing/src/homes.rs
+++ b/crates/routing/src/homes.rs
@@ -1,39 +1,46 @@
-//! The engines of a request's prefix family, and what they are expected to hold.
+//! The engines of a request's prefix family, and the tokens that they are expected to cache.
+//!
+//! A family is the set of requests that share a prefix, chosen so that its request rate suits one
+//! engine. [`crate::Scheduler`] sends a family's requests to the same few engines.
 
 use drumshore_core::EngineId;
 
 use crate::{Engine, PrefixChain};
 
-/// The engines of a request's prefix family.
+/// The engines of a request's prefix family, with the request rates from which their cache contents
+/// are estimated.
 #[derive(Debug, Default)]
 pub(crate) struct Homes {
-    /// All engines of the family; the homes of this very prompt come first.
+    /// All engines of the family. The first `home_count` are the homes of this prompt: the engines
+    /// preferred for its blocks behind the family's prefix.
     pub(crate) members: Vec<EngineId>,
     pub(crate) home_count: usize,
-    /// The rate at which each member is asked for each block of the family, a second.
+    /// For each block of the family's prefix, the rate at which one member is requested for it, a
+    /// second.
     pub(crate) member_rates: Vec<f64>,
-    /// The rate at which each home is asked for each block behind these, a second.
+    /// For each block behind that prefix, the rate at which one home is requested for it, a second.
     pub(crate) home_rates: Vec<f64>,
-    /// The part of the members' rates, and of the homes', that the request itself adds.
+    /// The amounts that this request itself added to a member's rates and to a home's rates.
     pub(crate) request_rates: (f64, f64),
 }
 
-/// Tokens of a prompt at an engine of its family.
+/// Estimated tokens of a prompt in the cache of one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct FamilyTokens {
-    /// Expected to be held now.
+    /// Tokens expected in the cache now.
     pub(crate) expected: f64,
-    /// Worth as much as if they were held: what this very request makes the engine hold will be
-    /// asked for again there, and nowhere else.
+    /// Tokens that placement counts as cached. This includes the benefit of this request: the
+    /// blocks that it leaves in the engine's cache serve later requests of the family, which go to
+    /// the same engines.
     pub(crate) credited: f64,
 }
 
 impl Homes {
-    /// What an engine of the family is expected to hold, and what it is credited.
+    /// Estimates the tokens that an engine caches; 0 for an engine outside the family.
     ///
-    /// An engine that drops the longest unused first holds a block as long as its retention after
-    /// each use; with requests that come at random at a known rate, the chance to find it is
-    /// 1 - exp(-rate * retention).
+    /// An engine that evicts the least recently used block first keeps a block for its retention
+    /// time after each use. If requests arrive at random with a known rate, the probability that
+    /// the block is cached is 1 - exp(-rate * retention).
     ///
     /// Source: Che, Tung and Wang, "Hierarchical Web Caching Systems: Modeling, Design and
     /// Experimental Results", 2002.
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -1,21 +1,21 @@
-//! Which engine is believed to hold which prefix.
+//! One router's estimate of which engine caches which prefix.
 //!
-//! Three sources are joined: the engine's cache events, what its answers report as cached, and
-//! what this router itself sent. A belief carries the engine's incarnation; under another
-//! incarnation it counts for nothing, so a dead engine's cache is never relied on. Beliefs fade
-//! with the time the engine is seen to keep unused blocks.
+//! The estimate combines the engine's cache events, the cached tokens that its answers report, and
+//! the requests that this router sent. An entry carries the engine's incarnation and is ignored
+//! under another one, because a restarted engine has an empty cache. The weight of an entry
+//! decreases with its age, by the time that the engine is observed to keep unused blocks.
 
 use drumshore_core::{EngineId, Incarnation, Timestamp};
 use rustc_hash::FxHashMap;
 
 use crate::{PrefixChain, SequenceHash};
 
-/// Bounds on what is remembered.
+/// Size limits of a [`PrefixIndex`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefixIndexParams {
-    /// Prefixes remembered.
+    /// Maximum number of prefixes.
     pub capacity: usize,
-    /// Engines remembered for one prefix; the longest unused goes first.
+    /// Maximum number of engines for one prefix; the least recently used one is dropped.
     pub holders_per_prefix: usize,
 }
 
@@ -28,31 +28,32 @@
     }
 }
 
-/// An engine believed to hold a prefix.
+/// An engine that probably caches a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The engine.
+    /// The engine that stored the block.
     pub engine: EngineId,
-    /// Its start at the time.
+    /// The incarnation that stored the block.
     pub incarnation: Incarnation,
-    /// When it was last known to use or store the block.
+    /// The last time that the engine is known to have stored or used the block.
     pub used_at: Timestamp,
 }
 
-/// How much of a prompt one engine is believed to hold.
+/// The leading part of a prompt that one engine probably caches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overlap {
-    /// The engine.
+    /// The engine that caches the blocks.
     pub engine: EngineId,
-    /// The incarnation the belief is about.
+    /// The incarnation for which the entry was recorded.
     pub incarnation: Incarnation,
-    /// Leading blocks believed held.
+    /// Number of leading blocks that are probably cached.
     pub blocks: usize,
-    /// When the last of them was known to be used.
+    /// The last known use of the last of these blocks.
     pub used_at: Timestamp,
 }
 
-/// Beliefs in bounded memory, in two generations like [`crate::prefix_rates::PrefixRates`].
+/// Engines that probably cache each prefix, in bounded memory with two generations as in
+/// [`crate::prefix_rates::PrefixRates`].
 #[derive(Clone, Debug)]
 pub struct PrefixIndex {
     params: PrefixIndexParams,
@@ -61,7 +62,7 @@
 }
 
 impl PrefixIndex {
-    /// An index that believes nothing.
+    /// Creates an empty index.
     pub fn new(params: PrefixIndexParams) -> Self {
         Self {
             params,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The engine has, or will soon have, all blocks of the chain.
+    /// Records that the engine caches, or will soon cache, all blocks of the chain.
     pub fn record_chain(
         &mut self,
         chain: &PrefixChain,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// An engine holds one block.
+    /// Records that an engine caches a block, and replaces an earlier entry of this engine.
     pub fn record_stored(&mut self, block: SequenceHash, holder: Holder) {
         let limit = self.params.holders_per_prefix;
         let holders = self.entry(block);
@@ -101,7 +102,7 @@
         holders.push(holder);
     }
 
-    /// An engine no longer holds one block.
+    /// Records that an engine evicted a block.
     pub fn record_removed(&mut self, block: SequenceHash, engine: EngineId) {
         for generation in [&mut self.young, &mut self.old] {
             if let Some(holders) = generation.get_mut(&block) {
@@ -110,10 +111,11 @@
         }
     }
 
-    /// The engines believed to hold leading blocks of the chain, in no particular rank.
+    /// The engines that probably cache leading blocks of the chain, the longest overlap first.
     ///
-    /// Looks from the longest prefix to the shortest and reports each engine once, at its
-    /// deepest block: engines drop the tail of a chain before its head.
+    /// Searches from the longest prefix to the shortest and returns each engine once, with its last
+    /// block in the chain. The blocks before it are assumed to be cached, because engines evict the
+    /// end of a chain before its beginning.
     pub fn overlaps(&self, chain: &PrefixChain) -> Vec<Overlap> {
         let mut found: Vec<Overlap> = Vec::new();
         for (depth, hash) in chain.hashes().iter().enumerate().rev() {
@@ -132,12 +134,12 @@
         found
     }
 
-    /// Prefixes remembered now.
+    /// Number of prefixes with an entry.
     pub fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
 
-    /// True when nothing is remembered.
+    /// True if the index has no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,12 +1,21 @@
 //! Cache-aware placement, admission and retries, as state machines without I/O or clock.
 //!
-//! One file for each role: [`protocols`] (what engines say), [`prefix`] (what a prompt is made
-//! of), [`index`] (who one router believes holds what), [`publisher`] and [`indexer`] (who holds
-//! what, for all routers), [`engines`] (what is known of each engine),
-//! [`scheduler`] (which engine a request goes to), [`placer`] (all of these together),
-//! [`admission`] (whether it may start),
-//! [`retry`] (whether it may be tried again), [`decision`] (what was believed, for later),
-//! [`recorder`] (what a placer was told, to be replayed).
+//! An engine is a back end that serves a model and caches blocks of prompts. The modules:
+//!
+//! - [`protocols`]: the cache reports that engines send.
+//! - [`prefix`]: the hashed prefixes of a prompt.
+//! - [`index`]: one router's own estimate of which engine caches which prefix.
+//! - [`publisher`] and [`indexer`]: the index that all routers share, and the engines' side of it.
+//! - [`engines`]: the state, load and speed of each engine.
+//! - [`prefix_rates`] and [`rendezvous`]: how often a prefix is requested, and its preferred
+//!   engines.
+//! - [`scheduler`]: chooses the engine for a request.
+//! - [`placer`]: combines engines, index and scheduler.
+//! - [`admission`]: decides whether a request may start.
+//! - [`fair_queue`]: holds the requests that wait for an engine.
+//! - [`retry`]: decides whether a request may be retried.
+//! - [`decision`]: records the decisions and the data that they were based on.
+//! - [`recorder`]: replays the recorded inputs of a placer.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/routing/src/lookup_budget.rs
+++ b/crates/routing/src/lookup_budget.rs
@@ -1,18 +1,19 @@
-//! Which requests are worth a question to the index, within a budget of bytes.
+//! Decides which requests justify a lookup in the shared index, within a budget of bytes.
 
 use drumshore_core::Timestamp;
 
-/// Seconds of the budget that may be used at once.
+/// Capacity of the budget, in seconds of its rate.
 const BURST_SECONDS: f64 = 2.0;
 
-/// Bytes of a question, its answer and its booking, without the prefixes.
+/// Bytes of a lookup with its answer and booking, without the prefixes.
 const BYTES_PER_QUESTION: f64 = 150.0;
 
-/// Bytes of one prefix in a question.
+/// Bytes of one prefix in a lookup.
 const BYTES_PER_PREFIX: f64 = 8.0;
 
-/// A budget of bytes, refilled by time. What has to be at stake for a question rises as the budget
-/// runs low, so that under load only the questions that save most are asked.
+/// A token bucket of bytes. The stake that a lookup requires rises as the budget runs low, so that
+/// under load only the lookups with the highest possible savings are sent. The stake is the number
+/// of prompt tokens that a better engine could save.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LookupBudget {
     bytes_per_second: f64,
@@ -22,7 +23,8 @@
 }
 
 impl LookupBudget {
-    /// A full budget; `highest_stake` is in prompt tokens.
+    /// Creates a full budget. `highest_stake` is the stake in prompt tokens that an empty budget
+    /// requires.
     pub(crate) fn new(bytes_per_second: f64, highest_stake: f64) -> Self {
         Self {
             bytes_per_second,
@@ -32,7 +34,8 @@
         }
     }
 
-    /// Takes one question, when enough tokens are at stake for it.
+    /// Deducts the price of one lookup. Returns false, and deducts nothing, if the budget is too
+    /// low or the stake in prompt tokens is too small.
     pub(crate) fn take(&mut self, prefixes: usize, stake: f64, now: Timestamp) -> bool {
         let capacity = self.bytes_per_second * BURST_SECONDS;
         let earned = self.bytes_per_second * now.since(self.refilled_at).as_secs_f64();
--- a/crates/routing/src/prefix_rates.rs
+++ b/crates/routing/src/prefix_rates.rs
@@ -1,4 +1,4 @@
-//! How often prefixes are asked for, as exponentially decayed rates in bounded memory.
+//! Request rates of prefixes, as exponentially decayed counts in bounded memory.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
     at: Timestamp,
 }
 
-/// Decayed request rates of prefixes. Two generations bound the memory: when the young one is
-/// full it becomes the old one, and what was not asked for since is forgotten.
+/// Decayed request rates of prefixes. Two generations bound the memory: a full young generation
+/// replaces the old one, which drops the prefixes that were not requested in the meantime.
 #[derive(Clone, Debug)]
 pub struct PrefixRates {
     time_constant: Duration,
@@ -24,7 +24,8 @@
 }
 
 impl PrefixRates {
-    /// `time_constant` is how far back a rate looks; `capacity` bounds the entries.
+    /// Counts decay by a factor of e in each `time_constant`; `capacity` limits the number of
+    /// entries.
     pub fn new(time_constant: Duration, capacity: usize) -> Self {
         Self {
             time_constant,
@@ -34,7 +35,7 @@
         }
     }
 
-    /// What one request adds to a rate, in requests a second.
+    /// The amount by which one request increases a rate, in requests a second.
     pub fn rate_per_request(&self) -> f64 {
         1.0 / self.time_constant.as_secs_f64()
     }
@@ -44,7 +45,7 @@
         self.count(prefix, now) / self.time_constant.as_secs_f64()
     }
 
-    /// Counts one request for a prefix and returns its rate with it, in requests a second.
+    /// Counts one request for a prefix and returns the new rate, in requests a second.
     pub fn record_request(&mut self, prefix: SequenceHash, now: Timestamp) -> f64 {
         let decayed = self.count(prefix, now);
         self.rotate_when_full();
