--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -1,14 +1,14 @@
-//! Names the safeguards of drumshore that tests can take out, one at a time, to show that the
-//! checkers see the harm that each prevents.
+//! The safeguards of drumshore that tests can disable, one at a time, to show that the checkers
+//! detect the failure that each prevents.
 //!
-//! In a normal build [`enforced`] is the constant `true` and nothing can be taken out. With the
-//! feature `removable` a thread can remove one guard for itself.
+//! In a normal build [`enforced`] is the constant `true` and no safeguard can be disabled. With the
+//! feature `removable` a thread can disable one safeguard for itself.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
 macro_rules! guards {
     ($($(#[doc = $doc:literal])+ $name:ident = $word:literal;)*) => {
-        /// A safeguard.
+        /// A safeguard that tests can disable.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Guard {
             $($(#[doc = $doc])+ $name,)*
@@ -18,12 +18,12 @@
             /// All safeguards.
             pub const ALL: &'static [Guard] = &[$(Guard::$name,)*];
 
-            /// The word used on the command line.
+            /// The name on the command line.
             pub const fn as_str(self) -> &'static str {
                 match self { $(Guard::$name => $word,)* }
             }
 
-            /// What the safeguard does.
+            /// One sentence on what the safeguard does.
             pub const fn description(self) -> &'static str {
                 match self { $(Guard::$name => concat!($($doc),+),)* }
             }
@@ -36,39 +36,39 @@
     VoteSynced = "vote-synced";
     /// Log entries are on disk before they are acknowledged.
     EntriesSynced = "entries-synced";
-    /// A leader counts replicas only for entries of its own term (Raft §5.4.2).
+    /// A leader commits by counting replicas only for entries of its own term (Raft §5.4.2).
     CurrentTermCommit = "current-term-commit";
-    /// A vote goes only to a candidate whose log is not behind (Raft §5.4.1).
+    /// A replica votes only for a candidate whose log is not behind its own (Raft §5.4.1).
     UpToDateVote = "up-to-date-vote";
-    /// A replica that came back with another disk is not counted under its old identity.
+    /// A replica that restarts with another disk does not count under its old identity.
     DiskIdentity = "disk-identity";
-    /// A resource changes only from the version that its writer saw.
+    /// A resource is changed only if it still has the version that the writer read.
     CompareVersion = "compare-version";
-    /// A change that was resent gives the first result and is not made again.
+    /// A resent change returns the first result and is not applied again.
     ChangeIdentity = "change-identity";
-    /// A router never takes a configuration older than the one it holds.
+    /// A router never applies a configuration older than its current one.
     ConfigFloor = "config-floor";
-    /// A control machine confirms with a quorum that its view is current before it serves it.
+    /// A control machine confirms with a quorum that its state is current before it serves a read.
     QuorumRead = "quorum-read";
-    /// Work that may not be repeated starts only under a claim that a quorum holds.
+    /// A non-repeatable request starts only after a quorum has stored its claim.
     ClaimBeforeDispatch = "claim-before-dispatch";
-    /// Only work that did not run, or may be repeated, is tried again.
+    /// A request is retried only if it did not run or may be repeated.
     RetryOnlyIfSafe = "retry-only-if-safe";
-    /// An engine refuses a request meant for another start of it.
+    /// An engine refuses a request that is addressed to another incarnation of it.
     IncarnationFence = "incarnation-fence";
-    /// An engine refuses a request meant for other weights.
+    /// An engine refuses a request that is addressed to another weights version.
     WeightsFence = "weights-fence";
-    /// Tenant, model and version are part of every prefix.
+    /// Every prefix hash includes tenant, model and weights version.
     IsolatedPrefix = "isolated-prefix";
-    /// An engine refuses orders of an older leader.
+    /// An engine refuses orders from an older leader.
     OrderEpoch = "order-epoch";
-    /// An engine that leaves gets no new work.
+    /// A leaving engine receives no new requests.
     DrainExcluded = "drain-excluded";
-    /// A stopping process finishes what is in flight.
+    /// A stopping process finishes the requests in flight.
     DrainOnStop = "drain-on-stop";
-    /// A stream is passed on only in unbroken order.
+    /// A stream is forwarded only while its events arrive in order without gaps.
     StreamOrder = "stream-order";
-    /// A stream that moved to another engine continues only if its beginning is the same.
+    /// A stream that is resumed on another engine continues only if its beginning is identical.
     ContinuationMatches = "continuation-matches";
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// The word names no safeguard.
+/// The error for a name that belongs to no safeguard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownGuard(pub String);
 
@@ -97,7 +97,7 @@
 mod state {
     use super::Guard;
 
-    /// True: a normal build enforces every safeguard.
+    /// Always true: a normal build enforces every safeguard.
     #[inline(always)]
     pub const fn enforced(_guard: Guard) -> bool {
         true
@@ -114,12 +114,12 @@
         static REMOVED: Cell<Option<Guard>> = const { Cell::new(None) };
     }
 
-    /// False when this thread has taken the safeguard out.
+    /// False if this thread has disabled the safeguard.
     pub fn enforced(guard: Guard) -> bool {
         REMOVED.with(Cell::get) != Some(guard)
     }
 
-    /// Takes one safeguard out for this thread, or puts all back.
+    /// Disables one safeguard for this thread and enables all others; `None` enables all.
     pub fn set_removed(guard: Option<Guard>) {
         REMOVED.with(|removed| removed.set(guard));
     }
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,13 +1,13 @@
-//! Bytes from one connection, under a deadline.
+//! Reads from one connection with a deadline.
 
 use std::io::{self, Read};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Bytes read from the socket at once.
+/// Maximum bytes in one read from the socket.
 const READ_BYTES: usize = 8 * 1024;
 
-/// The receiving half of a connection: what was read ahead, and the socket.
+/// The receiving half of a connection: the socket and the bytes read ahead.
 #[derive(Debug)]
 pub(crate) struct Input {
     stream: TcpStream,
@@ -26,12 +26,12 @@
         }
     }
 
-    /// All that is read from now on has to arrive within `timeout`.
+    /// Sets the deadline for all following reads to `timeout` from now.
     pub(crate) fn restart_deadline(&mut self, timeout: Duration) {
         self.deadline = Some(Instant::now() + timeout);
     }
 
-    /// What was read ahead and not consumed.
+    /// The bytes that were read ahead and not consumed yet.
     pub(crate) fn buffered(&self) -> &[u8] {
         &self.buffer[self.consumed..]
     }
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Reads more behind what is buffered; 0 at the end of the stream.
+    /// Reads from the socket and appends to the buffer. Returns the number of bytes, 0 at the end
+    /// of the stream. Fails with `TimedOut` after the deadline.
     pub(crate) fn fill(&mut self) -> io::Result<usize> {
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
@@ -81,7 +82,7 @@
     }
 }
 
-/// Sockets report a timeout as `WouldBlock`.
+/// Sockets report a read timeout as `WouldBlock`; callers expect `TimedOut`.
 fn map_would_block_to_timed_out(error: io::Error) -> io::Error {
     if error.kind() == io::ErrorKind::WouldBlock {
         return io::ErrorKind::TimedOut.into();
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! One request: its head, and its body read under a bound.
+//! One request: parsing of its head, and reading of its body with a size limit.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -9,32 +9,32 @@
 
 use crate::connection::Input;
 
-/// Headers that one request may have.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The methods that drumshore's interfaces use.
+/// The request methods that drumshore's interfaces use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Reads.
+    /// Reads a resource.
     Get,
-    /// Starts work.
+    /// Starts an operation, such as a completion.
     Post,
     /// Writes a resource.
     Put,
     /// Removes a resource.
     Delete,
-    /// Any other.
+    /// Any other method.
     Other,
 }
 
-/// One header.
+/// One header of a request or an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Its name as received.
+    /// The name, in the case in which it was received.
     pub name: String,
-    /// Its value; bytes that are not UTF-8 are replaced.
+    /// The value without surrounding white space; invalid UTF-8 is replaced.
     pub value: String,
 }
 
@@ -55,18 +55,18 @@
     pub(crate) keep_alive: bool,
 }
 
-/// Why there is no request.
+/// Why no request could be read.
 #[derive(Debug)]
 pub(crate) enum HeadError {
-    /// The peer closed or broke the connection between requests.
+    /// The peer closed the connection, or it failed or was idle too long before a request.
     Closed,
-    /// The peer is to be told this.
+    /// The request is refused with this verdict.
     Refused(Verdict),
 }
 
 impl Head {
-    /// Reads a head of at most `max_bytes`. The first byte may take `idle_timeout`, the whole head
-    /// `read_timeout` from then on.
+    /// Reads a head of at most `max_bytes`. The first byte has to arrive within `idle_timeout`, and
+    /// the whole head within `read_timeout` after it.
     pub(crate) fn read(
         input: &mut Input,
         max_bytes: usize,
@@ -165,7 +165,8 @@
     Ok(head)
 }
 
-/// Two statements of the length could be read differently by two parties, so they are refused.
+/// Determines how the length of the body is stated. A request that states it more than once is
+/// refused, because another server on the path could read the end of the body differently.
 fn body_length(head: &Head) -> Result<BodyLength, &'static str> {
     let count = |name: &str| {
         let named = |header: &&Header| header.name.eq_ignore_ascii_case(name);
@@ -184,7 +185,7 @@
     }
 }
 
-/// A request on its connection.
+/// A request whose head was read; the body can be read from the connection.
 #[derive(Debug)]
 pub struct Request<'c> {
     head: Head,
@@ -211,18 +212,18 @@
         }
     }
 
-    /// Its method.
+    /// The request method.
     pub fn method(&self) -> Method {
         self.head.method
     }
 
-    /// Its path, without the query.
+    /// The path of the request target, without the query.
     pub fn path(&self) -> &str {
         let target = self.head.target.as_str();
         target.split_once('?').map_or(target, |(path, _)| path)
     }
 
-    /// The value of a query parameter, not decoded.
+    /// The value of the first query parameter of this name, not percent-decoded.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.head.target.split_once('?')?;
         query
@@ -232,12 +233,12 @@
             .map(|(_, value)| value)
     }
 
-    /// The first header of a name.
+    /// The value of the first header of this name, in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.header(name)
     }
 
-    /// The bearer key that the peer presents.
+    /// The key of the `authorization` header, if its scheme is `Bearer`.
     pub fn bearer_key(&self) -> Option<SecretKey> {
         let (scheme, key) = self.header("authorization")?.split_once(' ')?;
         scheme
@@ -245,7 +246,8 @@
             .then(|| SecretKey::new(key.trim()))
     }
 
-    /// Reads the whole body, of at most `max_bytes`.
+    /// Reads the whole body of at most `max_bytes`. Fails with a verdict if the body is larger,
+    /// malformed or too slow.
     pub fn read_body(&mut self, max_bytes: u64) -> Result<Vec<u8>, Verdict> {
         if let BodyLength::Known(length) = self.head.body {
             check_body(length, max_bytes)?;
--- a/crates/http/src/responder.rs
+++ b/crates/http/src/responder.rs
@@ -1,4 +1,4 @@
-//! Answers: whole, streamed, or a verdict.
+//! Sends answers: complete, streamed, or the verdict of a refusal.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -9,16 +9,16 @@
 
 use crate::{Header, EXECUTION_HEADER, RETRY_AFTER_MS_HEADER};
 
-/// Proof that an answer was sent, as far as the socket tells.
+/// Whether an answer was sent, as far as the socket reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The socket took all of it.
+    /// The socket accepted all bytes.
     Complete,
-    /// The caller is gone.
+    /// The write failed because the caller disconnected or did not read in time.
     CallerGone,
 }
 
-/// Sends the one answer of a request.
+/// Sends the answer to one request.
 #[derive(Debug)]
 pub struct Responder<'c> {
     stream: &'c TcpStream,
@@ -26,7 +26,7 @@
     headers: Vec<Header>,
 }
 
-/// The body that goes with a verdict.
+/// The JSON body of a refusal.
 #[derive(Serialize)]
 struct ErrorBody<'v> {
     error: ErrorDetail<'v>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Adds a header to the answer.
+    /// Adds a header to the answer. Name and value are sent as they are, without validation.
     pub fn add_header(&mut self, name: &str, value: impl ToString) {
         self.headers.push(Header {
             name: name.to_owned(),
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     pub fn send(self, status: u16, content_type: &str, body: &[u8]) -> SendOutcome {
         let mut bytes = self.head(status, content_type);
         bytes.extend_from_slice(format!("content-length: {}\r\n\r\n", body.len()).as_bytes());
@@ -64,7 +64,7 @@
         outcome((&mut &*self.stream).write_all(&bytes))
     }
 
-    /// Sends a document as JSON.
+    /// Sends a JSON answer. Sends status 500 if `document` cannot be serialized.
     pub fn send_json(self, status: u16, document: &impl Serialize) -> SendOutcome {
         match serde_json::to_vec(document) {
             Ok(body) => self.send(status, "application/json", &body),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sends a verdict: status, headers and JSON body say the same.
+    /// Refuses the request. Status, headers and JSON body all follow from the verdict.
     pub fn refuse(mut self, verdict: &Verdict) -> SendOutcome {
         self.add_header(EXECUTION_HEADER, verdict.execution.as_str());
         if let Some(delay) = verdict.retry_after {
@@ -83,7 +83,8 @@
         self.send_json(verdict.code.status(), &error_body(verdict))
     }
 
-    /// Starts a streamed answer. What is written leaves with the body's `flush`.
+    /// Sends the head of a streamed answer. Call `flush` on the returned body to send the bytes
+    /// written to it as a chunk.
     pub fn start_stream(
         self,
         status: u16,
@@ -109,10 +110,10 @@
     }
 }
 
-/// The body of a streamed answer; dropping it ends the stream in good order.
+/// The body of a streamed answer. Dropping it sends the final chunk.
 pub type StreamBody<'c> = Encoder<&'c TcpStream>;
 
-/// A verdict as the JSON document that callers see.
+/// The JSON document that callers receive for a verdict.
 pub(crate) fn error_body(verdict: &Verdict) -> impl Serialize + '_ {
     ErrorBody {
         error: ErrorDetail {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, one bounded thread each.
+//! Accepts connections and serves each on its own thread, up to a limit.
 
 use std::io::{self, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,33 +13,34 @@
 use crate::request::{Head, HeadError, Request};
 use crate::responder::Responder;
 
-/// Connections beyond the bound that are told so at the same time; more are closed unheard.
+/// Connections above the limit that receive a refusal at the same time. Further ones are closed
+/// without an answer.
 const MAX_CONCURRENT_REFUSALS: usize = 64;
 
-/// How long a closing connection waits for bytes that are still on their way.
+/// How long a closing connection waits for the next bytes of the peer.
 const LINGER_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes that a closing connection reads and drops at most: a caller whose body is too large
-/// reads its refusal only when it has sent the body.
+/// Maximum bytes that a closing connection reads and discards. A caller whose body is too large
+/// reads the refusal only after it has sent the whole body.
 const MAX_LINGER_BYTES: usize = 64 << 20;
 
-/// How long a closing connection reads in all.
+/// Maximum total time that a closing connection reads.
 const MAX_LINGER: Duration = Duration::from_secs(2);
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerParams {
-    /// Connections served at once; more are refused.
+    /// Maximum number of connections served at the same time; more are refused.
     pub max_connections: usize,
-    /// The largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// How long a head, and then a body, may take to arrive.
+    /// How long the head may take to arrive, and then the body.
     pub read_timeout: Duration,
-    /// How long a caller may take to accept bytes.
+    /// How long a write to the caller may block.
     pub write_timeout: Duration,
-    /// How long a connection may rest between requests.
+    /// How long a connection may be idle between requests.
     pub idle_timeout: Duration,
-    /// The stack of a connection's thread, in bytes.
+    /// Stack size of a connection's thread, in bytes.
     pub stack_bytes: usize,
 }
 
@@ -56,9 +57,9 @@
     }
 }
 
-/// Answers requests, on the connections' threads.
+/// Answers requests. Called on the thread of the connection.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Reads one request and sends its answer.
     fn handle(&self, request: &mut Request<'_>, responder: Responder<'_>);
 }
 
@@ -68,12 +69,12 @@
     }
 }
 
-/// What a server holds at the moment.
+/// The current number of connections and requests of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// Connections open.
+    /// Open connections, including those that are refused.
     pub connections: usize,
-    /// Requests being answered.
+    /// Requests in the handler.
     pub active_requests: usize,
 }
 
@@ -92,7 +93,7 @@
 }
 
 impl Server {
-    /// Listens and starts to serve.
+    /// Binds to an address and starts to serve in the background.
     pub fn start(
         listen: SocketAddr,
         params: ServerParams,
@@ -114,12 +115,12 @@
         Ok(Self { shared, address })
     }
 
-    /// Where it listens.
+    /// The local address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it holds.
+    /// The current number of connections and requests.
     pub fn status(&self) -> ServerStatus {
         ServerStatus {
             connections: self.shared.connections.load(Ordering::SeqCst),
@@ -127,7 +128,7 @@
         }
     }
 
-    /// From now on every connection is closed after its answer.
+    /// Closes every connection after its next answer, for a graceful shutdown.
     pub fn close_after_answers(&self) {
         self.shared.closing.store(true, Ordering::SeqCst);
     }
@@ -139,7 +140,7 @@
         match listener.accept() {
             Ok((stream, _)) => admit(stream, shared),
             Err(error) => {
-                tracing::warn!("http: accept failed: {error}");
+                tracing::warn!("http: failed to accept a connection: {error}");
                 thread::sleep(ACCEPT_RETRY_DELAY);
             }
         }
@@ -165,7 +166,7 @@
             close_gracefully(&stream);
         });
     if let Err(error) = spawned {
-        tracing::warn!("http: no thread for a connection: {error}");
+        tracing::warn!("http: failed to start a thread for a connection: {error}");
     }
 }
 
@@ -175,8 +176,8 @@
     Responder::new(stream, false).refuse(&verdict.retry_after(Duration::from_secs(1)));
 }
 
-/// Closes so that the peer can read the last answer: a socket that is closed with bytes unread
-/// is reset, and a reset may overtake the answer.
+/// Closes the sending half and discards input, so that the peer can read the last answer. Closing a
+/// socket with unread bytes resets the connection, and the peer may lose the answer to the reset.
 fn close_gracefully(mut stream: &TcpStream) {
     let deadline = Instant::now() + MAX_LINGER;
     let mut left = MAX_LINGER_BYTES;
@@ -224,7 +225,7 @@
     while serve_one(stream, &mut input, shared) {}
 }
 
-/// True when the connection can carry another request.
+/// Serves one request. Returns true if the connection can carry another one.
 fn serve_one(stream: &TcpStream, input: &mut Input, shared: &Shared) -> bool {
     let params = &shared.params;
     let head = Head::read(
--- a/crates/http/src/tests.rs
+++ b/crates/http/src/tests.rs
@@ -13,10 +13,10 @@
         Ok(body) if request.path() == "/stream" => {
             let mut stream = responder
                 .start_stream(200, "text/plain")
-                .expect("the peer is there");
+                .expect("the peer is connected");
             for byte in body {
-                stream.write_all(&[byte]).expect("the peer is there");
-                stream.flush().expect("the peer is there");
+                stream.write_all(&[byte]).expect("the peer is connected");
+                stream.flush().expect("the peer is connected");
             }
         }
         Ok(body) => {
@@ -42,13 +42,13 @@
 }
 
 fn connect(server: &Server) -> TcpStream {
-    TcpStream::connect(server.address()).expect("it listens")
+    TcpStream::connect(server.address()).expect("the server listens")
 }
 
-/// Sends bytes, ends the sending half, and returns all that comes back.
+/// Sends bytes, closes the sending half, and returns the whole answer.
 fn exchange(server: &Server, bytes: &[u8]) -> String {
     let mut stream = connect(server);
-    // The server may refuse before it has read everything.
+    // The server may refuse the request before it has read all bytes.
     let _ = stream.write_all(bytes);
     let _ = stream.shutdown(Shutdown::Write);
     read_all(&mut stream)
@@ -115,7 +115,7 @@
 #[case::large_chunks(large_chunks(), "413", "too_large")]
 #[case::header_flood(header_flood(), "431", "headers_too_large")]
 #[case::many_headers(many_headers(), "431", "headers_too_large")]
-fn bad_input_gets_a_clear_refusal(
+fn a_malformed_or_oversized_request_is_refused(
     #[case] bytes: Vec<u8>,
     #[case] status: &str,
     #[case] code: &str,
@@ -132,7 +132,7 @@
         "{answer}"
     );
     let next = exchange(&server, b"POST / HTTP/1.1\r\ncontent-length: 1\r\n\r\na");
-    assert!(next.ends_with('a'), "the server goes on: {next}");
+    assert!(next.ends_with('a'), "the server still answers: {next}");
 }
 
 fn large_chunks() -> Vec<u8> {
@@ -162,17 +162,19 @@
 #[rstest]
 #[case::head(b"POST / HTTP/1.1\r\ncontent-".to_vec())]
 #[case::body(b"POST / HTTP/1.1\r\ncontent-length: 9\r\n\r\na".to_vec())]
-fn a_slow_sender_is_let_go(#[case] bytes: Vec<u8>) {
+fn a_slow_sender_is_refused_after_the_read_timeout(#[case] bytes: Vec<u8>) {
     let server = start(params());
     let mut stream = connect(&server);
-    stream.write_all(&bytes).expect("it is small");
+    stream
+        .write_all(&bytes)
+        .expect("the bytes fit the socket buffer");
     let answer = read_all(&mut stream);
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
     assert!(answer.contains("slow_sender"), "{answer}");
 }
 
 #[test]
-fn connections_beyond_the_bound_are_refused_and_the_others_served() {
+fn connections_above_the_limit_are_refused_and_the_others_served() {
     let server = start(ServerParams {
         max_connections: 2,
         read_timeout: Duration::from_secs(60),
@@ -186,7 +188,7 @@
     for stream in &mut served {
         stream
             .write_all(b"GET / HTTP/1.1\r\nconnection: close\r\n\r\n")
-            .expect("it is served");
+            .expect("the connection is served");
         assert!(read_all(stream).starts_with("HTTP/1.1 200"));
     }
 }
--- a/crates/routing/examples/place.rs
+++ b/crates/routing/examples/place.rs
@@ -1,4 +1,4 @@
-//! Places requests among three engines, as a project that embeds the crate would.
+//! Places requests on three engines, as a project that embeds the crate does.
 
 use drumshore_core::{
     EngineName, Incarnation, ModelName, PlacementGoal, PoolName, TenantName, Timestamp,
@@ -57,7 +57,7 @@
                 placer.on_first_token(&placement, AnswerReport::default(), now);
                 placer.on_ended(&placement);
             }
-            Ok(Decision::Ask(_)) => println!("request {request}: ask the index"),
+            Ok(Decision::Ask(_)) => println!("request {request}: query the shared index"),
             Err(reason) => println!("request {request}: {reason:?}"),
         }
     }
--- a/crates/routing/src/indexer.rs
+++ b/crates/routing/src/indexer.rs
@@ -1,8 +1,10 @@
-//! Which engines hold which blocks, for many routers: one index beside each control machine, fed
-//! by the engines' cache reports and by what routers say they placed.
+//! The shared index of the blocks that engines cache. Each control machine runs one for all
+//! routers.
 //!
-//! Reports are late; a booking tells at once what an engine will soon hold and compute. Both
-//! together let routers find what other routers have placed, without each hearing everything.
+//! It is built from the engines' cache reports and from bookings. A booking is a router's message
+//! that it has placed a request on an engine. Reports arrive late; a booking states immediately
+//! what the engine will soon cache and compute. Together they let a router find the blocks that
+//! other routers' requests leave behind, without every router receiving all reports and bookings.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,20 +16,21 @@
 use crate::protocols::{CacheChange, CacheReport};
 use crate::{LoadReport, SequenceHash};
 
-/// Requests that were not asked for need a booking only when they compute more tokens than this.
+/// Requests placed without a lookup are booked only if the engine computes at least this many
+/// prompt tokens.
 pub const MIN_BOOKED_TOKENS: u32 = 1_024;
 
-/// Bounds and periods of an index.
+/// Size limits and time intervals of an [`Indexer`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexerParams {
-    /// How long a booking counts when no report confirms it. Longer than a report is late.
+    /// How long a booking counts if no report confirms it. Must exceed the delay of reports.
     pub booking_lifetime: Duration,
-    /// Questions whose prefixes are remembered until the booking that follows them.
+    /// Number of recent lookups whose prefixes are kept for the bookings that follow.
     pub remembered_lookups: usize,
-    /// Complete reports of one engine are asked for at most this often.
+    /// Minimum interval between requests for complete reports of one engine.
     pub resync_interval: Duration,
-    /// Expected time to compute one prompt token, in microseconds. By it a queue that was reported
-    /// some time ago is expected to have shrunk.
+    /// Expected time to compute one prompt token, in microseconds. A reported queue is assumed to
+    /// drain at this rate until the next report.
     pub prefill_us_per_token: f64,
 }
 
@@ -42,76 +45,78 @@
     }
 }
 
-/// A router's question, to be named by the booking that follows it.
+/// Identifies a lookup, so that the booking that follows can refer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LookupId {
-    /// Who asked.
+    /// The connection or router that sent the lookup.
     pub requester: u64,
-    /// The asker's own number.
+    /// A number chosen by the requester, unique among its recent lookups.
     pub ticket: u32,
 }
 
-/// One prefix of a prompt.
+/// One prefix of a prompt in a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LookupPrefix {
-    /// Its hash.
+    /// The hash of the whole prefix.
     pub hash: SequenceHash,
-    /// Its blocks.
+    /// Length of the prefix in blocks.
     pub blocks: u32,
 }
 
-/// What a router wants to know.
+/// A router's query for the engines that suit a prompt best.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexLookup {
-    /// Its name.
+    /// Identifies this lookup.
     pub id: LookupId,
-    /// Prefixes of the prompt, shortest first.
+    /// Some or all prefixes of the prompt, shortest first.
     pub prefixes: Vec<LookupPrefix>,
-    /// Tokens in a block.
+    /// Tokens in one block.
     pub block_tokens: u32,
-    /// Tokens of the prompt.
+    /// Tokens in the whole prompt.
     pub prompt_tokens: u32,
-    /// What a token to compute costs in comparison with one to wait for.
+    /// Cost of a token to compute, relative to the cost of a token waiting in the queue.
     pub recompute_weight: f64,
-    /// Engines to name, at most.
+    /// Maximum number of engines in the answer.
     pub limit: usize,
 }
 
-/// What one engine holds of a prompt, and how busy it is.
+/// The blocks of a prompt that one engine caches, and the engine's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// The engine.
+    /// The engine that caches the blocks.
     pub engine: EngineId,
-    /// Blocks of the longest prefix that it holds.
+    /// Length of the longest cached prefix, in blocks.
     pub blocks: u32,
-    /// Prompt tokens that wait there, bookings included.
+    /// Estimated prompt tokens in the queue, bookings included.
     pub waiting_tokens: u32,
-    /// Sequences that run there.
+    /// Sequences that were running at the last load report.
     pub running: u32,
 }
 
-/// A router placed a request.
+/// A router's message that it placed a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Booking {
-    /// The engine.
+    /// The engine that receives the request.
     pub engine: EngineId,
-    /// Prompt tokens that it will have to compute.
+    /// Prompt tokens that the engine has to compute.
     pub missing_tokens: u32,
-    /// Prefixes that it will hold.
+    /// Prefixes that the engine will cache.
     pub prefixes: Vec<SequenceHash>,
 }
 
-/// What is to be asked of an engine next.
+/// The report to request from an engine next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportWanted {
-    /// All that it holds.
+    /// All blocks that the engine caches.
     Complete,
-    /// The changes of this start from a number on; all that it holds when it is another start.
+    /// The changes of this incarnation from this number on. An engine with another incarnation, or
+    /// without these changes, sends a complete report.
     ChangesFrom(Incarnation, u64),
 }
 
-/// One start of one engine. Numbers are not used again, so that what is left of an earlier start
-/// is never taken for a later one's.
+/// A period of one engine, begun by a restart or a complete report; each invalidates the earlier
+/// entries of the engine. Numbers are not reused, so that remaining entries of an earlier epoch are
+/// never attributed to a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct EngineEpoch(u32);
 
@@ -134,7 +139,7 @@
     booked: Vec<BookedTokens>,
 }
 
-/// The index.
+/// The shared index on one control machine.
 #[derive(Clone, Debug)]
 pub struct Indexer {
     params: IndexerParams,
@@ -149,7 +154,7 @@
 }
 
 impl Indexer {
-    /// An empty index.
+    /// Creates an empty index.
     pub fn new(params: IndexerParams) -> Self {
         Self {
             expected: ExpectedBlocks::new(params.booking_lifetime),
@@ -164,12 +169,14 @@
         }
     }
 
-    /// Blocks known, each as often as engines hold it.
+    /// Number of entries, one for each engine of each block. Includes entries of earlier epochs
+    /// that were not removed yet.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    /// What is to be asked of an engine next.
+    /// Returns which report to request from an engine next. After lost changes this is a complete
+    /// report, but at most one in each resync interval.
     pub fn wanted(&self, engine: EngineId, now: Timestamp) -> ReportWanted {
         let Some(known) = self.engines.get(&engine) else {
             return ReportWanted::Complete;
@@ -181,7 +188,8 @@
         ReportWanted::ChangesFrom(known.incarnation, known.next_change)
     }
 
-    /// Takes in an engine's report.
+    /// Applies a cache report. Changes that were already applied are skipped; a gap in the numbers
+    /// marks changes as lost.
     pub fn on_report(&mut self, engine: EngineId, report: &CacheReport, now: Timestamp) {
         let known = self.engines.get(&engine);
         let same_incarnation = known.is_some_and(|known| known.incarnation == report.incarnation);
@@ -209,7 +217,7 @@
         self.sweep();
     }
 
-    /// Takes in how busy an engine was.
+    /// Updates the load of an engine and removes the bookings that the report already includes.
     pub fn on_load(&mut self, engine: EngineId, load: LoadReport) {
         if let Some(known) = self.engines.get_mut(&engine) {
             known.load = load;
@@ -217,20 +225,20 @@
         }
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that no longer exists.
     pub fn forget(&mut self, engine: EngineId) {
         if let Some(known) = self.engines.remove(&engine) {
             self.live_epochs.remove(&known.epoch);
         }
     }
 
-    /// The engines known.
+    /// The engines in the index.
     pub fn engines(&self) -> impl Iterator<Item = EngineId> + '_ {
         self.engines.keys().copied()
     }
 
-    /// Answers a question: of the candidates, those at which the prompt's first token is expected
-    /// soonest, best first.
+    /// Answers a lookup with the candidates that have the lowest cost for the prompt, best first,
+    /// and keeps its prefixes for the booking that follows.
     pub fn ask(
         &mut self,
         lookup: &IndexLookup,
@@ -252,14 +260,15 @@
         holdings.into_iter().map(|(_, holding)| holding).collect()
     }
 
-    /// The booking that follows a question, with the question's prefixes.
+    /// Creates the booking that follows a lookup, with the prefixes of that lookup. They are empty
+    /// if the lookup is not kept any more.
     pub fn booking_for_lookup(
         &mut self,
         lookup: LookupId,
         engine: EngineId,
         missing_tokens: u32,
     ) -> Booking {
-        // The latest questions are booked first, as a rule.
+        // A booking usually follows one of the latest lookups.
         let asked = self
             .recent_lookups
             .iter()
@@ -272,7 +281,7 @@
         }
     }
 
-    /// A router placed a request.
+    /// Records a booking: the engine will compute the missing tokens and cache the prefixes.
     pub fn book(&mut self, booking: &Booking, now: Timestamp) {
         let Some(known) = self.engines.get_mut(&booking.engine) else {
             return;
@@ -299,7 +308,7 @@
     ) -> Option<Holding> {
         let known = self.engines.get(&engine)?;
         let blocks = deepest.get(&engine).copied().unwrap_or(0);
-        // What was removed may be among the changes that were lost.
+        // The lost changes may include removals, so only half of the blocks are trusted.
         let trusted = if known.changes_lost {
             blocks / 2
         } else {
@@ -313,7 +322,8 @@
         })
     }
 
-    /// The blocks of the longest prefix that each engine holds, or soon will.
+    /// For each engine, the length in blocks of the longest prefix that it caches or will cache
+    /// soon.
     fn deepest(&self, prefixes: &[LookupPrefix], now: Timestamp) -> FxHashMap<EngineId, u32> {
         let mut deepest = FxHashMap::default();
         for prefix in prefixes.iter().rev() {
@@ -371,7 +381,8 @@
         }
     }
 
-    /// Drops what earlier starts left, whenever the entries have doubled since the last time.
+    /// Removes the entries of earlier epochs whenever the entries have doubled since the last
+    /// sweep.
     fn sweep(&mut self) {
         const MIN_ENTRIES: usize = 10_000;
         if self.entries < self.entries_after_sweep.max(MIN_ENTRIES) * 2 {
@@ -388,8 +399,8 @@
 }
 
 impl IndexedEngine {
-    /// What is expected to wait now: the reported queue and the bookings since, in the order of
-    /// time, less what the engine has computed in between.
+    /// Estimated prompt tokens in the queue now: the reported queue and the later bookings in
+    /// chronological order, minus the tokens that the engine has computed in the meantime.
     fn waiting_tokens(&self, now: Timestamp, params: &IndexerParams) -> u32 {
         let drained = |waiting: f64, from: Timestamp, to: Timestamp| {
             let elapsed_us = to.since(from).as_micros() as f64;
@@ -412,7 +423,8 @@
     f64::from(holding.waiting_tokens) + f64::from(missing) * lookup.recompute_weight
 }
 
-/// Blocks that engines will hold soon, in two generations that each last a lifetime.
+/// Blocks that engines will cache soon according to bookings. Two generations expire them: each
+/// collects bookings for one `lifetime` and is kept for one more.
 #[derive(Clone, Debug)]
 struct ExpectedBlocks {
     lifetime: Duration,
--- a/crates/routing/src/params.rs
+++ b/crates/routing/src/params.rs
@@ -1,85 +1,92 @@
-//! The scheduler's policy and weights.
+//! The scheduler's policy and parameters.
 
 use drumshore_core::PlacementGoal;
 use serde::{Deserialize, Serialize};
 
-/// How engines are chosen. All but [`Policy::Product`] are baselines for measurements.
+/// The strategy for choosing engines. Routers use [`Policy::Product`]; the others are baselines for
+/// benchmarks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// One after the other.
+    /// Each engine in turn.
     RoundRobin,
-    /// The least that waits and runs.
+    /// The engine with the least queued and running work.
     LeastLoaded,
-    /// Cost with this router's own beliefs only.
+    /// The lowest cost, with cached tokens estimated from this router's own index only.
     #[serde(rename = "own-belief")]
     LocalIndex,
-    /// Cost with rendezvous homes only.
+    /// The lowest cost, with cached tokens estimated from rendezvous homes only.
     Rendezvous,
-    /// Cost with beliefs and homes.
+    /// The lowest cost, with the router's own index, rendezvous homes and lookups in the shared
+    /// index.
     #[default]
     Product,
-    /// Cost with what [`crate::Engine::set_exact_state`] has shown: the oracle of measurements.
+    /// The lowest cost, with the true state set by [`crate::Engine::set_exact_state`]: the upper
+    /// bound in benchmarks.
     Exact,
 }
 
-/// Weights of the cost.
+/// Parameters of the scheduler. The cost of an engine is the expected time to the first token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SchedulerParams {
-    /// How engines are chosen.
+    /// The strategy for choosing engines.
     pub policy: Policy,
     /// Expected time to compute one prompt token, in microseconds.
     pub prefill_us_per_token: f64,
     /// Expected delay that each running sequence adds, in microseconds.
     pub running_us: f64,
-    /// Added for an engine in another zone, in microseconds.
+    /// Cost added for an engine in another zone, in microseconds.
     pub other_zone_us: f64,
-    /// Added for an engine in another region, in microseconds. Its load is not reported here, so
-    /// it is a last resort.
+    /// Cost added for an engine in another region, in microseconds. Its load is not reported here,
+    /// so it is used as a last resort.
     pub other_region_us: f64,
-    /// What a token computed costs in comparison with a token waited for: above 1 because
-    /// computing also delays others and evicts what they need.
+    /// Cost of a token to compute, relative to the cost of a token waiting in the queue. Above 1,
+    /// because computing also delays other requests and evicts blocks that they need.
     pub recompute_weight: f64,
-    /// The same where reuse is the goal.
+    /// The same ratio for models whose placement goal is reuse.
     pub reuse_recompute_weight: f64,
-    /// The same for both goals once the index has answered: queues are then known as well as
-    /// caches, and may count as much.
+    /// The same ratio for both goals once the shared index has answered. Queues are then known as
+    /// well as caches, so the ratio can be closer to 1.
     pub informed_recompute_weight: f64,
-    /// The share of an engine's fair part of all requests that one prefix family may have before
-    /// it is split, or shared by several engines when it cannot be split.
+    /// Maximum request rate of one prefix family, as a multiple of an engine's fair share of all
+    /// requests. A family above it is split by longer prefixes, or shared by several engines if it
+    /// cannot be split.
     pub family_share: f64,
-    /// Engines that share one hot prefix, at most.
+    /// Maximum number of homes that share one frequently requested prefix.
     pub max_homes: usize,
-    /// Engines over which a family's longer prefixes are spread. More engines carry more evenly,
-    /// and hold more copies of what the family shares.
+    /// Number of engines, for each home, over which the longer prefixes of a family are spread.
+    /// More engines balance the load better but cache more copies of the shared prefix.
     pub family_spread: usize,
-    /// Families with fewer requests a second are neither split nor shared.
+    /// Families with at most this many requests a second are neither split nor shared.
     pub min_family_rate: f64,
-    /// Routers that see the same traffic; this router's rates are multiplied by it.
+    /// Number of routers that receive the same kind of traffic. Multiplying this router's rates by
+    /// it estimates the rates over all routers.
     pub routers: f64,
-    /// Bytes a second that questions to the index may take, their answers and bookings included.
-    /// It keeps them within a node's share of control traffic; 0 for no questions.
+    /// Bytes a second for lookups in the shared index, their answers and bookings included. It
+    /// keeps them within a node's share of control traffic; 0 disables lookups.
     pub index_bytes_per_second: f64,
-    /// Prompt tokens that have to be at stake for a question when its budget is all but spent. The
-    /// fuller the budget, the less has to be at stake, down to nothing.
+    /// Prompt tokens that a lookup has to be able to save when its budget is nearly used up. The
+    /// requirement decreases linearly to 0 for a full budget.
     pub index_stake_tokens: f64,
-    /// Engines that an answer names.
+    /// Maximum number of engines in an answer of the index.
     pub index_engines: usize,
-    /// Engines drawn at random, so that an idle one is found.
+    /// Number of engines in the random sample that is considered in addition, so that idle engines
+    /// are found.
     pub sampled: usize,
-    /// Pools of up to this size are looked at as a whole.
+    /// In pools of up to this size all engines are considered.
     pub scan_all_up_to: usize,
-    /// Prompt tokens that may wait at an engine before it counts as full.
+    /// An engine with more prompt tokens in its queue counts as full.
     pub max_waiting_tokens: u32,
-    /// Requests of this router that may be open at one engine before it counts as full.
+    /// An engine with this many open requests of this router counts as full.
     pub max_open_per_engine: u32,
-    /// Candidates kept for the decision record.
+    /// Number of candidates in a decision record.
     pub recorded_candidates: usize,
 }
 
 impl SchedulerParams {
-    /// What a token computed costs under a goal in comparison with a token waited for.
+    /// Cost of a token to compute, relative to the cost of a token waiting in the queue. `informed`
+    /// means that the shared index has answered.
     pub fn recompute_weight_of(&self, goal: PlacementGoal, informed: bool) -> f64 {
         match goal {
             _ if informed => self.informed_recompute_weight,
--- a/crates/routing/src/placer.rs
+++ b/crates/routing/src/placer.rs
@@ -1,5 +1,5 @@
-//! Puts requests on engines and learns from what came of it: scheduler, beliefs and engines
-//! together, as a router or an embedding project uses them.
+//! Places requests on engines and updates its estimates from the outcomes. Combines scheduler,
+//! prefix index and engines for a router or an embedding project.
 
 use std::time::Duration;
 
@@ -13,53 +13,56 @@
     PrefixIndexParams, RoutingRequest, Scheduler, MAX_LOOKUP_PREFIXES,
 };
 
-/// Times to the first token below this say little about an engine's speed.
+/// Requests with a shorter expected time to the first token say little about an engine's speed and
+/// are not used to measure it.
 const MIN_SPEED_SAMPLE_US: f64 = 10_000.0;
 
-/// What an engine's answer says when it begins.
+/// What an engine reports at the beginning of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerReport {
-    /// Prompt tokens that it found in its cache.
+    /// Prompt tokens of the request that were cached.
     pub cached_tokens: Option<u32>,
-    /// Prompt tokens that wait there at this moment, and sequences that run.
+    /// The current load of the engine.
     pub load: Option<AnswerLoad>,
 }
 
-/// How busy an engine says it is, in an answer.
+/// The load of an engine, as part of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerLoad {
-    /// Prompt tokens that wait.
+    /// Prompt tokens in the queue.
     pub waiting_tokens: u32,
-    /// Sequences that run.
+    /// Sequences that are running.
     pub running: u32,
 }
 
-/// What becomes of a request.
+/// The result of [`Placer::place`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It goes to an engine, on which it is booked.
+    /// The request goes to an engine, whose estimated load and cache now include it.
     Placed(Placement, Choice),
-    /// Ask the index, and place it with the answer; until then this engine looks best.
+    /// Send a lookup to the shared index and call [`Placer::place_informed`] with its answer.
+    /// Without an answer this engine is the best choice.
     Ask(EngineId),
 }
 
-/// What the index answers of one engine.
+/// What the shared index answers about one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupAnswer {
-    /// The engine.
+    /// The engine that the answer describes.
     pub engine: EngineId,
-    /// Prompt tokens that it holds.
+    /// Prompt tokens that the engine caches.
     pub cached_tokens: u32,
-    /// How busy it is.
+    /// The estimated load of the engine.
     pub load: AnswerLoad,
 }
 
-/// A request on an engine, to be handed back when something is known of it.
+/// A request that was placed on an engine. The caller passes it to the `on_` methods of [`Placer`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The engine.
+    /// The engine that the request goes to.
     pub engine: EngineId,
-    /// The start of the engine that was believed; a fence.
+    /// The last known incarnation. It is sent along as a fence: the engine refuses the request if
+    /// it has restarted.
     pub incarnation: Incarnation,
     request: u64,
     prompt_tokens: u32,
@@ -77,7 +80,7 @@
     }
 }
 
-/// Engines, beliefs about their caches, and the scheduler that chooses among them.
+/// The known engines, the estimate of their caches, and the scheduler.
 #[derive(Clone, Debug)]
 pub struct Placer {
     engines: EngineSet,
@@ -87,7 +90,7 @@
 }
 
 impl Placer {
-    /// Knows no engines and believes nothing.
+    /// Creates a placer without engines and with an empty index.
     pub fn new(scheduler: Scheduler, belief: PrefixIndexParams) -> Self {
         Self {
             engines: EngineSet::default(),
@@ -100,33 +103,33 @@
         }
     }
 
-    /// The engines.
+    /// The known engines.
     pub fn engines(&self) -> &EngineSet {
         &self.engines
     }
 
-    /// The engines, to take in what is reported of them.
+    /// The known engines, to apply reports about them.
     pub fn engines_mut(&mut self) -> &mut EngineSet {
         &mut self.engines
     }
 
-    /// The scheduler.
+    /// The scheduler with its parameters.
     pub fn scheduler(&self) -> &Scheduler {
         &self.scheduler
     }
 
-    /// The beliefs, to take in what engines publish of their caches.
+    /// This router's prefix index, to apply the cache events of engines.
     pub fn index_mut(&mut self) -> &mut PrefixIndex {
         &mut self.index
     }
 
-    /// Sets how many routers see the same traffic.
+    /// Sets the number of routers that receive the same kind of traffic.
     pub fn set_routers(&mut self, routers: f64) {
         self.scheduler.set_routers(routers);
     }
 
-    /// Chooses an engine and books the request on it, or says that the index is to be asked first.
-    /// `request` is the caller's own number.
+    /// Chooses an engine and records the request on it, or returns that the shared index is to be
+    /// queried first. `request` is a number chosen by the caller.
     pub fn place(
         &mut self,
         request: u64,
@@ -146,8 +149,8 @@
         Ok(Decision::Placed(placement, choice))
     }
 
-    /// Places a request with what the index answered; an empty answer leaves it to what is
-    /// believed here.
+    /// Places a request with the answer of the shared index. With an empty answer, the choice uses
+    /// this router's own estimates.
     pub fn place_informed(
         &mut self,
         request: u64,
@@ -217,9 +220,9 @@
         Ok((placement, choice))
     }
 
-    /// The first token arrived, with what the engine says beside it: that is fresher than any
-    /// report by way of the control machines. Returns the tokens that were expected to be cached
-    /// and were not.
+    /// Records the arrival of the first token. The load in `report` is newer than any report that
+    /// the control machines forward. Returns the number of prompt tokens that were expected in the
+    /// cache and were missing.
     pub fn on_first_token(
         &mut self,
         placement: &Placement,
@@ -251,14 +254,15 @@
         placement.expected_tokens.saturating_sub(cached)
     }
 
-    /// The request is over, however it ended.
+    /// Records the end of a request, successful or not.
     pub fn on_ended(&mut self, placement: &Placement) {
         if let Some(engine) = self.engines.get_mut(placement.engine) {
             engine.on_ended(placement.request);
         }
     }
 
-    /// The engine failed the request; it is avoided until a time.
+    /// Records that the request failed at the engine. With a time, the engine counts as suspect
+    /// until then.
     pub fn on_failed(&mut self, placement: &Placement, avoided_until: Option<Timestamp>) {
         self.on_ended(placement);
         if let Some(engine) = self.engines.get_mut(placement.engine) {
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,4 +1,5 @@
-//! What a prompt is made of: a chain of block hashes whose root is the request's isolation.
+//! The prefixes of a prompt, as a chain of block hashes. The root of the chain isolates tenants,
+//! models, weights versions and adapters from each other.
 
 use drumshore_core::{AdapterName, ModelName, TenantName, WeightsVersion};
 use drumshore_guard::{enforced, Guard};
@@ -6,27 +7,29 @@
 
 use crate::{LookupPrefix, SequenceHash};
 
-/// Bytes of text that stand for one token where the engine's tokenizer is not at hand.
+/// Estimated bytes of text in one token, used where the engine's tokenizer is not
+/// available.
 pub const TEXT_BYTES_PER_TOKEN: usize = 4;
 
 const FIELD_SEPARATOR: [u8; 1] = [0];
 
-/// What no prefix may cross: tenant, model, weights version and adapter.
+/// The scope in which cached prefixes may be shared: one tenant, model, weights version and
+/// adapter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixRoot(u64);
 
 impl PrefixRoot {
-    /// The root that a cache salt stands for.
+    /// Restores a root from an engine's cache salt.
     pub fn from_u64(salt: u64) -> Self {
         Self(salt)
     }
 
-    /// The root as a number, for the engines' cache salt.
+    /// The root as a number, which engines use as their cache salt.
     pub fn as_u64(self) -> u64 {
         self.0
     }
 
-    /// The root of all prefixes of one tenant under one model, version and adapter.
+    /// Computes the root of all prefixes of one tenant, model, weights version and adapter.
     pub fn new(
         tenant: &TenantName,
         model: &ModelName,
@@ -47,17 +50,17 @@
     }
 }
 
-/// A prompt as the caller gave it.
+/// A prompt in the form that the caller sent.
 #[derive(Clone, Copy, Debug)]
 pub enum Prompt<'a> {
-    /// Text, counted as [`TEXT_BYTES_PER_TOKEN`] bytes a token.
+    /// Text, estimated at [`TEXT_BYTES_PER_TOKEN`] bytes a token.
     Text(&'a str),
-    /// Token numbers.
+    /// Token identifiers.
     Tokens(&'a [u32]),
 }
 
 impl Prompt<'_> {
-    /// Its length in tokens, rounded up.
+    /// Length in tokens, rounded up.
     pub fn token_count(&self) -> u32 {
         let count = match self {
             Prompt::Text(text) => text.len().div_ceil(TEXT_BYTES_PER_TOKEN),
@@ -67,10 +70,10 @@
     }
 }
 
-/// Prefixes that a question to the index names, at most.
+/// Maximum number of prefixes in a lookup.
 pub const MAX_LOOKUP_PREFIXES: usize = 16;
 
-/// The prefixes of one prompt that engines can hold, shortest first.
+/// The prefixes of one prompt that engines can cache, shortest first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefixChain {
     hashes: Vec<SequenceHash>,
@@ -79,7 +82,8 @@
 }
 
 impl PrefixChain {
-    /// Hashes the prompt's whole blocks; a partial last block is never cached.
+    /// Hashes the complete blocks of a prompt. A partial last block is left out, because engines
+    /// never cache it.
     pub fn new(root: PrefixRoot, prompt: Prompt<'_>, block_tokens: u32) -> Self {
         let block = block_tokens.max(1) as usize;
         let hashes = match prompt {
@@ -102,7 +106,7 @@
         }
     }
 
-    /// A chain from hashes computed elsewhere, as in simulated workloads and traces.
+    /// Creates a chain from precomputed hashes, as in simulated workloads and traces.
     pub fn from_hashes(hashes: Vec<SequenceHash>, block_tokens: u32, prompt_tokens: u32) -> Self {
         Self {
             hashes,
@@ -111,7 +115,7 @@
         }
     }
 
-    /// The prefixes, shortest first.
+    /// The hashes of the prefixes, shortest first.
     pub fn hashes(&self) -> &[SequenceHash] {
         &self.hashes
     }
@@ -126,8 +130,8 @@
         self.prompt_tokens
     }
 
-    /// The prefixes that a question to the index names: all of a short chain; of a longer one those
-    /// in even steps, which are powers of two so that chains of other lengths name the same ones.
+    /// The prefixes for a lookup: all of a short chain, and those at regular steps of a longer one.
+    /// A step is a power of two, so that chains of different lengths select the same prefixes.
     pub fn lookup_prefixes(&self) -> Vec<LookupPrefix> {
         let count = self.hashes.len();
         let step = count.div_ceil(MAX_LOOKUP_PREFIXES).next_power_of_two();
--- a/crates/routing/src/protocols.rs
+++ b/crates/routing/src/protocols.rs
@@ -1,12 +1,12 @@
-//! What engines publish of their caches.
+//! The cache reports that engines publish.
 
 use std::fmt;
 
 use drumshore_core::Incarnation;
 use serde::{Deserialize, Serialize};
 
-/// Identifies a prefix: the hash of a block and of everything before it, with tenant, model,
-/// weights version and adapter at the root. Not the hash of a block's own tokens.
+/// Identifies a prefix: the hash of a block and of all blocks before it, with tenant, model,
+/// weights version and adapter in the root. It is not a hash of the block's own tokens alone.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,30 +19,30 @@
     }
 }
 
-/// What happened to a block of an engine's cache.
+/// A change of one block in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheChange {
-    /// It was computed or imported.
+    /// The block was computed or imported.
     #[serde(rename = "s")]
     Stored(SequenceHash),
-    /// It was evicted.
+    /// The block was evicted.
     #[serde(rename = "r")]
     Removed(SequenceHash),
 }
 
-/// A part of an engine's numbered cache changes, or all that it holds.
+/// A sequence of an engine's numbered cache changes, or a list of all blocks that it caches.
 ///
-/// Changes are counted from 1 in each start of the engine. A report that begins behind the number
-/// that was due shows that changes were lost.
+/// Changes are numbered from 1 in each incarnation of the engine. If the first number of a report
+/// is higher than the expected one, changes were lost.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheReport {
-    /// The engine's start.
+    /// The incarnation of the engine.
     pub incarnation: Incarnation,
-    /// True when the report lists what is held now, rather than what changed.
+    /// True if the report lists all cached blocks instead of changes.
     pub complete: bool,
-    /// The number of the first change; of a complete report, the number of the change that comes
-    /// next.
+    /// The number of the first change; in a complete report, the number that the next change will
+    /// have.
     pub first: u64,
-    /// The changes, in order; of a complete report, what is held, in any order.
+    /// The changes in order; in a complete report, all cached blocks as `Stored`, in any order.
     pub changes: Vec<CacheChange>,
 }
--- a/crates/routing/src/publisher.rs
+++ b/crates/routing/src/publisher.rs
@@ -1,5 +1,5 @@
-//! The engine's side of cache reports: numbers every change and hands out what came after a
-//! number, or everything that is held.
+//! The engine's side of cache reports: numbers every change, and returns the changes from a number
+//! on or a complete report.
 
 use std::collections::VecDeque;
 
@@ -8,10 +8,10 @@
 use crate::protocols::{CacheChange, CacheReport};
 use crate::SequenceHash;
 
-/// Changes kept for readers that come back; who falls further behind gets a complete report.
+/// Default number of changes that are kept. A reader that is further behind gets a complete report.
 pub const DEFAULT_KEPT_CHANGES: usize = 16_384;
 
-/// Numbers the changes of one start of an engine, from 1.
+/// Numbers and keeps the cache changes of one incarnation of an engine.
 #[derive(Clone, Debug)]
 pub struct CachePublisher {
     incarnation: Incarnation,
@@ -21,7 +21,7 @@
 }
 
 impl CachePublisher {
-    /// A publisher that has nothing to tell; `capacity` changes are kept.
+    /// Creates a publisher without changes that keeps the last `capacity` changes, at least 1.
     pub fn new(incarnation: Incarnation, capacity: usize) -> Self {
         Self {
             incarnation,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A block was stored or removed.
+    /// Adds a change and drops the oldest one if the capacity is reached.
     pub fn publish(&mut self, change: CacheChange) {
         if self.kept.len() == self.capacity {
             self.kept.pop_front();
@@ -45,8 +45,8 @@
         self.next
     }
 
-    /// The changes of a start from a number on; `None` when they are not kept any more, or never
-    /// were.
+    /// The changes of an incarnation from a number on. `None` if they are not kept any more, do not
+    /// exist, or belong to another incarnation.
     pub fn changes_from(&self, incarnation: Incarnation, number: u64) -> Option<CacheReport> {
         if incarnation != self.incarnation {
             return None;
@@ -64,7 +64,7 @@
         })
     }
 
-    /// A report of everything that is held now.
+    /// Creates a complete report from the blocks that the engine caches now.
     pub fn complete(&self, held: impl Iterator<Item = SequenceHash>) -> CacheReport {
         CacheReport {
             incarnation: self.incarnation,
--- a/crates/routing/src/recorder.rs
+++ b/crates/routing/src/recorder.rs
@@ -1,7 +1,7 @@
-//! Records what a [`Placer`] was told and asked, and replays it.
+//! Records the inputs of a [`Placer`] and replays them.
 //!
-//! A trace is a list of [`TraceLine`]s, one JSON document each. Replayed, it gives the same
-//! decisions, which a test compares with stated ones.
+//! A trace is a list of [`TraceLine`]s, one JSON document each. Replaying it gives the same
+//! decisions; a test compares them with the expected ones.
 
 use std::collections::BTreeMap;
 
@@ -16,116 +16,116 @@
     SequenceHash,
 };
 
-/// Something that a placer was told or asked.
+/// An input of a placer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum TraceEvent {
-    /// The placer was made. Always first.
+    /// The placer was created. Always the first event.
     Start {
-        /// The scheduler's weights.
+        /// The parameters of the scheduler.
         params: SchedulerParams,
-        /// The seed of its draws.
+        /// The seed of its random generator.
         seed: u64,
     },
-    /// An engine was described.
+    /// The description of an engine was added or updated.
     Engine {
-        /// The description.
+        /// The new description.
         observation: EngineObservation,
     },
     /// An engine's load was reported.
     Load {
-        /// The engine.
+        /// The engine that sent the report.
         engine: EngineId,
-        /// The report.
+        /// The reported load.
         report: LoadReport,
     },
-    /// A request was to be placed.
+    /// A placement was requested.
     Place(PlaceEvent),
     /// A request's first token arrived.
     FirstToken {
-        /// The request.
+        /// The number of the request.
         request: u64,
-        /// What the engine said.
+        /// The report in the engine's answer.
         report: AnswerReport,
     },
     /// A request ended.
     Ended {
-        /// The request.
+        /// The number of the request.
         request: u64,
     },
-    /// A request's engine failed it.
+    /// A request failed at its engine.
     Failed {
-        /// The request.
+        /// The number of the request.
         request: u64,
-        /// Until when the engine is avoided.
+        /// The time until which the engine counts as suspect.
         avoided_until: Option<Timestamp>,
     },
 }
 
-/// A request that was to be placed.
+/// A request for a placement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlaceEvent {
-    /// The request.
+    /// The number of the request.
     pub request: u64,
-    /// The pool.
+    /// The pool of engines that serve the model.
     pub pool: PoolName,
-    /// The weights.
+    /// The weights version that must serve the request.
     pub weights_version: WeightsVersion,
-    /// Its prompt's prefixes.
+    /// The hashes of the prompt's prefixes, shortest first.
     pub hashes: Vec<SequenceHash>,
-    /// Tokens in a block.
+    /// Tokens in one block.
     pub block_tokens: u32,
-    /// Tokens of the prompt.
+    /// Tokens in the whole prompt.
     pub prompt_tokens: u32,
-    /// What placement weighs more.
+    /// The placement goal of the model.
     pub goal: PlacementGoal,
-    /// Where the router runs.
+    /// The zone of the router.
     pub zone: ZoneName,
-    /// Engines where it failed before.
+    /// Engines where earlier attempts failed.
     pub excluded: Vec<EngineId>,
-    /// True when the index could be asked.
+    /// True if the shared index was available for a lookup.
     pub may_ask: bool,
-    /// What the index answered; `None` when it was not asked.
+    /// The answer of the shared index; `None` if there was no lookup.
     pub answers: Option<Vec<LookupAnswer>>,
 }
 
-/// An event and its time.
+/// An event with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TraceLine {
-    /// When, on the router's clock.
+    /// The time on the router's clock.
     pub at: Timestamp,
-    /// What.
+    /// The recorded input.
     #[serde(flatten)]
     pub event: TraceEvent,
 }
 
-/// What became of a request that was to be placed.
+/// The outcome of a placement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TraceOutcome {
-    /// It went to an engine.
+    /// The request went to this engine.
     Placed(EngineId),
-    /// The index was to be asked first; this engine looked best.
+    /// The shared index was to be queried first; this engine was the best until then.
     Ask(EngineId),
-    /// There was no engine.
+    /// No engine could take the request.
     Nowhere,
 }
 
-/// A decision of a trace.
+/// A decision of a replayed trace.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceDecision {
-    /// The request.
+    /// The number of the request.
     pub request: u64,
-    /// What became of it.
+    /// The outcome of the placement.
     pub outcome: TraceOutcome,
 }
 
-/// A trace that cannot be replayed.
+/// The error for a trace whose first event is not [`TraceEvent::Start`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the trace does not begin with its start")]
+#[error("the trace does not begin with a start event")]
 pub struct MissingStart;
 
-/// Replays a trace and gives its decisions, in order.
+/// Replays a trace and returns its decisions in order.
 pub fn replay(lines: &[TraceLine]) -> Result<Vec<TraceDecision>, MissingStart> {
     let Some(TraceEvent::Start { params, seed }) = lines.first().map(|line| &line.event) else {
         return Err(MissingStart);
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -1,5 +1,6 @@
-//! Rendezvous hashing: routers that know the same engines rank them alike for a prefix without
-//! exchanging a message, and an engine that comes or goes moves only its own share.
+//! Rendezvous hashing: routers that know the same engines rank them identically for a prefix
+//! without communication. An added or removed engine changes the assignment of its own prefixes
+//! only.
 //!
 //! Source: Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998.
 
@@ -8,7 +9,7 @@
 
 use crate::SequenceHash;
 
-/// How strongly an engine claims a prefix; the highest weight is the prefix's home.
+/// The weight of an engine for a prefix. The engine with the highest weight is the prefix's home.
 pub fn weight(prefix: SequenceHash, engine: EngineId) -> u64 {
     xxh3_64_with_seed(&prefix.0.to_le_bytes(), engine.0)
 }
@@ -21,7 +22,7 @@
 }
 
 impl<T: Copy> TopRanked<T> {
-    /// An empty ranking.
+    /// Creates an empty ranking.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -29,7 +30,8 @@
         }
     }
 
-    /// Offers one item. Equal weights keep the order of arrival.
+    /// Adds an item if its weight is among the highest. Items of equal weight keep their order of
+    /// arrival.
     pub fn offer(&mut self, weight: u64, item: T) {
         let full = self.items.len() == self.limit;
         if full
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,18 +1,18 @@
-//! Retry budgets: retries are a bounded share of first attempts, so that a failing fleet is not
-//! buried under them.
+//! Retry budgets: retries are limited to a fraction of the first attempts, so that they do not
+//! overload a failing fleet.
 
 use std::collections::BTreeMap;
 
 use drumshore_core::TenantName;
 
-/// How many retries are allowed.
+/// Limits on retries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryParams {
-    /// Attempts at one request, the first included.
+    /// Maximum attempts at one request, including the first.
     pub max_attempts: u32,
-    /// Retries for each hundred first attempts.
+    /// Retries allowed for each hundred first attempts.
     pub percent: u32,
-    /// Retries a tenant always has in reserve.
+    /// Retries that a tenant has initially. Its budget is capped at a multiple of them.
     pub reserve: u32,
 }
 
@@ -29,7 +29,7 @@
 const UNITS_PER_RETRY: u64 = 100;
 const RESERVE_MULTIPLE: u64 = 5;
 
-/// The budget of each tenant, in hundredths of a retry.
+/// The retry budget of each tenant, in hundredths of a retry.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     params: RetryParams,
@@ -37,7 +37,7 @@
 }
 
 impl RetryBudget {
-    /// Every tenant starts with the reserve.
+    /// Every tenant starts with the reserve of `params`.
     pub fn new(params: RetryParams) -> Self {
         Self {
             params,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A first attempt earns its share of a retry.
+    /// Credits a tenant for a first attempt with `percent` hundredths of a retry.
     pub fn deposit(&mut self, tenant: &TenantName) {
         let initial = self.initial_units();
         let percent = u64::from(self.params.percent);
@@ -53,7 +53,8 @@
         *units = (*units + percent).min(initial * RESERVE_MULTIPLE);
     }
 
-    /// Takes one retry from the budget after `attempts` attempts; false when there is none.
+    /// Deducts one retry from a tenant's budget. False if the budget is used up or the request has
+    /// already had `max_attempts` attempts.
     pub fn withdraw(&mut self, tenant: &TenantName, attempts: u32) -> bool {
         if attempts >= self.params.max_attempts {
             return false;
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -1,9 +1,9 @@
-//! Which engine a request goes to.
+//! Chooses the engine for a request.
 //!
-//! The cost of an engine is the expected time to the first token: what waits there, plus what of
-//! this prompt it has to compute. What it holds is estimated from this router's own beliefs and,
-//! where there are none, from rendezvous homes: routers that never spoke with one another send
-//! a prefix to the same engine and may presume to find it there.
+//! The cost of an engine is the expected time to the first token: the queued tokens plus the tokens
+//! of this prompt that it has to compute. The cached tokens are estimated from this router's prefix
+//! index and from rendezvous homes: routers send the same prefix to the same engine without
+//! communication, so each can expect to find it cached there.
 
 use std::time::Duration;
 
@@ -23,61 +23,62 @@
 const TIE_JITTER: f64 = 0.02;
 const RATE_TIME_CONSTANT: Duration = Duration::from_secs(30);
 const RATE_CAPACITY: usize = 100_000;
-/// Under this name all requests are counted.
+/// Pseudo-prefix that counts all requests.
 const ALL_REQUESTS: SequenceHash = SequenceHash(0);
 
-/// What is to be placed.
+/// A request for which an engine is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutingRequest<'a> {
-    /// The engines that serve its model.
+    /// The pool of engines that serve the model.
     pub pool: &'a PoolName,
-    /// The weights it must be answered with.
+    /// The weights version that must serve the request.
     pub weights_version: WeightsVersion,
-    /// Its prompt.
+    /// The prefixes of the prompt.
     pub chain: &'a PrefixChain,
-    /// What its model's placement weighs more.
+    /// The placement goal of the model.
     pub goal: PlacementGoal,
-    /// Where the router runs.
+    /// The zone of the router.
     pub zone: &'a ZoneName,
-    /// Engines where it failed before.
+    /// Engines where earlier attempts failed.
     pub excluded: &'a [EngineId],
-    /// What the index answered; only these engines are considered when there are any.
+    /// The answer of the shared index; `None` if there was no lookup. If any of its engines can
+    /// take the request, only these are considered.
     pub index_answer: Option<&'a [KnownCache]>,
-    /// True when the index can be asked.
+    /// True if the shared index is available for a lookup.
     pub may_ask: bool,
 }
 
-/// What the index says that one engine holds of a prompt.
+/// The part of a prompt that one engine caches according to the shared index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownCache {
-    /// The engine.
+    /// The engine that caches the tokens.
     pub engine: EngineId,
-    /// Prompt tokens.
+    /// Number of cached prompt tokens.
     pub cached_tokens: u32,
 }
 
-/// The engine chosen.
+/// The chosen engine and the data behind the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The engine.
+    /// The chosen engine.
     pub engine: EngineId,
     /// Prompt tokens expected in its cache.
     pub expected_cached_tokens: u32,
-    /// The belief behind the expectation, when it was one of this router's own.
+    /// The overlap of the prompt with the engine's entries in this router's prefix index, if any.
     pub index_overlap: Option<Overlap>,
     /// The best candidates, best first.
     pub candidates: Vec<CandidateRecord>,
-    /// Prompt tokens that have to be computed until the first token is out, those that wait
-    /// included: what an engine that is found by asking could save.
+    /// Prompt tokens that are computed before the first token, including those in the queue. This
+    /// is the maximum that a better engine, found by a lookup, could save.
     pub stake_tokens: f64,
 }
 
-/// Why there is no engine.
+/// Why no engine was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoChoice {
-    /// No engine of the pool serves the version.
+    /// No engine of the pool accepts requests for the weights version.
     NoneReady,
-    /// Those that do have as much waiting as they may.
+    /// All of these engines are full.
     AllFull,
 }
 
@@ -91,7 +92,8 @@
     cost_us: f64,
 }
 
-/// Chooses engines. Keeps prefix rates, a random generator and nothing else.
+/// Chooses engines. Its only state is the request rates of prefixes, a random generator and the
+/// round-robin counter.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     params: SchedulerParams,
@@ -101,7 +103,7 @@
 }
 
 impl Scheduler {
-    /// A scheduler whose random choices follow from `random`.
+    /// Creates a scheduler whose choices are reproducible with the same `random`.
     pub fn new(params: SchedulerParams, random: ChaCha8Rng) -> Self {
         let prefix_rates = PrefixRates::new(RATE_TIME_CONSTANT, RATE_CAPACITY);
         Self {
@@ -112,17 +114,18 @@
         }
     }
 
-    /// The weights in use.
+    /// The parameters in use.
     pub fn params(&self) -> &SchedulerParams {
         &self.params
     }
 
-    /// Sets how many routers see the same traffic.
+    /// Sets the number of routers that receive the same kind of traffic, at least 1.
     pub fn set_routers(&mut self, routers: f64) {
         self.params.routers = routers.max(1.0);
     }
 
-    /// Chooses an engine for a request.
+    /// Chooses an engine for a request. A request without an index answer is counted in the prefix
+    /// rates.
     pub fn choose(
         &mut self,
         engines: &EngineSet,
@@ -161,8 +164,8 @@
         })
     }
 
-    /// The expected time to the first token at an engine that holds `cached_tokens` of the
-    /// prompt, in microseconds, with the weights of this scheduler.
+    /// The cost of an engine that caches `cached_tokens` of the prompt: the expected time to the
+    /// first token in microseconds, with the weights and penalties of this scheduler.
     pub fn cost_us(
         &self,
         engine: &Engine,
@@ -190,7 +193,9 @@
         cost
     }
 
-    /// The index has ranked all engines; those that it does not name are worse.
+    /// Removes the engines that the answer of the index does not contain, unless none of its
+    /// engines can take the request. The index ranks all engines, so the missing ones have a higher
+    /// cost.
     fn keep_answered_engines(&self, possible: &mut Vec<&Engine>, request: &RoutingRequest<'_>) {
         let known = request.index_answer.unwrap_or_default();
         let is_known = |engine: &&Engine| {
@@ -216,9 +221,10 @@
         overlaps
     }
 
-    /// Finds the request's family: the shortest prefix whose requests fit one engine. A prefix
-    /// that is asked for more often is split into the longer ones below it, so that requests
-    /// that share much stay together; the longest one is shared by several engines.
+    /// Finds the request's family and its engines. The family is the shortest prefix whose request
+    /// rate suits one engine. More frequent prefixes are split into longer ones, so that requests
+    /// with a long common prefix stay together. If even the longest prefix is too frequent, several
+    /// engines share it.
     fn homes(
         &mut self,
         possible: &[&Engine],
@@ -236,7 +242,7 @@
             .map(|hash| self.rate(*hash, counted, now))
             .collect();
         let all = self.rate(ALL_REQUESTS, counted, now);
-        // A suspect engine is no home, so that all routers turn to the same next one.
+        // A suspect engine is not a home, so that all routers fall back to the same next engine.
         let eligible = || possible.iter().filter(|engine| !engine.is_suspect(now));
         let fair_share = all / eligible().count().max(1) as f64;
         let limit = (fair_share * self.params.family_share).max(self.params.min_family_rate);
@@ -250,7 +256,8 @@
             ranking.offer(weight(hashes[family], engine.id), engine.id);
         }
         let mut members: Vec<EngineId> = ranking.into_items().collect();
-        // Among the family's engines, the whole prompt decides: its own blocks are held once.
+        // The whole prompt decides the order of the family's engines, so that its own blocks are
+        // cached only once.
         members.sort_by_key(|engine| std::cmp::Reverse(weight(hashes[deepest], *engine)));
         let spread = members.len().max(1) as f64;
         let own = self.prefix_rates.rate_per_request() * self.params.routers;
@@ -266,7 +273,7 @@
         }
     }
 
-    /// The rate of a prefix over all routers; a request that was counted is not counted again.
+    /// The request rate of a prefix over all routers. Counts this request unless `counted` is true.
     fn rate(&mut self, prefix: SequenceHash, counted: bool, now: Timestamp) -> f64 {
         let own = if counted {
             self.prefix_rates.rate(prefix, now)
@@ -300,8 +307,8 @@
         Ok(candidates)
     }
 
-    /// The engines whose cost is worked out: all of a small pool; of a large one those that
-    /// are believed to hold something, the homes, and a few drawn at random.
+    /// The engines whose cost is computed: all engines of a small pool; in a large pool the engines
+    /// that probably cache a prefix, the engines of the family, and a random sample.
     fn considered<'e>(
         &mut self,
         possible: &[&'e Engine],
@@ -377,8 +384,8 @@
     }
 }
 
-/// A belief counts only for the start of the engine that it was formed about: an engine that
-/// restarted came back empty.
+/// True if the overlap was recorded for the engine's current incarnation. A restarted engine has an
+/// empty cache.
 fn is_current_incarnation(engines: &EngineSet, overlap: &Overlap) -> bool {
     engines
         .get(overlap.engine)
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn prefixes_of_other_tenants_and_versions_never_meet() {
+fn prefixes_of_different_tenants_or_versions_share_no_hashes() {
     let text = "x".repeat(1_000);
     let chain = |root| {
         PrefixChain::new(root, Prompt::Text(&text), 16)
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_belief_about_an_earlier_start_counts_for_nothing() {
+fn index_entries_of_an_earlier_incarnation_are_ignored() {
     let mut fixture = SchedulerFixture::new(8);
     fixture.record_cached("e5", 1);
     fixture
@@ -156,7 +156,7 @@
 #[case::leaving(1, EngineState::Leaving)]
 #[case::joining(1, EngineState::Joining)]
 #[case::older_weights(0, EngineState::Ready)]
-fn an_engine_that_may_not_serve_gets_nothing(#[case] version: u64, #[case] state: EngineState) {
+fn an_ineligible_engine_receives_no_requests(#[case] version: u64, #[case] state: EngineState) {
     let mut fixture = SchedulerFixture::new(1);
     fixture
         .engines
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_full_holder_is_passed_over_and_all_full_is_said() {
+fn a_full_holder_is_skipped_and_all_full_is_reported() {
     let mut fixture = SchedulerFixture::new(2);
     fixture.record_cached("e0", 1);
     let busy = LoadReport {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn routers_that_never_spoke_agree_on_a_home() {
+fn routers_agree_on_a_home_without_communication() {
     let chosen: Vec<String> = (0..5)
         .map(|seed| {
             let mut fixture = SchedulerFixture::new(100);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn what_was_sent_since_the_report_counts_as_load() {
+fn requests_sent_since_the_load_report_count_as_load() {
     let mut fixture = SchedulerFixture::new(1);
     let engine = fixture.engines.get_mut(EngineName::new("e0").id()).unwrap();
     engine.on_sent(7, 900, NOW);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn retention_moves_only_when_contradicted() {
+fn retention_changes_only_on_a_contradicting_observation() {
     let mut fixture = SchedulerFixture::new(1);
     let engine = fixture.engines.get_mut(EngineName::new("e0").id()).unwrap();
     let initial = engine.retention;
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn the_index_keeps_to_its_bound() {
+fn the_prefix_index_stays_within_its_capacity() {
     let params = PrefixIndexParams {
         capacity: 100,
         holders_per_prefix: 2,
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_rate_limit_holds_and_refills() {
+fn a_rate_limit_is_enforced_and_refills() {
     let mut admission = Admission::new(AdmissionParams { max_open: 1_000 });
     let limits = limits(10, 1_000);
     let admitted = (0..50)
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_concurrency_limit_holds_until_a_release() {
+fn a_concurrency_limit_is_enforced_until_a_release() {
     let mut admission = Admission::new(AdmissionParams { max_open: 1_000 });
     let limits = limits(1_000, 2);
     assert!(admit(&mut admission, &limits, NOW));
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn an_allotment_narrows_a_fleet_wide_limit() {
+fn an_allotment_lowers_a_fleet_wide_limit() {
     let mut admission = Admission::new(AdmissionParams { max_open: 1_000 });
     let limits = limits(1_000, 100);
     assert!(admit(&mut admission, &limits, NOW));
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn urgent_work_goes_first() {
+fn interactive_requests_precede_batch_requests() {
     let mut queue = FairQueue::new(10);
     queue.push(queued("a", Priority::Batch, 10, 1), 1);
     queue.push(queued("a", Priority::Interactive, 10, 2), 1);
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_first_attempts() {
+fn retries_are_limited_to_a_fraction_of_first_attempts() {
     let params = RetryParams {
         max_attempts: 3,
         percent: 10,
@@ -378,16 +378,16 @@
     let tenant = TenantName::new("t");
     assert!(budget.withdraw(&tenant, 1));
     assert!(budget.withdraw(&tenant, 2));
-    assert!(!budget.withdraw(&tenant, 1), "the reserve is spent");
+    assert!(!budget.withdraw(&tenant, 1), "the reserve is used up");
     (0..10).for_each(|_| budget.deposit(&tenant));
-    assert!(!budget.withdraw(&tenant, 3), "the attempts are spent");
+    assert!(!budget.withdraw(&tenant, 3), "the attempts are used up");
     assert!(budget.withdraw(&tenant, 1));
     assert!(!budget.withdraw(&tenant, 1));
 }
 
 proptest! {
     #[test]
-    fn nothing_is_lost_in_the_queue(
+    fn every_queued_request_is_popped_or_shed(
         items in proptest::collection::vec((0u8..5, 0usize..3, 1u64..20_000), 0..60),
         capacity in 1usize..40,
     ) {
--- a/crates/routing/tests/indexer.rs
+++ b/crates/routing/tests/indexer.rs
@@ -1,4 +1,4 @@
-//! The index and the engines' side of it.
+//! Tests of the shared index together with the cache reports that engines publish.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Asks for a chain of blocks 1, 2, 3 and so on.
+/// A lookup for a chain of the blocks 1, 2, 3 and so on.
 fn lookup(ticket: u32, blocks: u64) -> IndexLookup {
     let prefixes = (1..=blocks).map(|number| LookupPrefix {
         hash: hash(number),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn what_was_removed_is_not_found() {
+fn removed_blocks_are_not_found() {
     let mut indexer = indexer_with(&[1, 2, 3]);
     let removed = changes(1, 10, &[CacheChange::Removed(hash(3))]);
     indexer.on_report(ENGINE, &removed, at(1));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_new_start_of_an_engine_holds_nothing_of_the_old_one() {
+fn a_restarted_engine_has_no_blocks_of_its_earlier_incarnation() {
     let mut indexer = indexer_with(&[1, 2, 3]);
     let started = changes(2, 1, &[CacheChange::Stored(hash(1))]);
     indexer.on_report(ENGINE, &started, at(1));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn lost_changes_halve_the_trust_until_a_complete_report() {
+fn lost_changes_halve_the_found_blocks_until_a_complete_report() {
     let mut indexer = indexer_with(&[1, 2, 3, 4]);
     let later = changes(1, 12, &[CacheChange::Stored(hash(9))]);
     indexer.on_report(ENGINE, &later, at(6_000));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn complete_reports_are_not_asked_for_all_the_time() {
+fn complete_reports_are_requested_once_per_resync_interval() {
     let mut indexer = indexer_with(&[1]);
     indexer.on_report(ENGINE, &changes(1, 12, &[]), at(1_000));
     let wanted = indexer.wanted(ENGINE, at(1_000));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_booking_is_seen_before_any_report() {
+fn a_booking_counts_before_any_report() {
     let mut indexer = indexer_with(&[]);
     ask(&mut indexer, 3, at(0));
     let asked = LookupId {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_booking_that_nothing_confirms_is_forgotten() {
+fn an_unconfirmed_booking_expires() {
     let mut indexer = indexer_with(&[]);
     let booking = Booking {
         engine: ENGINE,
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_booking_of_an_earlier_start_says_nothing_of_the_next() {
+fn a_booking_does_not_count_after_an_engine_restart() {
     let mut indexer = indexer_with(&[]);
     let booking = Booking {
         engine: ENGINE,
@@ -196,9 +196,9 @@
 
 #[rstest]
 #[case::as_reported(500, 60_000)]
-#[case::shrunk_by_what_was_computed(1_500, 20_000)]
+#[case::partly_computed(1_500, 20_000)]
 #[case::empty(3_000, 0)]
-fn a_reported_queue_shrinks_with_time(#[case] milliseconds: u64, #[case] waiting: u32) {
+fn a_reported_queue_drains_with_time(#[case] milliseconds: u64, #[case] waiting: u32) {
     let mut indexer = indexer_with(&[]);
     let load = LoadReport {
         waiting_tokens: 60_000,
@@ -211,14 +211,14 @@
 }
 
 #[test]
-fn an_engine_that_is_gone_is_not_named() {
+fn a_removed_engine_is_not_found() {
     let mut indexer = indexer_with(&[1]);
     indexer.forget(ENGINE);
     assert_eq!(holding_at(&mut indexer, ENGINE, 1, at(1)), None);
 }
 
 #[test]
-fn what_earlier_starts_left_is_swept() {
+fn entries_of_earlier_epochs_are_swept() {
     const BLOCKS: u64 = 3_000;
     let mut indexer = Indexer::new(IndexerParams::default());
     for start in 1..40u64 {
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_reader_too_far_behind_gets_everything() {
+fn a_reader_too_far_behind_gets_no_changes() {
     let mut publisher = CachePublisher::new(Incarnation(1), 4);
     for number in 1..=6 {
         publisher.publish(CacheChange::Stored(hash(number)));
@@ -237,11 +237,11 @@
     assert_eq!(publisher.changes_from(Incarnation(1), 2), None);
     let kept = publisher
         .changes_from(Incarnation(1), 3)
-        .expect("they are kept");
+        .expect("the changes are kept");
     assert_eq!((kept.first, kept.changes.len()), (3, 4));
     let none = publisher
         .changes_from(Incarnation(1), 7)
-        .expect("there is nothing new");
+        .expect("an empty list of changes");
     assert!(none.changes.is_empty());
 }
 
@@ -249,7 +249,7 @@
 enum Step {
     Store(u64),
     Remove(u64),
-    /// The index asks; the report arrives, or does not.
+    /// The index requests a report, which arrives or is lost.
     Poll {
         arrives: bool,
     },
@@ -266,7 +266,7 @@
     prop::collection::vec(step, 1..80)
 }
 
-/// An engine's cache, and what it publishes.
+/// A simulated engine with its cache and the changes that it publishes.
 struct Engine {
     incarnation: u64,
     publisher: CachePublisher,
@@ -293,7 +293,7 @@
         kept.unwrap_or_else(|| self.publisher.complete(held))
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Store(block) if self.held.insert(*block) => {
                 self.publisher.publish(CacheChange::Stored(hash(*block)));
@@ -314,9 +314,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever was lost on the way, the index is right after the next report that arrives.
+    /// Lost reports leave the index out of date; the next report that arrives must bring it up to
+    /// date.
     #[test]
-    fn the_index_catches_up(steps in steps()) {
+    fn the_index_is_correct_after_the_next_report(steps in steps()) {
         let mut engine = Engine::start(1);
         let mut indexer = Indexer::new(IndexerParams::default());
         let last = [Step::Poll { arrives: true }];
@@ -327,7 +328,7 @@
             if matches!(step, Step::Poll { arrives: true }) {
                 indexer.on_report(ENGINE, &report, now);
             }
-            engine.take(step);
+            engine.apply(step);
         }
         for block in 1..6u64 {
             let prefix = LookupPrefix { hash: hash(block), blocks: 1 };
