--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -65,7 +65,7 @@
     pub revision: u64,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// True if the request may not be repeated after it may have run.
+    /// True if the request must not be sent again once it may have run.
     pub non_repeatable: bool,
     /// The attempts in chronological order.
     pub attempts: Vec<AttemptRecord>,
--- a/crates/routing/src/indexer.rs
+++ b/crates/routing/src/indexer.rs
@@ -269,11 +269,11 @@
         missing_tokens: u32,
     ) -> Booking {
         // A booking usually follows one of the latest lookups.
-        let asked = self
+        let lookup_position = self
             .recent_lookups
             .iter()
             .rposition(|(id, _)| *id == lookup);
-        let removed = asked.and_then(|position| self.recent_lookups.remove(position));
+        let removed = lookup_position.and_then(|position| self.recent_lookups.remove(position));
         Booking {
             engine,
             missing_tokens,
--- a/crates/routing/src/lookup_budget.rs
+++ b/crates/routing/src/lookup_budget.rs
@@ -6,7 +6,7 @@
 const BURST_SECONDS: f64 = 2.0;
 
 /// Bytes of a lookup with its answer and booking, without the prefixes.
-const BYTES_PER_QUESTION: f64 = 150.0;
+const BYTES_PER_LOOKUP: f64 = 150.0;
 
 /// Bytes of one prefix in a lookup.
 const BYTES_PER_PREFIX: f64 = 8.0;
@@ -41,7 +41,7 @@
         let earned = self.bytes_per_second * now.since(self.refilled_at).as_secs_f64();
         self.left = (self.left + earned).min(capacity);
         self.refilled_at = now;
-        let price = BYTES_PER_QUESTION + BYTES_PER_PREFIX * prefixes as f64;
+        let price = BYTES_PER_LOOKUP + BYTES_PER_PREFIX * prefixes as f64;
         let spent = 1.0 - self.left / capacity;
         if price > self.left || stake < spent * self.highest_stake {
             return false;
--- a/crates/routing/src/params.rs
+++ b/crates/routing/src/params.rs
@@ -41,7 +41,7 @@
     /// Cost added for an engine in another region, in microseconds. Its load is not reported here,
     /// so it is used as a last resort.
     pub other_region_us: f64,
-    /// Cost of a token to compute, relative to the cost of a token waiting in the queue. Above 1,
+    /// Cost of a token to compute, relative to the cost of a token waiting in the queue. Above 1
     /// because computing also delays other requests and evicts blocks that they need.
     pub recompute_weight: f64,
     /// The same ratio for models whose placement goal is reuse.
--- a/crates/routing/src/placer.rs
+++ b/crates/routing/src/placer.rs
@@ -91,10 +91,10 @@
 
 impl Placer {
     /// Creates a placer without engines and with an empty index.
-    pub fn new(scheduler: Scheduler, belief: PrefixIndexParams) -> Self {
+    pub fn new(scheduler: Scheduler, index_params: PrefixIndexParams) -> Self {
         Self {
             engines: EngineSet::default(),
-            index: PrefixIndex::new(belief),
+            index: PrefixIndex::new(index_params),
             lookup_budget: LookupBudget::new(
                 scheduler.params().index_bytes_per_second,
                 scheduler.params().index_stake_tokens,
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -7,8 +7,7 @@
 
 use crate::{LookupPrefix, SequenceHash};
 
-/// Estimated bytes of text in one token, used where the engine's tokenizer is not
-/// available.
+/// Estimated bytes of text in one token, used where the engine's tokenizer is not available.
 pub const TEXT_BYTES_PER_TOKEN: usize = 4;
 
 const FIELD_SEPARATOR: [u8; 1] = [0];
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -78,7 +78,7 @@
 pub enum NoChoice {
     /// No engine of the pool accepts requests for the weights version.
     NoneReady,
-    /// All of these engines are full.
+    /// Every engine that accepts such requests is full.
     AllFull,
 }
 
--- a/crates/routing/tests/indexer.rs
+++ b/crates/routing/tests/indexer.rs
@@ -150,11 +150,11 @@
 fn a_booking_counts_before_any_report() {
     let mut indexer = indexer_with(&[]);
     ask(&mut indexer, 3, at(0));
-    let asked = LookupId {
+    let lookup_id = LookupId {
         requester: 1,
         ticket: 1,
     };
-    let booking = indexer.booking_for_lookup(asked, ENGINE, 300_000);
+    let booking = indexer.booking_for_lookup(lookup_id, ENGINE, 300_000);
     indexer.book(&booking, at(1));
     let booked = Holding {
         engine: ENGINE,
