--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! One request: its head, and its body read under a bound.
+//! One request: parsing of its head, and reading of its body with a size limit.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -9,32 +9,32 @@
 
 use crate::connection::Input;
 
-/// Headers that one request may have.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
 
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// The methods that drumshore's interfaces use.
+/// The request methods that drumshore's interfaces use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// Reads.
+    /// Reads a resource.
     Get,
-    /// Starts work.
+    /// Starts an operation, such as a completion.
     Post,
     /// Writes a resource.
     Put,
     /// Removes a resource.
     Delete,
-    /// Any other.
+    /// Any other method.
     Other,
 }
 
-/// One header.
+/// One header of a request or an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Its name as received.
+    /// The name, in the case in which it was received.
     pub name: String,
-    /// Its value; bytes that are not UTF-8 are replaced.
+    /// The value without surrounding white space; invalid UTF-8 is replaced.
     pub value: String,
 }
 
@@ -55,32 +55,32 @@
     pub(crate) keep_alive: bool,
 }
 
-/// Why there is no request.
+/// Why no request could be read.
 #[derive(Debug)]
 pub(crate) enum HeadError {
-    /// The peer closed or broke the connection between requests.
+    /// The peer closed the connection, or it failed or was idle too long before a request.
     Closed,
-    /// The peer is to be told this.
+    /// The request is refused with this verdict.
     Refused(RequestError),
 }
 
 impl Head {
-    /// Reads a head of at most `max_bytes`. The first byte may take `idle`, the whole head
-    /// `patience` from then on.
+    /// Reads a head of at most `max_bytes`. The first byte has to arrive within `idle_timeout`, and
+    /// the whole head within `read_timeout` after it.
     pub(crate) fn read(
         input: &mut Input,
         max_bytes: usize,
-        idle: Duration,
-        patience: Duration,
+        idle_timeout: Duration,
+        read_timeout: Duration,
     ) -> Result<Self, HeadError> {
         if input.buffered().is_empty() {
-            input.set_patience(idle);
+            input.restart_deadline(idle_timeout);
             match input.fill() {
                 Ok(0) | Err(_) => return Err(HeadError::Closed),
                 Ok(_) => {}
             }
         }
-        input.set_patience(patience);
+        input.restart_deadline(read_timeout);
         loop {
             if let Some((head, length)) = parse(input.buffered())? {
                 check_size(length, max_bytes)?;
@@ -165,7 +165,8 @@
     Ok(head)
 }
 
-/// Two statements of the length could be read differently by two parties, so they are refused.
+/// Determines how the length of the body is stated. A request that states it more than once is
+/// refused, because another server on the path could read the end of the body differently.
 fn body_length(head: &Head) -> Result<BodyLength, &'static str> {
     let count = |name: &str| {
         let named = |header: &&Header| header.name.eq_ignore_ascii_case(name);
@@ -184,14 +185,14 @@
     }
 }
 
-/// A request on its connection.
+/// A request whose head was read; the body can be read from the connection.
 #[derive(Debug)]
 pub struct Request<'c> {
     head: Head,
     input: &'c mut Input,
     output: &'c TcpStream,
-    patience: Duration,
-    pub(crate) body_done: bool,
+    read_timeout: Duration,
+    pub(crate) body_read: bool,
 }
 
 impl<'c> Request<'c> {
@@ -199,30 +200,30 @@
         head: Head,
         input: &'c mut Input,
         output: &'c TcpStream,
-        patience: Duration,
+        read_timeout: Duration,
     ) -> Self {
-        let body_done = matches!(head.body, BodyLength::None | BodyLength::Known(0));
+        let body_read = matches!(head.body, BodyLength::None | BodyLength::Known(0));
         Self {
             head,
             input,
             output,
-            patience,
-            body_done,
+            read_timeout,
+            body_read,
         }
     }
 
-    /// Its method.
+    /// The request method.
     pub fn method(&self) -> Method {
         self.head.method
     }
 
-    /// Its path, without the query.
+    /// The path of the request target, without the query.
     pub fn path(&self) -> &str {
         let target = self.head.target.as_str();
         target.split_once('?').map_or(target, |(path, _)| path)
     }
 
-    /// The value of a query parameter, not decoded.
+    /// The value of the first query parameter of this name, not percent-decoded.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.head.target.split_once('?')?;
         query
@@ -232,12 +233,12 @@
             .map(|(_, value)| value)
     }
 
-    /// The first header of a name.
+    /// The value of the first header of this name, in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.header(name)
     }
 
-    /// The bearer key that the peer presents.
+    /// The key of the `authorization` header, if its scheme is `Bearer`.
     pub fn bearer_key(&self) -> Option<SecretKey> {
         let (scheme, key) = self.header("authorization")?.split_once(' ')?;
         scheme
@@ -245,17 +246,18 @@
             .then(|| SecretKey::new(key.trim()))
     }
 
-    /// Reads the whole body, of at most `max_bytes`.
+    /// Reads the whole body of at most `max_bytes`. Fails with a verdict if the body is larger,
+    /// malformed or too slow.
     pub fn read_body(&mut self, max_bytes: u64) -> Result<Vec<u8>, RequestError> {
         if let BodyLength::Known(length) = self.head.body {
             check_body(length, max_bytes)?;
         }
         let expects = self.header("expect").unwrap_or("");
-        if !self.body_done && expects.eq_ignore_ascii_case("100-continue") {
+        if !self.body_read && expects.eq_ignore_ascii_case("100-continue") {
             let mut output = self.output;
             let _ = output.write_all(CONTINUE);
         }
-        self.input.set_patience(self.patience);
+        self.input.restart_deadline(self.read_timeout);
         let mut body = Vec::new();
         let read = match self.head.body {
             BodyLength::None => Ok(0),
@@ -270,7 +272,7 @@
             let message = "the connection ended within the body";
             return Err(RequestError::not_run(ErrorCode::BadRequest, message));
         }
-        self.body_done = true;
+        self.body_read = true;
         Ok(body)
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, one bounded thread each.
+//! Accepts connections and serves each on its own thread, up to a limit.
 
 use std::io::{self, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,33 +13,34 @@
 use crate::request::{Head, HeadError, Request};
 use crate::responder::Responder;
 
-/// Connections beyond the bound that are told so at the same time; more are closed unheard.
-const REFUSALS_AT_ONCE: usize = 64;
+/// Connections above the limit that receive a refusal at the same time. Further ones are closed
+/// without an answer.
+const MAX_CONCURRENT_REFUSALS: usize = 64;
 
-/// How long a closing connection waits for bytes that are still on their way.
-const LINGER: Duration = Duration::from_millis(300);
+/// How long a closing connection waits for the next bytes of the peer.
+const LINGER_READ_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes that a closing connection reads and drops at most: a caller whose body is too large
-/// reads its refusal only when it has sent the body.
-const LINGER_BYTES: usize = 64 << 20;
+/// Maximum bytes that a closing connection reads and discards. A caller whose body is too large
+/// reads the refusal only after it has sent the whole body.
+const MAX_LINGER_BYTES: usize = 64 << 20;
 
-/// How long a closing connection reads in all.
-const LONGEST_LINGER: Duration = Duration::from_secs(2);
+/// Maximum total time that a closing connection reads.
+const MAX_LINGER: Duration = Duration::from_secs(2);
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerParams {
-    /// Connections served at once; more are refused.
+    /// Maximum number of connections served at the same time; more are refused.
     pub max_connections: usize,
-    /// The largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// How long a head, and then a body, may take to arrive.
-    pub read_patience: Duration,
-    /// How long a caller may take to accept bytes.
-    pub write_patience: Duration,
-    /// How long a connection may rest between requests.
-    pub idle_patience: Duration,
-    /// The stack of a connection's thread, in bytes.
+    /// How long the head may take to arrive, and then the body.
+    pub read_timeout: Duration,
+    /// How long a write to the caller may block.
+    pub write_timeout: Duration,
+    /// How long a connection may be idle between requests.
+    pub idle_timeout: Duration,
+    /// Stack size of a connection's thread, in bytes.
     pub stack_bytes: usize,
 }
 
@@ -48,17 +49,17 @@
         Self {
             max_connections: 4_096,
             max_head_bytes: 16 * 1024,
-            read_patience: Duration::from_secs(10),
-            write_patience: Duration::from_secs(10),
-            idle_patience: Duration::from_secs(60),
+            read_timeout: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
             stack_bytes: 128 * 1024,
         }
     }
 }
 
-/// Answers requests, on the connections' threads.
+/// Answers requests. Called on the thread of the connection.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request.
+    /// Reads one request and sends its answer.
     fn handle(&self, request: &mut Request<'_>, responder: Responder<'_>);
 }
 
@@ -68,12 +69,12 @@
     }
 }
 
-/// What a server holds at the moment.
+/// The current number of connections and requests of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// Connections open.
+    /// Open connections, including those that are refused.
     pub connections: usize,
-    /// Requests being answered.
+    /// Requests in the handler.
     pub active_requests: usize,
 }
 
@@ -92,7 +93,7 @@
 }
 
 impl Server {
-    /// Listens and starts to serve.
+    /// Binds to an address and starts to serve in the background.
     pub fn start(
         listen: SocketAddr,
         params: ServerParams,
@@ -114,12 +115,12 @@
         Ok(Self { shared, address })
     }
 
-    /// Where it listens.
+    /// The local address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it holds.
+    /// The current number of connections and requests.
     pub fn status(&self) -> ServerStatus {
         ServerStatus {
             connections: self.shared.connections.load(Ordering::SeqCst),
@@ -127,20 +128,20 @@
         }
     }
 
-    /// From now on every connection is closed after its answer.
+    /// Closes every connection after its next answer, for a graceful shutdown.
     pub fn close_after_answers(&self) {
         self.shared.closing.store(true, Ordering::SeqCst);
     }
 }
 
 fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
-    const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(20);
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
     loop {
         match listener.accept() {
             Ok((stream, _)) => admit(stream, shared),
             Err(error) => {
-                tracing::warn!("http: accept failed: {error}");
-                thread::sleep(PAUSE_AFTER_ERROR);
+                tracing::warn!("http: failed to accept a connection: {error}");
+                thread::sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
@@ -148,9 +149,9 @@
 
 fn admit(stream: TcpStream, shared: &Arc<Shared>) {
     let count = shared.connections.fetch_add(1, Ordering::SeqCst);
-    let guard = Counted::new(Arc::clone(shared));
+    let counter = ConnectionCounter::new(Arc::clone(shared));
     let max = shared.params.max_connections;
-    if count >= max + REFUSALS_AT_ONCE {
+    if count >= max + MAX_CONCURRENT_REFUSALS {
         return;
     }
     let spawned = thread::Builder::new()
@@ -158,32 +159,32 @@
         .stack_size(shared.params.stack_bytes)
         .spawn(move || {
             if count < max {
-                serve(&stream, &guard.shared);
+                serve(&stream, &counter.shared);
             } else {
-                refuse_connection(&stream, &guard.shared);
+                refuse_connection(&stream, &counter.shared);
             }
-            close_in_order(&stream);
+            close_gracefully(&stream);
         });
     if let Err(error) = spawned {
-        tracing::warn!("http: no thread for a connection: {error}");
+        tracing::warn!("http: failed to start a thread for a connection: {error}");
     }
 }
 
 fn refuse_connection(stream: &TcpStream, shared: &Shared) {
-    let _ = stream.set_write_timeout(Some(shared.params.write_patience));
+    let _ = stream.set_write_timeout(Some(shared.params.write_timeout));
     let verdict = RequestError::not_run(ErrorCode::Overloaded, "too many connections");
     Responder::new(stream, false).refuse(&verdict.retry_after(Duration::from_secs(1)));
 }
 
-/// Closes so that the peer can read the last answer: a socket that is closed with bytes unread
-/// is reset, and a reset may overtake the answer.
-fn close_in_order(mut stream: &TcpStream) {
-    let deadline = Instant::now() + LONGEST_LINGER;
-    let mut left = LINGER_BYTES;
+/// Closes the sending half and discards input, so that the peer can read the last answer. Closing a
+/// socket with unread bytes resets the connection, and the peer may lose the answer to the reset.
+fn close_gracefully(mut stream: &TcpStream) {
+    let deadline = Instant::now() + MAX_LINGER;
+    let mut left = MAX_LINGER_BYTES;
     let mut discarded = [0; 4 * 1024];
     let prepared = stream
         .shutdown(Shutdown::Write)
-        .and_then(|()| stream.set_read_timeout(Some(LINGER)));
+        .and_then(|()| stream.set_read_timeout(Some(LINGER_READ_TIMEOUT)));
     if prepared.is_err() {
         return;
     }
@@ -195,17 +196,17 @@
     }
 }
 
-struct Counted {
+struct ConnectionCounter {
     shared: Arc<Shared>,
 }
 
-impl Counted {
+impl ConnectionCounter {
     fn new(shared: Arc<Shared>) -> Self {
         Self { shared }
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionCounter {
     fn drop(&mut self) {
         self.shared.connections.fetch_sub(1, Ordering::SeqCst);
     }
@@ -215,7 +216,7 @@
     let params = &shared.params;
     let ready = stream
         .set_nodelay(true)
-        .and_then(|()| stream.set_write_timeout(Some(params.write_patience)))
+        .and_then(|()| stream.set_write_timeout(Some(params.write_timeout)))
         .and_then(|()| stream.try_clone());
     let Ok(reading) = ready else {
         return;
@@ -224,14 +225,14 @@
     while serve_one(stream, &mut input, shared) {}
 }
 
-/// True when the connection can carry another request.
+/// Serves one request. Returns true if the connection can carry another one.
 fn serve_one(stream: &TcpStream, input: &mut Input, shared: &Shared) -> bool {
     let params = &shared.params;
     let head = Head::read(
         input,
         params.max_head_bytes,
-        params.idle_patience,
-        params.read_patience,
+        params.idle_timeout,
+        params.read_timeout,
     );
     let head = match head {
         Ok(head) => head,
@@ -243,10 +244,10 @@
     };
     shared.active_requests.fetch_add(1, Ordering::SeqCst);
     let keep_alive = head.keep_alive && !shared.closing.load(Ordering::SeqCst);
-    let mut request = Request::new(head, input, stream, params.read_patience);
+    let mut request = Request::new(head, input, stream, params.read_timeout);
     let responder = Responder::new(stream, keep_alive);
     shared.handler.handle(&mut request, responder);
-    let body_done = request.body_done;
+    let body_read = request.body_read;
     shared.active_requests.fetch_sub(1, Ordering::SeqCst);
-    keep_alive && body_done
+    keep_alive && body_read
 }
--- a/crates/routing/src/indexer.rs
+++ b/crates/routing/src/indexer.rs
@@ -1,8 +1,10 @@
-//! Which engines hold which blocks, for many routers: one index beside each control machine, fed
-//! by the engines' cache reports and by what routers say they placed.
+//! The shared index of the blocks that engines cache. Each control machine runs one for all
+//! routers.
 //!
-//! Reports are late; a booking tells at once what an engine will soon hold and compute. Both
-//! together let routers find what other routers have placed, without each hearing everything.
+//! It is built from the engines' cache reports and from bookings. A booking is a router's message
+//! that it has placed a request on an engine. Reports arrive late; a booking states immediately
+//! what the engine will soon cache and compute. Together they let a router find the blocks that
+//! other routers' requests leave behind, without every router receiving all reports and bookings.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,20 +16,21 @@
 use crate::protocols::{CacheChange, CacheReport};
 use crate::{LoadReport, SequenceHash};
 
-/// Requests that were not asked for need a booking only when they compute more tokens than this.
+/// Requests placed without a lookup are booked only if the engine computes at least this many
+/// prompt tokens.
 pub const MIN_BOOKED_TOKENS: u32 = 1_024;
 
-/// Bounds and periods of an index.
+/// Size limits and time intervals of an [`Indexer`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct IndexerParams {
-    /// How long a booking counts when no report confirms it. Longer than a report is late.
+    /// How long a booking counts if no report confirms it. Must exceed the delay of reports.
     pub booking_lifetime: Duration,
-    /// Questions whose prefixes are remembered until the booking that follows them.
-    pub remembered_questions: usize,
-    /// Complete reports of one engine are asked for at most this often.
+    /// Number of recent lookups whose prefixes are kept for the bookings that follow.
+    pub remembered_lookups: usize,
+    /// Minimum interval between requests for complete reports of one engine.
     pub resync_interval: Duration,
-    /// Expected time to compute one prompt token, in microseconds. By it a queue that was reported
-    /// some time ago is expected to have shrunk.
+    /// Expected time to compute one prompt token, in microseconds. A reported queue is assumed to
+    /// drain at this rate until the next report.
     pub prefill_us_per_token: f64,
 }
 
@@ -35,87 +38,89 @@
     fn default() -> Self {
         Self {
             booking_lifetime: Duration::from_secs(2),
-            remembered_questions: 8_192,
+            remembered_lookups: 8_192,
             resync_interval: Duration::from_secs(5),
             prefill_us_per_token: 25.0,
         }
     }
 }
 
-/// A router's question, to be named by the booking that follows it.
+/// Identifies a lookup, so that the booking that follows can refer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct QuestionId {
-    /// Who asked.
-    pub asker: u64,
-    /// The asker's own number.
+pub struct LookupId {
+    /// The connection or router that sent the lookup.
+    pub requester: u64,
+    /// A number chosen by the requester, unique among its recent lookups.
     pub ticket: u32,
 }
 
-/// One prefix of a prompt.
+/// One prefix of a prompt in a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct QuestionPrefix {
-    /// Its hash.
+pub struct LookupPrefix {
+    /// The hash of the whole prefix.
     pub hash: SequenceHash,
-    /// Its blocks.
+    /// Length of the prefix in blocks.
     pub blocks: u32,
 }
 
-/// What a router wants to know.
+/// A router's query for the engines that suit a prompt best.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Question {
-    /// Its name.
-    pub id: QuestionId,
-    /// Prefixes of the prompt, shortest first.
-    pub prefixes: Vec<QuestionPrefix>,
-    /// Tokens in a block.
+pub struct IndexLookup {
+    /// Identifies this lookup.
+    pub id: LookupId,
+    /// Some or all prefixes of the prompt, shortest first.
+    pub prefixes: Vec<LookupPrefix>,
+    /// Tokens in one block.
     pub block_tokens: u32,
-    /// Tokens of the prompt.
+    /// Tokens in the whole prompt.
     pub prompt_tokens: u32,
-    /// What a token to compute costs in comparison with one to wait for.
+    /// Cost of a token to compute, relative to the cost of a token waiting in the queue.
     pub recompute_weight: f64,
-    /// Engines to name, at most.
+    /// Maximum number of engines in the answer.
     pub limit: usize,
 }
 
-/// What one engine holds of a prompt, and how busy it is.
+/// The blocks of a prompt that one engine caches, and the engine's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// The engine.
+    /// The engine that caches the blocks.
     pub engine: EngineId,
-    /// Blocks of the longest prefix that it holds.
+    /// Length of the longest cached prefix, in blocks.
     pub blocks: u32,
-    /// Prompt tokens that wait there, bookings included.
+    /// Estimated prompt tokens in the queue, bookings included.
     pub waiting_tokens: u32,
-    /// Sequences that run there.
+    /// Sequences that were running at the last load report.
     pub running: u32,
 }
 
-/// A router placed a request.
+/// A router's message that it placed a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Booking {
-    /// The engine.
+    /// The engine that receives the request.
     pub engine: EngineId,
-    /// Prompt tokens that it will have to compute.
+    /// Prompt tokens that the engine has to compute.
     pub missing_tokens: u32,
-    /// Prefixes that it will hold.
+    /// Prefixes that the engine will cache.
     pub prefixes: Vec<SequenceHash>,
 }
 
-/// What is to be asked of an engine next.
+/// The report to request from an engine next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportWanted {
-    /// All that it holds.
+    /// All blocks that the engine caches.
     Complete,
-    /// The changes of this start from a number on; all that it holds when it is another start.
+    /// The changes of this incarnation from this number on. An engine with another incarnation, or
+    /// without these changes, sends a complete report.
     ChangesFrom(Incarnation, u64),
 }
 
-/// One start of one engine. Numbers are not used again, so that what is left of an earlier start
-/// is never taken for a later one's.
+/// A period of one engine, begun by a restart or a complete report; each invalidates the earlier
+/// entries of the engine. Numbers are not reused, so that remaining entries of an earlier epoch are
+/// never attributed to a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct StartNumber(u32);
+struct EngineEpoch(u32);
 
-type Starts = SmallVec<[StartNumber; 4]>;
+type EngineEpochs = SmallVec<[EngineEpoch; 4]>;
 
 #[derive(Clone, Copy, Debug)]
 struct BookedTokens {
@@ -126,7 +131,7 @@
 #[derive(Clone, Debug)]
 struct IndexedEngine {
     incarnation: Incarnation,
-    start: StartNumber,
+    epoch: EngineEpoch,
     next_change: u64,
     changes_lost: bool,
     resynced_at: Timestamp,
@@ -134,59 +139,62 @@
     booked: Vec<BookedTokens>,
 }
 
-/// The index.
+/// The shared index on one control machine.
 #[derive(Clone, Debug)]
 pub struct Indexer {
     params: IndexerParams,
     engines: BTreeMap<EngineId, IndexedEngine>,
-    live: FxHashMap<StartNumber, EngineId>,
-    next_start: u32,
-    blocks: FxHashMap<SequenceHash, Starts>,
+    live_epochs: FxHashMap<EngineEpoch, EngineId>,
+    next_epoch: u32,
+    blocks: FxHashMap<SequenceHash, EngineEpochs>,
     entries: usize,
-    swept_entries: usize,
+    entries_after_sweep: usize,
     expected: ExpectedBlocks,
-    questions: VecDeque<(QuestionId, Vec<SequenceHash>)>,
+    recent_lookups: VecDeque<(LookupId, Vec<SequenceHash>)>,
 }
 
 impl Indexer {
-    /// An empty index.
+    /// Creates an empty index.
     pub fn new(params: IndexerParams) -> Self {
         Self {
             expected: ExpectedBlocks::new(params.booking_lifetime),
             params,
             engines: BTreeMap::new(),
-            live: FxHashMap::default(),
-            next_start: 0,
+            live_epochs: FxHashMap::default(),
+            next_epoch: 0,
             blocks: FxHashMap::default(),
             entries: 0,
-            swept_entries: 0,
-            questions: VecDeque::new(),
+            entries_after_sweep: 0,
+            recent_lookups: VecDeque::new(),
         }
     }
 
-    /// Blocks known, each as often as engines hold it.
+    /// Number of entries, one for each engine of each block. Includes entries of earlier epochs
+    /// that were not removed yet.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    /// What is to be asked of an engine next.
+    /// Returns which report to request from an engine next. After lost changes this is a complete
+    /// report, but at most one in each resync interval.
     pub fn wanted(&self, engine: EngineId, now: Timestamp) -> ReportWanted {
         let Some(known) = self.engines.get(&engine) else {
             return ReportWanted::Complete;
         };
-        let rested = now.since(known.resynced_at) >= self.params.resync_interval;
-        if known.changes_lost && rested {
+        let interval_elapsed = now.since(known.resynced_at) >= self.params.resync_interval;
+        if known.changes_lost && interval_elapsed {
             return ReportWanted::Complete;
         }
         ReportWanted::ChangesFrom(known.incarnation, known.next_change)
     }
 
-    /// Takes in an engine's report.
+    /// Applies a cache report. Changes that were already applied are skipped; a gap in the numbers
+    /// marks changes as lost.
     pub fn on_report(&mut self, engine: EngineId, report: &CacheReport, now: Timestamp) {
         let known = self.engines.get(&engine);
-        let same_start = known.is_some_and(|known| known.incarnation == report.incarnation);
-        if !same_start || report.complete {
-            self.begin_start(engine, report, now);
+        let same_incarnation = known.is_some_and(|known| known.incarnation == report.incarnation);
+        if !same_incarnation || report.complete {
+            self.begin_epoch(engine, report, now);
         }
         let Some(known) = self.engines.get_mut(&engine) else {
             return;
@@ -196,20 +204,20 @@
             known.changes_lost |= report.first > known.next_change;
             let repeated = known.next_change.saturating_sub(report.first) as usize;
             changes = changes.get(repeated..).unwrap_or_default();
-            let behind = report.first + report.changes.len() as u64;
-            known.next_change = known.next_change.max(behind);
+            let next_reported = report.first + report.changes.len() as u64;
+            known.next_change = known.next_change.max(next_reported);
         }
-        let start = known.start;
+        let epoch = known.epoch;
         for change in changes {
             match change {
-                CacheChange::Stored(block) => self.store(*block, start),
-                CacheChange::Removed(block) => self.remove(*block, start),
+                CacheChange::Stored(block) => self.store(*block, epoch),
+                CacheChange::Removed(block) => self.remove(*block, epoch),
             }
         }
         self.sweep();
     }
 
-    /// Takes in how busy an engine was.
+    /// Updates the load of an engine and removes the bookings that the report already includes.
     pub fn on_load(&mut self, engine: EngineId, load: LoadReport) {
         if let Some(known) = self.engines.get_mut(&engine) {
             known.load = load;
@@ -217,59 +225,63 @@
         }
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that no longer exists.
     pub fn forget(&mut self, engine: EngineId) {
         if let Some(known) = self.engines.remove(&engine) {
-            self.live.remove(&known.start);
+            self.live_epochs.remove(&known.epoch);
         }
     }
 
-    /// The engines known.
+    /// The engines in the index.
     pub fn engines(&self) -> impl Iterator<Item = EngineId> + '_ {
         self.engines.keys().copied()
     }
 
-    /// Answers a question: of the candidates, those at which the prompt's first token is expected
-    /// soonest, best first.
+    /// Answers a lookup with the candidates that have the lowest cost for the prompt, best first,
+    /// and keeps its prefixes for the booking that follows.
     pub fn ask(
         &mut self,
-        question: &Question,
+        lookup: &IndexLookup,
         candidates: impl Iterator<Item = EngineId>,
         now: Timestamp,
     ) -> Vec<Holding> {
-        let deepest = self.deepest(&question.prefixes, now);
+        let deepest = self.deepest(&lookup.prefixes, now);
         let mut holdings: Vec<(f64, Holding)> = candidates
             .filter_map(|engine| self.holding(engine, &deepest, now))
-            .map(|holding| (cost_tokens(question, &holding), holding))
+            .map(|holding| (cost_tokens(lookup, &holding), holding))
             .collect();
         holdings.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.engine.cmp(&b.1.engine)));
-        holdings.truncate(question.limit);
-        if self.questions.len() == self.params.remembered_questions {
-            self.questions.pop_front();
+        holdings.truncate(lookup.limit);
+        if self.recent_lookups.len() == self.params.remembered_lookups {
+            self.recent_lookups.pop_front();
         }
-        let hashes = question.prefixes.iter().map(|prefix| prefix.hash).collect();
-        self.questions.push_back((question.id, hashes));
+        let hashes = lookup.prefixes.iter().map(|prefix| prefix.hash).collect();
+        self.recent_lookups.push_back((lookup.id, hashes));
         holdings.into_iter().map(|(_, holding)| holding).collect()
     }
 
-    /// The booking that follows a question, with the question's prefixes.
-    pub fn booking_of(
+    /// Creates the booking that follows a lookup, with the prefixes of that lookup. They are empty
+    /// if the lookup is not kept any more.
+    pub fn booking_for_lookup(
         &mut self,
-        question: QuestionId,
+        lookup: LookupId,
         engine: EngineId,
         missing_tokens: u32,
     ) -> Booking {
-        // The latest questions are booked first, as a rule.
-        let asked = self.questions.iter().rposition(|(id, _)| *id == question);
-        let taken = asked.and_then(|position| self.questions.remove(position));
+        // A booking usually follows one of the latest lookups.
+        let lookup_position = self
+            .recent_lookups
+            .iter()
+            .rposition(|(id, _)| *id == lookup);
+        let removed = lookup_position.and_then(|position| self.recent_lookups.remove(position));
         Booking {
             engine,
             missing_tokens,
-            prefixes: taken.map_or(Vec::new(), |(_, prefixes)| prefixes),
+            prefixes: removed.map_or(Vec::new(), |(_, prefixes)| prefixes),
         }
     }
 
-    /// A router placed a request.
+    /// Records a booking: the engine will compute the missing tokens and cache the prefixes.
     pub fn book(&mut self, booking: &Booking, now: Timestamp) {
         let Some(known) = self.engines.get_mut(&booking.engine) else {
             return;
@@ -282,9 +294,9 @@
             tokens: booking.missing_tokens,
             at: now,
         });
-        let start = known.start;
+        let epoch = known.epoch;
         for prefix in &booking.prefixes {
-            self.expected.expect(*prefix, start, now);
+            self.expected.expect(*prefix, epoch, now);
         }
     }
 
@@ -296,7 +308,7 @@
     ) -> Option<Holding> {
         let known = self.engines.get(&engine)?;
         let blocks = deepest.get(&engine).copied().unwrap_or(0);
-        // What was removed may be among the changes that were lost.
+        // The lost changes may include removals, so only half of the blocks are trusted.
         let trusted = if known.changes_lost {
             blocks / 2
         } else {
@@ -310,14 +322,15 @@
         })
     }
 
-    /// The blocks of the longest prefix that each engine holds, or soon will.
-    fn deepest(&self, prefixes: &[QuestionPrefix], now: Timestamp) -> FxHashMap<EngineId, u32> {
+    /// For each engine, the length in blocks of the longest prefix that it caches or will cache
+    /// soon.
+    fn deepest(&self, prefixes: &[LookupPrefix], now: Timestamp) -> FxHashMap<EngineId, u32> {
         let mut deepest = FxHashMap::default();
         for prefix in prefixes.iter().rev() {
             let held = self.blocks.get(&prefix.hash).into_iter().flatten().copied();
-            let expected = self.expected.starts(prefix.hash, now);
-            for start in held.chain(expected) {
-                if let Some(engine) = self.live.get(&start) {
+            let expected = self.expected.epochs(prefix.hash, now);
+            for epoch in held.chain(expected) {
+                if let Some(engine) = self.live_epochs.get(&epoch) {
                     deepest.entry(*engine).or_insert(prefix.blocks);
                 }
             }
@@ -325,18 +338,18 @@
         deepest
     }
 
-    fn begin_start(&mut self, engine: EngineId, report: &CacheReport, now: Timestamp) {
+    fn begin_epoch(&mut self, engine: EngineId, report: &CacheReport, now: Timestamp) {
         let before = self.engines.remove(&engine);
         if let Some(before) = &before {
-            self.live.remove(&before.start);
+            self.live_epochs.remove(&before.epoch);
         }
         let same = before.filter(|before| before.incarnation == report.incarnation);
-        self.next_start += 1;
-        let start = StartNumber(self.next_start);
-        self.live.insert(start, engine);
+        self.next_epoch += 1;
+        let epoch = EngineEpoch(self.next_epoch);
+        self.live_epochs.insert(epoch, engine);
         let indexed = IndexedEngine {
             incarnation: report.incarnation,
-            start,
+            epoch,
             next_change: if report.complete { report.first } else { 1 },
             changes_lost: false,
             resynced_at: now,
@@ -348,45 +361,46 @@
         self.engines.insert(engine, indexed);
     }
 
-    fn store(&mut self, block: SequenceHash, start: StartNumber) {
-        let starts = self.blocks.entry(block).or_default();
-        let before = starts.len();
-        starts.retain(|existing| self.live.contains_key(existing) && *existing != start);
-        starts.push(start);
-        self.entries = self.entries + starts.len() - before;
+    fn store(&mut self, block: SequenceHash, epoch: EngineEpoch) {
+        let epochs = self.blocks.entry(block).or_default();
+        let before = epochs.len();
+        epochs.retain(|existing| self.live_epochs.contains_key(existing) && *existing != epoch);
+        epochs.push(epoch);
+        self.entries = self.entries + epochs.len() - before;
     }
 
-    fn remove(&mut self, block: SequenceHash, start: StartNumber) {
-        let Some(starts) = self.blocks.get_mut(&block) else {
+    fn remove(&mut self, block: SequenceHash, epoch: EngineEpoch) {
+        let Some(epochs) = self.blocks.get_mut(&block) else {
             return;
         };
-        let before = starts.len();
-        starts.retain(|existing| *existing != start);
-        self.entries -= before - starts.len();
-        if starts.is_empty() {
+        let before = epochs.len();
+        epochs.retain(|existing| *existing != epoch);
+        self.entries -= before - epochs.len();
+        if epochs.is_empty() {
             self.blocks.remove(&block);
         }
     }
 
-    /// Drops what earlier starts left, whenever the entries have doubled since the last time.
+    /// Removes the entries of earlier epochs whenever the entries have doubled since the last
+    /// sweep.
     fn sweep(&mut self) {
         const MIN_ENTRIES: usize = 10_000;
-        if self.entries < self.swept_entries.max(MIN_ENTRIES) * 2 {
+        if self.entries < self.entries_after_sweep.max(MIN_ENTRIES) * 2 {
             return;
         }
-        let live = &self.live;
-        self.blocks.retain(|_, starts| {
-            starts.retain(|start| live.contains_key(start));
-            !starts.is_empty()
+        let live_epochs = &self.live_epochs;
+        self.blocks.retain(|_, epochs| {
+            epochs.retain(|epoch| live_epochs.contains_key(epoch));
+            !epochs.is_empty()
         });
         self.entries = self.blocks.values().map(SmallVec::len).sum();
-        self.swept_entries = self.entries;
+        self.entries_after_sweep = self.entries;
     }
 }
 
 impl IndexedEngine {
-    /// What is expected to wait now: the reported queue and the bookings since, in the order of
-    /// time, less what the engine has computed in between.
+    /// Estimated prompt tokens in the queue now: the reported queue and the later bookings in
+    /// chronological order, minus the tokens that the engine has computed in the meantime.
     fn waiting_tokens(&self, now: Timestamp, params: &IndexerParams) -> u32 {
         let drained = |waiting: f64, from: Timestamp, to: Timestamp| {
             let elapsed_us = to.since(from).as_micros() as f64;
@@ -403,18 +417,19 @@
     }
 }
 
-fn cost_tokens(question: &Question, holding: &Holding) -> f64 {
-    let held = holding.blocks * question.block_tokens;
-    let missing = question.prompt_tokens.saturating_sub(held);
-    f64::from(holding.waiting_tokens) + f64::from(missing) * question.recompute_weight
+fn cost_tokens(lookup: &IndexLookup, holding: &Holding) -> f64 {
+    let held = holding.blocks * lookup.block_tokens;
+    let missing = lookup.prompt_tokens.saturating_sub(held);
+    f64::from(holding.waiting_tokens) + f64::from(missing) * lookup.recompute_weight
 }
 
-/// Blocks that engines will hold soon, in two generations that each last a lifetime.
+/// Blocks that engines will cache soon according to bookings. Two generations expire them: each
+/// collects bookings for one `lifetime` and is kept for one more.
 #[derive(Clone, Debug)]
 struct ExpectedBlocks {
     lifetime: Duration,
-    young: FxHashMap<SequenceHash, Starts>,
-    old: FxHashMap<SequenceHash, Starts>,
+    young: FxHashMap<SequenceHash, EngineEpochs>,
+    old: FxHashMap<SequenceHash, EngineEpochs>,
     young_since: Timestamp,
 }
 
@@ -428,22 +443,22 @@
         }
     }
 
-    fn expect(&mut self, block: SequenceHash, start: StartNumber, now: Timestamp) {
+    fn expect(&mut self, block: SequenceHash, epoch: EngineEpoch, now: Timestamp) {
         if now.since(self.young_since) >= self.lifetime {
             self.old = std::mem::take(&mut self.young);
             self.young_since = now;
         }
-        let starts = self.young.entry(block).or_default();
-        if !starts.contains(&start) {
-            starts.push(start);
+        let epochs = self.young.entry(block).or_default();
+        if !epochs.contains(&epoch) {
+            epochs.push(epoch);
         }
     }
 
-    fn starts(
+    fn epochs(
         &self,
         block: SequenceHash,
         now: Timestamp,
-    ) -> impl Iterator<Item = StartNumber> + '_ {
+    ) -> impl Iterator<Item = EngineEpoch> + '_ {
         let age = now.since(self.young_since);
         let young = (age < self.lifetime * 2).then_some(&self.young);
         let old = (age < self.lifetime).then_some(&self.old);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,12 +1,21 @@
 //! Cache-aware placement, admission and retries, as state machines without I/O or clock.
 //!
-//! One file for each role: [`protocols`] (what engines say), [`prefix`] (what a prompt is made
-//! of), [`index`] (who one router believes holds what), [`publisher`] and [`indexer`] (who holds
-//! what, for all routers), [`engines`] (what is known of each engine),
-//! [`scheduler`] (which engine a request goes to), [`placer`] (all of these together),
-//! [`admission`] (whether it may start),
-//! [`retry`] (whether it may be tried again), [`decision`] (what was believed, for later),
-//! [`recorder`] (what a placer was told, to be replayed).
+//! An engine is a back end that serves a model and caches blocks of prompts. The modules:
+//!
+//! - [`protocols`]: the cache reports that engines send.
+//! - [`prefix`]: the hashed prefixes of a prompt.
+//! - [`index`]: one router's own estimate of which engine caches which prefix.
+//! - [`publisher`] and [`indexer`]: the index that all routers share, and the engines' side of it.
+//! - [`engines`]: the state, load and speed of each engine.
+//! - [`prefix_rates`] and [`rendezvous`]: how often a prefix is requested, and its preferred
+//!   engines.
+//! - [`scheduler`]: chooses the engine for a request.
+//! - [`placer`]: combines engines, index and scheduler.
+//! - [`admission`]: decides whether a request may start.
+//! - [`fair_queue`]: holds the requests that wait for an engine.
+//! - [`retry`]: decides whether a request may be retried.
+//! - [`decision`]: records the decisions and the data that they were based on.
+//! - [`recorder`]: replays the recorded inputs of a placer.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
@@ -14,16 +23,16 @@
 pub mod decision;
 pub mod engines;
 pub mod fair_queue;
-pub mod heat;
 mod homes;
 pub mod index;
 pub mod indexer;
+mod lookup_budget;
 mod params;
 pub mod placer;
 pub mod prefix;
+pub mod prefix_rates;
 pub mod protocols;
 pub mod publisher;
-mod question_budget;
 pub mod recorder;
 pub mod rendezvous;
 pub mod retry;
@@ -33,13 +42,13 @@
 pub use decision::{AttemptRecord, CandidateRecord, DecisionLog, DecisionRecord};
 pub use engines::{Engine, EngineObservation, EngineSet, EngineState, LoadReport};
 pub use fair_queue::{FairQueue, QueuedItem};
-pub use index::{BeliefIndex, BeliefParams};
+pub use index::{PrefixIndex, PrefixIndexParams};
 pub use indexer::{
-    Booking, Holding, Indexer, IndexerParams, Question, QuestionId, QuestionPrefix, ReportWanted,
+    Booking, Holding, IndexLookup, Indexer, IndexerParams, LookupId, LookupPrefix, ReportWanted,
 };
 pub use params::{Policy, SchedulerParams};
 pub use placer::{AnswerLoad, AnswerReport, Decision, LookupAnswer, Placement, Placer};
-pub use prefix::{PrefixChain, PrefixRoot, Prompt, MAX_QUESTION_PREFIXES};
+pub use prefix::{PrefixChain, PrefixRoot, Prompt, MAX_LOOKUP_PREFIXES};
 pub use protocols::{CacheChange, CacheReport, SequenceHash};
 pub use publisher::CachePublisher;
 pub use retry::{RetryBudget, RetryParams};
--- a/crates/routing/src/placer.rs
+++ b/crates/routing/src/placer.rs
@@ -1,5 +1,5 @@
-//! Puts requests on engines and learns from what came of it: scheduler, beliefs and engines
-//! together, as a router or an embedding project uses them.
+//! Places requests on engines and updates its estimates from the outcomes. Combines scheduler,
+//! prefix index and engines for a router or an embedding project.
 
 use std::time::Duration;
 
@@ -7,64 +7,67 @@
 use serde::{Deserialize, Serialize};
 
 use crate::index::Overlap;
-use crate::question_budget::QuestionBudget;
+use crate::lookup_budget::LookupBudget;
 use crate::{
-    BeliefIndex, BeliefParams, Choice, Engine, EngineSet, KnownCache, LoadReport, NoChoice, Policy,
-    RoutingRequest, Scheduler, MAX_QUESTION_PREFIXES,
+    Choice, Engine, EngineSet, KnownCache, LoadReport, NoChoice, Policy, PrefixIndex,
+    PrefixIndexParams, RoutingRequest, Scheduler, MAX_LOOKUP_PREFIXES,
 };
 
-/// Times to the first token below this say little about an engine's speed.
+/// Requests with a shorter expected time to the first token say little about an engine's speed and
+/// are not used to measure it.
 const MIN_SPEED_SAMPLE_US: f64 = 10_000.0;
 
-/// What an engine's answer says when it begins.
+/// What an engine reports at the beginning of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerReport {
-    /// Prompt tokens that it found in its cache.
+    /// Prompt tokens of the request that were cached.
     pub cached_tokens: Option<u32>,
-    /// Prompt tokens that wait there at this moment, and sequences that run.
+    /// The current load of the engine.
     pub load: Option<AnswerLoad>,
 }
 
-/// How busy an engine says it is, in an answer.
+/// The load of an engine, as part of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerLoad {
-    /// Prompt tokens that wait.
+    /// Prompt tokens in the queue.
     pub waiting_tokens: u32,
-    /// Sequences that run.
+    /// Sequences that are running.
     pub running: u32,
 }
 
-/// What becomes of a request.
+/// The result of [`Placer::place`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It goes to an engine, on which it is booked.
+    /// The request goes to an engine, whose estimated load and cache now include it.
     Placed(Placement, Choice),
-    /// Ask the index, and place it with the answer; until then this engine looks best.
+    /// Send a lookup to the shared index and call [`Placer::place_informed`] with its answer.
+    /// Without an answer this engine is the best choice.
     Ask(EngineId),
 }
 
-/// What the index answers of one engine.
+/// What the shared index answers about one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupAnswer {
-    /// The engine.
+    /// The engine that the answer describes.
     pub engine: EngineId,
-    /// Prompt tokens that it holds.
+    /// Prompt tokens that the engine caches.
     pub cached_tokens: u32,
-    /// How busy it is.
+    /// The estimated load of the engine.
     pub load: AnswerLoad,
 }
 
-/// A request on an engine, to be handed back when something is known of it.
+/// A request that was placed on an engine. The caller passes it to the `on_` methods of [`Placer`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
-    /// The engine.
+    /// The engine that the request goes to.
     pub engine: EngineId,
-    /// The start of the engine that was believed; a fence.
+    /// The last known incarnation. It is sent along as a fence: the engine refuses the request if
+    /// it has restarted.
     pub incarnation: Incarnation,
     request: u64,
     prompt_tokens: u32,
-    believed: Option<Overlap>,
-    believed_tokens: u32,
+    index_overlap: Option<Overlap>,
+    index_overlap_tokens: u32,
     expected_tokens: u32,
     waiting_tokens: u32,
     placed_at: Timestamp,
@@ -77,22 +80,22 @@
     }
 }
 
-/// Engines, beliefs about their caches, and the scheduler that chooses among them.
+/// The known engines, the estimate of their caches, and the scheduler.
 #[derive(Clone, Debug)]
 pub struct Placer {
     engines: EngineSet,
-    index: BeliefIndex,
+    index: PrefixIndex,
     scheduler: Scheduler,
-    questions: QuestionBudget,
+    lookup_budget: LookupBudget,
 }
 
 impl Placer {
-    /// Knows no engines and believes nothing.
-    pub fn new(scheduler: Scheduler, belief: BeliefParams) -> Self {
+    /// Creates a placer without engines and with an empty index.
+    pub fn new(scheduler: Scheduler, index_params: PrefixIndexParams) -> Self {
         Self {
             engines: EngineSet::default(),
-            index: BeliefIndex::new(belief),
-            questions: QuestionBudget::new(
+            index: PrefixIndex::new(index_params),
+            lookup_budget: LookupBudget::new(
                 scheduler.params().index_bytes_per_second,
                 scheduler.params().index_stake_tokens,
             ),
@@ -100,33 +103,33 @@
         }
     }
 
-    /// The engines.
+    /// The known engines.
     pub fn engines(&self) -> &EngineSet {
         &self.engines
     }
 
-    /// The engines, to take in what is reported of them.
+    /// The known engines, to apply reports about them.
     pub fn engines_mut(&mut self) -> &mut EngineSet {
         &mut self.engines
     }
 
-    /// The scheduler.
+    /// The scheduler with its parameters.
     pub fn scheduler(&self) -> &Scheduler {
         &self.scheduler
     }
 
-    /// The beliefs, to take in what engines publish of their caches.
-    pub fn index_mut(&mut self) -> &mut BeliefIndex {
+    /// This router's prefix index, to apply the cache events of engines.
+    pub fn index_mut(&mut self) -> &mut PrefixIndex {
         &mut self.index
     }
 
-    /// Sets how many routers see the same traffic.
+    /// Sets the number of routers that receive the same kind of traffic.
     pub fn set_routers(&mut self, routers: f64) {
         self.scheduler.set_routers(routers);
     }
 
-    /// Chooses an engine and books the request on it, or says that the index is to be asked first.
-    /// `request` is the caller's own number.
+    /// Chooses an engine and records the request on it, or returns that the shared index is to be
+    /// queried first. `request` is a number chosen by the caller.
     pub fn place(
         &mut self,
         request: u64,
@@ -136,18 +139,18 @@
         let choice = self
             .scheduler
             .choose(&self.engines, &self.index, routing, now)?;
-        let prefixes = routing.chain.hashes().len().min(MAX_QUESTION_PREFIXES);
+        let prefixes = routing.chain.hashes().len().min(MAX_LOOKUP_PREFIXES);
         let informed = self.scheduler.params().policy == Policy::Product;
         let may_ask = routing.may_ask && informed && prefixes > 0;
-        if may_ask && self.questions.take(prefixes, choice.stake_tokens, now) {
+        if may_ask && self.lookup_budget.take(prefixes, choice.stake_tokens, now) {
             return Ok(Decision::Ask(choice.engine));
         }
         let (placement, choice) = self.book(request, routing, choice, now)?;
         Ok(Decision::Placed(placement, choice))
     }
 
-    /// Places a request with what the index answered; an empty answer leaves it to what is
-    /// believed here.
+    /// Places a request with the answer of the shared index. With an empty answer, the choice uses
+    /// this router's own estimates.
     pub fn place_informed(
         &mut self,
         request: u64,
@@ -172,7 +175,7 @@
             })
             .collect();
         let informed = RoutingRequest {
-            known: Some(&known),
+            index_answer: Some(&known),
             may_ask: false,
             ..*routing
         };
@@ -200,9 +203,9 @@
             incarnation,
             request,
             prompt_tokens: chain.prompt_tokens(),
-            believed: choice.believed,
-            believed_tokens: choice
-                .believed
+            index_overlap: choice.index_overlap,
+            index_overlap_tokens: choice
+                .index_overlap
                 .map_or(0, |overlap| chain.tokens_in(overlap.blocks)),
             expected_tokens: choice.expected_cached_tokens,
             waiting_tokens: engine.waiting_tokens(),
@@ -217,9 +220,9 @@
         Ok((placement, choice))
     }
 
-    /// The first token arrived, with what the engine says beside it: that is fresher than any
-    /// report by way of the control machines. Returns the tokens that were expected to be cached
-    /// and were not.
+    /// Records the arrival of the first token. The load in `report` is newer than any report that
+    /// the control machines forward. Returns the number of prompt tokens that were expected in the
+    /// cache and were missing.
     pub fn on_first_token(
         &mut self,
         placement: &Placement,
@@ -241,24 +244,25 @@
         let Some(cached) = report.cached_tokens else {
             return 0;
         };
-        if let Some(overlap) = placement.believed {
+        if let Some(overlap) = placement.index_overlap {
             let age = placement.placed_at.since(overlap.used_at);
-            engine.observe_retention(age, cached >= placement.believed_tokens);
+            engine.observe_retention(age, cached >= placement.index_overlap_tokens);
         }
         if let Some(took) = took {
-            learn_speed(engine, placement, cached, took, prefill_us);
+            update_slowness(engine, placement, cached, took, prefill_us);
         }
         placement.expected_tokens.saturating_sub(cached)
     }
 
-    /// The request is over, however it ended.
+    /// Records the end of a request, successful or not.
     pub fn on_ended(&mut self, placement: &Placement) {
         if let Some(engine) = self.engines.get_mut(placement.engine) {
             engine.on_ended(placement.request);
         }
     }
 
-    /// The engine failed the request; it is avoided until a time.
+    /// Records that the request failed at the engine. With a time, the engine counts as suspect
+    /// until then.
     pub fn on_failed(&mut self, placement: &Placement, avoided_until: Option<Timestamp>) {
         self.on_ended(placement);
         if let Some(engine) = self.engines.get_mut(placement.engine) {
@@ -267,7 +271,7 @@
     }
 }
 
-fn learn_speed(
+fn update_slowness(
     engine: &mut Engine,
     placement: &Placement,
     cached: u32,
@@ -278,6 +282,6 @@
     let work = f64::from(placement.waiting_tokens) + f64::from(missing);
     let expected_us = work * prefill_us;
     if expected_us >= MIN_SPEED_SAMPLE_US {
-        engine.observe_speed(took.as_micros() as f64 / expected_us);
+        engine.observe_slowness(took.as_micros() as f64 / expected_us);
     }
 }
--- a/crates/routing/src/heat.rs
+++ b/crates/routing/src/prefix_rates.rs
@@ -1,4 +1,4 @@
-//! How often prefixes are asked for, as exponentially decayed rates in bounded memory.
+//! Request rates of prefixes, as exponentially decayed counts in bounded memory.
 
 use std::time::Duration;
 
@@ -13,18 +13,19 @@
     at: Timestamp,
 }
 
-/// Decayed request rates of prefixes. Two generations bound the memory: when the young one is
-/// full it becomes the old one, and what was not asked for since is forgotten.
+/// Decayed request rates of prefixes. Two generations bound the memory: a full young generation
+/// replaces the old one, which drops the prefixes that were not requested in the meantime.
 #[derive(Clone, Debug)]
-pub struct HeatMap {
+pub struct PrefixRates {
     time_constant: Duration,
     generation_entries: usize,
     young: FxHashMap<SequenceHash, Counter>,
     old: FxHashMap<SequenceHash, Counter>,
 }
 
-impl HeatMap {
-    /// `time_constant` is how far back a rate looks; `capacity` bounds the entries.
+impl PrefixRates {
+    /// Counts decay by a factor of e in each `time_constant`; `capacity` limits the number of
+    /// entries.
     pub fn new(time_constant: Duration, capacity: usize) -> Self {
         Self {
             time_constant,
@@ -34,8 +35,8 @@
         }
     }
 
-    /// What one request adds to a rate, in requests a second.
-    pub fn own_rate(&self) -> f64 {
+    /// The amount by which one request increases a rate, in requests a second.
+    pub fn rate_per_request(&self) -> f64 {
         1.0 / self.time_constant.as_secs_f64()
     }
 
@@ -44,8 +45,8 @@
         self.count(prefix, now) / self.time_constant.as_secs_f64()
     }
 
-    /// Counts one request for a prefix and returns its rate with it, in requests a second.
-    pub fn touch(&mut self, prefix: SequenceHash, now: Timestamp) -> f64 {
+    /// Counts one request for a prefix and returns the new rate, in requests a second.
+    pub fn record_request(&mut self, prefix: SequenceHash, now: Timestamp) -> f64 {
         let decayed = self.count(prefix, now);
         self.rotate_when_full();
         self.young.insert(
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -14,9 +14,9 @@
 };
 use crate::scheduler::{NoChoice, RoutingRequest};
 use crate::{
-    BeliefIndex, BeliefParams, Choice, EngineObservation, EngineSet, EngineState, FairQueue,
-    LoadReport, PrefixChain, PrefixRoot, Prompt, QueuedItem, RetryBudget, RetryParams, Scheduler,
-    SchedulerParams, SequenceHash,
+    Choice, EngineObservation, EngineSet, EngineState, FairQueue, LoadReport, PrefixChain,
+    PrefixIndex, PrefixIndexParams, PrefixRoot, Prompt, QueuedItem, RetryBudget, RetryParams,
+    Scheduler, SchedulerParams, SequenceHash,
 };
 
 const NOW: Timestamp = Timestamp(1_000_000_000);
@@ -48,14 +48,14 @@
     }
 }
 
-struct World {
+struct SchedulerFixture {
     engines: EngineSet,
-    index: BeliefIndex,
+    index: PrefixIndex,
     scheduler: Scheduler,
     chain: PrefixChain,
 }
 
-impl World {
+impl SchedulerFixture {
     fn new(count: usize) -> Self {
         let mut engines = EngineSet::default();
         for number in 0..count {
@@ -64,7 +64,7 @@
         let hashes = (1..=4).map(SequenceHash).collect();
         Self {
             engines,
-            index: BeliefIndex::new(BeliefParams::default()),
+            index: PrefixIndex::new(PrefixIndexParams::default()),
             scheduler: Scheduler::new(SchedulerParams::default(), ChaCha8Rng::seed_from_u64(1)),
             chain: PrefixChain::from_hashes(hashes, 2_048, 9_000),
         }
@@ -78,22 +78,22 @@
             zone: &ZoneName::new("a"),
             excluded: &[],
             goal: Default::default(),
-            known: None,
+            index_answer: None,
             may_ask: false,
         };
         self.scheduler
             .choose(&self.engines, &self.index, &request, NOW)
     }
 
-    fn believe(&mut self, name: &str, incarnation: u64) {
+    fn record_cached(&mut self, name: &str, incarnation: u64) {
         let engine = EngineName::new(name).id();
         self.index
             .record_chain(&self.chain, engine, Incarnation(incarnation), NOW);
     }
 }
 
-fn chosen_name(world: &World, choice: &Choice) -> String {
-    world
+fn chosen_name(fixture: &SchedulerFixture, choice: &Choice) -> String {
+    fixture
         .engines
         .get(choice.engine)
         .unwrap()
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn prefixes_of_other_tenants_and_versions_never_meet() {
+fn prefixes_of_different_tenants_or_versions_share_no_hashes() {
     let text = "x".repeat(1_000);
     let chain = |root| {
         PrefixChain::new(root, Prompt::Text(&text), 16)
@@ -128,22 +128,22 @@
 
 #[test]
 fn the_engine_that_holds_the_prefix_is_chosen() {
-    let mut world = World::new(8);
-    world.believe("e5", 1);
-    let choice = world.choose().unwrap();
-    assert_eq!(chosen_name(&world, &choice), "e5");
+    let mut fixture = SchedulerFixture::new(8);
+    fixture.record_cached("e5", 1);
+    let choice = fixture.choose().unwrap();
+    assert_eq!(chosen_name(&fixture, &choice), "e5");
     assert_eq!(choice.expected_cached_tokens, 8_192);
 }
 
 #[test]
-fn a_belief_about_an_earlier_start_counts_for_nothing() {
-    let mut world = World::new(8);
-    world.believe("e5", 1);
-    world
+fn index_entries_of_an_earlier_incarnation_are_ignored() {
+    let mut fixture = SchedulerFixture::new(8);
+    fixture.record_cached("e5", 1);
+    fixture
         .engines
         .observe(observation("e5", 2, 1, EngineState::Ready));
-    let choice = world.choose().unwrap();
-    assert!(choice.believed.is_none());
+    let choice = fixture.choose().unwrap();
+    assert!(choice.index_overlap.is_none());
     let restarted = choice
         .candidates
         .iter()
@@ -156,46 +156,48 @@
 #[case::leaving(1, EngineState::Leaving)]
 #[case::joining(1, EngineState::Joining)]
 #[case::older_weights(0, EngineState::Ready)]
-fn an_engine_that_may_not_serve_gets_nothing(#[case] version: u64, #[case] state: EngineState) {
-    let mut world = World::new(1);
-    world.engines.observe(observation("e0", 1, version, state));
-    world.believe("e0", 1);
-    assert_eq!(world.choose().unwrap_err(), NoChoice::NoneReady);
+fn an_ineligible_engine_receives_no_requests(#[case] version: u64, #[case] state: EngineState) {
+    let mut fixture = SchedulerFixture::new(1);
+    fixture
+        .engines
+        .observe(observation("e0", 1, version, state));
+    fixture.record_cached("e0", 1);
+    assert_eq!(fixture.choose().unwrap_err(), NoChoice::NoneReady);
 }
 
 #[test]
-fn a_full_holder_is_passed_over_and_all_full_is_said() {
-    let mut world = World::new(2);
-    world.believe("e0", 1);
+fn a_full_holder_is_skipped_and_all_full_is_reported() {
+    let mut fixture = SchedulerFixture::new(2);
+    fixture.record_cached("e0", 1);
     let busy = LoadReport {
         waiting_tokens: 500_000,
         running: 1,
         at: NOW,
     };
-    world
+    fixture
         .engines
         .get_mut(EngineName::new("e0").id())
         .unwrap()
         .load = busy;
-    let choice = world.choose().unwrap();
-    assert_eq!(chosen_name(&world, &choice), "e1");
-    world
+    let choice = fixture.choose().unwrap();
+    assert_eq!(chosen_name(&fixture, &choice), "e1");
+    fixture
         .engines
         .get_mut(EngineName::new("e1").id())
         .unwrap()
         .load = busy;
-    assert_eq!(world.choose().unwrap_err(), NoChoice::AllFull);
+    assert_eq!(fixture.choose().unwrap_err(), NoChoice::AllFull);
 }
 
 #[test]
-fn routers_that_never_spoke_agree_on_a_home() {
+fn routers_agree_on_a_home_without_communication() {
     let chosen: Vec<String> = (0..5)
         .map(|seed| {
-            let mut world = World::new(100);
+            let mut fixture = SchedulerFixture::new(100);
             let random = ChaCha8Rng::seed_from_u64(seed);
-            world.scheduler = Scheduler::new(SchedulerParams::default(), random);
-            let choice = world.choose().unwrap();
-            chosen_name(&world, &choice)
+            fixture.scheduler = Scheduler::new(SchedulerParams::default(), random);
+            let choice = fixture.choose().unwrap();
+            chosen_name(&fixture, &choice)
         })
         .collect();
     assert!(chosen.iter().all(|name| *name == chosen[0]), "{chosen:?}");
@@ -203,20 +205,20 @@
 
 #[test]
 fn a_suspect_engine_is_a_last_resort() {
-    let mut world = World::new(2);
-    world.believe("e0", 1);
-    let engine = world.engines.get_mut(EngineName::new("e0").id()).unwrap();
+    let mut fixture = SchedulerFixture::new(2);
+    fixture.record_cached("e0", 1);
+    let engine = fixture.engines.get_mut(EngineName::new("e0").id()).unwrap();
     engine.suspect_until = Some(NOW.plus(Duration::from_secs(1)));
-    let choice = world.choose().unwrap();
-    assert_eq!(chosen_name(&world, &choice), "e1");
-    world.engines.remove(EngineName::new("e1").id());
-    assert!(world.choose().is_ok());
+    let choice = fixture.choose().unwrap();
+    assert_eq!(chosen_name(&fixture, &choice), "e1");
+    fixture.engines.remove(EngineName::new("e1").id());
+    assert!(fixture.choose().is_ok());
 }
 
 #[test]
-fn what_was_sent_since_the_report_counts_as_load() {
-    let mut world = World::new(1);
-    let engine = world.engines.get_mut(EngineName::new("e0").id()).unwrap();
+fn requests_sent_since_the_load_report_count_as_load() {
+    let mut fixture = SchedulerFixture::new(1);
+    let engine = fixture.engines.get_mut(EngineName::new("e0").id()).unwrap();
     engine.on_sent(7, 900, NOW);
     assert_eq!(engine.waiting_tokens(), 900);
     let waited = engine.on_first_token(7, NOW.plus(Duration::from_millis(5)));
@@ -227,9 +229,9 @@
 }
 
 #[test]
-fn retention_moves_only_when_contradicted() {
-    let mut world = World::new(1);
-    let engine = world.engines.get_mut(EngineName::new("e0").id()).unwrap();
+fn retention_changes_only_on_a_contradicting_observation() {
+    let mut fixture = SchedulerFixture::new(1);
+    let engine = fixture.engines.get_mut(EngineName::new("e0").id()).unwrap();
     let initial = engine.retention;
     engine.observe_retention(Duration::from_secs(1), true);
     assert_eq!(engine.retention, initial);
@@ -238,12 +240,12 @@
 }
 
 #[test]
-fn the_index_keeps_to_its_bound() {
-    let params = BeliefParams {
+fn the_prefix_index_stays_within_its_capacity() {
+    let params = PrefixIndexParams {
         capacity: 100,
         holders_per_prefix: 2,
     };
-    let mut index = BeliefIndex::new(params);
+    let mut index = PrefixIndex::new(params);
     for number in 0..10_000 {
         let chain = PrefixChain::from_hashes(vec![SequenceHash(number)], 16, 16);
         index.record_chain(&chain, EngineName::new("e").id(), Incarnation(1), NOW);
@@ -269,7 +271,7 @@
 }
 
 #[test]
-fn a_rate_limit_holds_and_refills() {
+fn a_rate_limit_is_enforced_and_refills() {
     let mut admission = Admission::new(AdmissionParams { max_open: 1_000 });
     let limits = limits(10, 1_000);
     let admitted = (0..50)
@@ -284,7 +286,7 @@
 }
 
 #[test]
-fn a_concurrency_limit_holds_until_a_release() {
+fn a_concurrency_limit_is_enforced_until_a_release() {
     let mut admission = Admission::new(AdmissionParams { max_open: 1_000 });
     let limits = limits(1_000, 2);
     assert!(admit(&mut admission, &limits, NOW));
@@ -295,7 +297,7 @@
 }
 
 #[test]
-fn an_allotment_narrows_a_fleet_wide_limit() {
+fn an_allotment_lowers_a_fleet_wide_limit() {
     let mut admission = Admission::new(AdmissionParams { max_open: 1_000 });
     let limits = limits(1_000, 100);
     assert!(admit(&mut admission, &limits, NOW));
@@ -322,7 +324,7 @@
 }
 
 #[test]
-fn urgent_work_goes_first() {
+fn interactive_requests_precede_batch_requests() {
     let mut queue = FairQueue::new(10);
     queue.push(queued("a", Priority::Batch, 10, 1), 1);
     queue.push(queued("a", Priority::Interactive, 10, 2), 1);
@@ -366,7 +368,7 @@
 }
 
 #[test]
-fn retries_are_a_share_of_first_attempts() {
+fn retries_are_limited_to_a_fraction_of_first_attempts() {
     let params = RetryParams {
         max_attempts: 3,
         percent: 10,
@@ -376,16 +378,16 @@
     let tenant = TenantName::new("t");
     assert!(budget.withdraw(&tenant, 1));
     assert!(budget.withdraw(&tenant, 2));
-    assert!(!budget.withdraw(&tenant, 1), "the reserve is spent");
+    assert!(!budget.withdraw(&tenant, 1), "the reserve is used up");
     (0..10).for_each(|_| budget.deposit(&tenant));
-    assert!(!budget.withdraw(&tenant, 3), "the attempts are spent");
+    assert!(!budget.withdraw(&tenant, 3), "the attempts are used up");
     assert!(budget.withdraw(&tenant, 1));
     assert!(!budget.withdraw(&tenant, 1));
 }
 
 proptest! {
     #[test]
-    fn nothing_is_lost_in_the_queue(
+    fn every_queued_request_is_popped_or_shed(
         items in proptest::collection::vec((0u8..5, 0usize..3, 1u64..20_000), 0..60),
         capacity in 1usize..40,
     ) {
