--- a/crates/router/src/actor.rs
+++ b/crates/router/src/actor.rs
@@ -1,4 +1,5 @@
-//! The router on `stakker`: time, timers, and where effects go.
+//! A `stakker` actor around [`RouterCore`]: it supplies the time, ticks the core and carries out
+//! its effects.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,24 +15,25 @@
 use crate::exchange::{AttemptFailure, Conclusion};
 use crate::session::LinkId;
 
+/// Interval at which the core is ticked.
 const TICK: Duration = Duration::from_millis(100);
 
-/// Where the actor sends what it cannot do itself.
+/// The I/O that the actor's owner performs.
 pub struct RouterOutputs {
-    /// Make bytes last; returns once they do.
+    /// Writes bytes to a file and returns once they are durable.
     pub persist: Box<dyn FnMut(StoredFile, Vec<u8>)>,
-    /// Open a link to the control machine of this number.
+    /// Opens a link to the control machine with this index, counted from 0.
     pub connect: Fwd<(LinkId, usize)>,
-    /// Close a link.
+    /// Closes a link.
     pub close: Fwd<LinkId>,
-    /// Send a message.
+    /// Sends a message over a link.
     pub send: Fwd<(LinkId, Message)>,
 }
 
-/// The outcome of a request, with its id.
+/// A request's id and the core's decision on it.
 pub type Admitted = (RequestId, AdmitOutcome);
 
-/// A router.
+/// Runs a [`RouterCore`] and returns its decisions to the callers that wait for them.
 pub struct RouterActor {
     core: RouterCore,
     outputs: RouterOutputs,
@@ -41,7 +43,7 @@
 }
 
 impl RouterActor {
-    /// Starts the router.
+    /// Starts the actor and its periodic tick.
     pub fn init(cx: CX![], core: RouterCore, outputs: RouterOutputs) -> Option<Self> {
         let mut actor = Self {
             core,
@@ -54,22 +56,22 @@
         Some(actor)
     }
 
-    /// A request wants to run.
-    pub fn admit(&mut self, cx: CX![], ask: AdmitRequest, ret: Ret<Admitted>) {
+    /// Admits a request; `ret` receives its id and the decision on it.
+    pub fn admit(&mut self, cx: CX![], admit_request: AdmitRequest, ret: Ret<Admitted>) {
         self.set_now(cx);
-        let id = self.core.admit(ask);
+        let id = self.core.admit(admit_request);
         self.waiting.insert(id, ret);
         self.carry_out();
     }
 
-    /// An attempt's first token arrived.
+    /// Reports the first token of a request's current attempt.
     pub fn first_token(&mut self, cx: CX![], id: RequestId, report: AnswerReport) {
         self.set_now(cx);
         self.core.on_first_token(id, report);
         self.carry_out();
     }
 
-    /// An attempt failed; the request wants another outcome.
+    /// Reports a failed attempt; `ret` receives a new assignment or the final refusal.
     pub fn attempt_failed(
         &mut self,
         cx: CX![],
@@ -83,7 +85,7 @@
         self.carry_out();
     }
 
-    /// A request is over.
+    /// Reports the end of a request and releases what it occupied.
     pub fn finished(
         &mut self,
         cx: CX![],
@@ -96,28 +98,29 @@
         self.carry_out();
     }
 
-    /// A link to a control machine is up.
+    /// Reports that a link to a control machine was opened.
     pub fn connected(&mut self, cx: CX![], link: LinkId) {
         self.set_now(cx);
         self.core.on_connected(link);
         self.carry_out();
     }
 
-    /// A link ended or could not be opened.
+    /// Reports that a link was closed or could not be opened.
     pub fn closed(&mut self, cx: CX![], link: LinkId) {
         self.set_now(cx);
         self.core.on_closed(link);
         self.carry_out();
     }
 
-    /// The control machine said something.
+    /// Handles a message from the control machine.
     pub fn control_message(&mut self, cx: CX![], link: LinkId, message: Message) {
         self.set_now(cx);
         self.core.on_control_message(link, message);
         self.carry_out();
     }
 
-    /// Takes nothing new, and tells when all that is open has ended. May be said again.
+    /// Refuses new requests, and returns on `drained` once the open ones have ended and their
+    /// outcomes are stored. May be called more than once.
     pub fn stop(&mut self, cx: CX![], drained: Ret<()>) {
         self.set_now(cx);
         self.core.stop();
@@ -129,15 +132,14 @@
         self.carry_out();
     }
 
-    /// The core, to be read with [`stakker::Actor::query`] where no calls wait in the queue.
+    /// The core, for reading with [`stakker::Actor::query`] when no calls to the actor are queued.
     pub fn core(&self) -> &RouterCore {
         &self.core
     }
 
-    /// Reads the core after the calls that were made before: a query would overtake those that
-    /// still wait in the queue.
-    pub fn inspect(&mut self, _cx: CX![], read: Box<dyn FnOnce(&RouterCore)>) {
-        read(&self.core);
+    /// Reads the core after all calls queued earlier, which a query would overtake.
+    pub fn inspect(&mut self, _cx: CX![], inspection: Box<dyn FnOnce(&RouterCore)>) {
+        inspection(&self.core);
     }
 
     fn tick(&mut self, cx: CX![]) {
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,4 +1,4 @@
-//! Whole answers, put together from a stream's events.
+//! Complete answers, assembled from the events of a stream.
 
 use drumshore_core::{ModelName, RequestId};
 use serde::{Deserialize, Serialize};
@@ -7,18 +7,18 @@
 use crate::completion::CompletionKind;
 use crate::sse::DONE;
 
-/// An answer as the ledger keeps it, and as callers without streaming get it.
+/// An answer as the ledger stores it, and as callers that don't stream receive it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedAnswer {
-    /// The text.
+    /// The generated text.
     pub text: String,
-    /// Why it ended.
+    /// Why generation stopped, as reported by the engine.
     pub finish_reason: Option<String>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of generated tokens.
     pub completion_tokens: u64,
-    /// Prompt tokens that were in the engine's cache.
+    /// Number of prompt tokens that the engine found in its cache.
     pub cached_tokens: u64,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl RecordedAnswer {
-    /// Adds the data of one event; what is not understood adds nothing.
+    /// Appends the data of one event; data that cannot be parsed is ignored.
     pub fn add(&mut self, data: &str) {
         let Ok(chunk) = serde_json::from_str::<Chunk>(data) else {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The document of an answer that is not streamed.
+    /// The body of a response that is not streamed.
     pub fn to_document(
         &self,
         kind: CompletionKind,
@@ -117,7 +117,7 @@
         })
     }
 
-    /// The stream of an answer that was recorded: all of it in one event.
+    /// A recorded answer as an event stream, with the whole text in one event.
     pub fn to_stream(&self, kind: CompletionKind, request: RequestId) -> String {
         let choice = match kind {
             CompletionKind::Text => json!({
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -1,4 +1,4 @@
-//! What callers ask: the usual completion API.
+//! Parsing of requests to the OpenAI-style completion API.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The two forms of the API.
+/// The two request formats of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionKind {
     /// `/v1/completions`.
@@ -17,7 +17,7 @@
 }
 
 impl CompletionKind {
-    /// The path at router and engine alike.
+    /// The HTTP path, the same at routers and engines.
     pub fn path(self) -> &'static str {
         match self {
             CompletionKind::Text => "/v1/completions",
@@ -26,13 +26,13 @@
     }
 }
 
-/// A prompt as the caller gave it.
+/// A prompt as received from the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(untagged)]
 pub enum PromptInput {
-    /// Text.
+    /// Text that the engine tokenizes.
     Text(String),
-    /// Token numbers.
+    /// Token ids.
     Tokens(Vec<u32>),
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl PromptInput {
-    /// The prompt for hashing and counting.
+    /// Borrows the prompt for hashing and token counting.
     pub fn as_prompt(&self) -> Prompt<'_> {
         match self {
             PromptInput::Text(text) => Prompt::Text(text),
@@ -52,26 +52,26 @@
     }
 }
 
-/// A request that was read and checked.
+/// A parsed and validated request.
 #[derive(Clone, Debug)]
 pub struct CompletionRequest {
-    /// Which form.
+    /// The request format.
     pub kind: CompletionKind,
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
-    /// The adapter on top of it.
+    /// The adapter to apply to the model.
     pub adapter: Option<AdapterName>,
-    /// The prompt.
+    /// The prompt; chat messages are joined to one text.
     pub prompt: Arc<PromptInput>,
-    /// True when the answer is to be streamed.
+    /// True if the caller wants the answer streamed.
     pub stream: bool,
-    /// True when the same request gives the same answer under the same weights.
+    /// True if repeating the request with the same weights gives the same answer.
     pub deterministic: bool,
-    /// The priority asked for, when one is.
+    /// The requested priority, if any.
     pub priority: Option<Priority>,
-    /// Hash of the body: a key that is used again has to come with the same one.
+    /// Hash of the body. A repeated idempotency key is accepted only with the same hash.
     pub fingerprint: u64,
-    /// The body for the engine, which always streams.
+    /// The body sent to the engine; `stream` is always set.
     pub upstream_body: Arc<[u8]>,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl CompletionRequest {
-    /// Reads a body.
+    /// Parses a request body; a malformed or incomplete one is a `BadRequest` verdict.
     pub fn parse(kind: CompletionKind, body: &[u8]) -> Result<Self, Verdict> {
         let mut document: serde_json::Value = serde_json::from_slice(body).map_err(bad_request)?;
         let parsed = Body::deserialize(&document).map_err(bad_request)?;
@@ -130,7 +130,7 @@
     Verdict::not_run(ErrorCode::BadRequest, reason.to_string())
 }
 
-/// The text under which a conversation's prefixes are known.
+/// Joins a conversation to one text, from which its prefixes are hashed.
 fn flatten(messages: &[Message]) -> String {
     messages
         .iter()
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,9 +1,9 @@
 //! The configuration that this router applies.
 //!
-//! It never goes back: every view carries the revision it comes from, the highest one applied is
-//! the floor, and what lies below the floor is refused, whoever sends it. The floor and what is
-//! held are on disk before they are applied, so that a restarted router serves at once and does
-//! not revert either.
+//! The applied revision never decreases. Every update carries the revision of its source, the
+//! highest revision applied is the floor, and updates below the floor are refused from any
+//! sender. The floor and the resources are on disk before they take effect, so that a restarted
+//! router serves requests at once and does not revert to an older configuration.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +15,18 @@
 use drumshore_wire::ConfigUpdate;
 use serde::{Deserialize, Serialize};
 
-/// Why an update is not applied.
+/// Why an update or a stored view is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It comes from a view older than what is applied.
-    #[error("revision {offered} is older than {floor}, which is applied")]
+    /// Its revision is below the floor.
+    #[error("revision {offered} is older than the applied revision {floor}")]
     Stale {
         /// The update's revision.
         offered: Revision,
         /// The highest revision applied.
         floor: Revision,
     },
-    /// It is not readable.
+    /// It cannot be parsed.
     #[error("unreadable configuration: {0}")]
     Malformed(#[from] serde_json::Error),
 }
@@ -37,7 +37,7 @@
     resources: Vec<Resource>,
 }
 
-/// The resources that this router holds.
+/// The resources that this router has received, and the revision they come from.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     floor: Revision,
@@ -51,12 +51,12 @@
         self.floor
     }
 
-    /// True before anything was ever applied.
+    /// True until the first update is applied.
     pub fn is_blank(&self) -> bool {
         self.floor == Revision(0)
     }
 
-    /// Applies a control machine's update.
+    /// Applies an update from a control machine and raises the floor to its revision.
     pub fn apply(&mut self, update: &ConfigUpdate) -> Result<(), ConfigError> {
         let offered = Revision(update.revision);
         self.check_floor(offered)?;
@@ -69,26 +69,27 @@
             self.resources.remove(&key);
         }
         for resource in records {
-            self.insert(resource);
+            self.insert_if_newer(resource);
         }
         self.floor = offered;
         self.index_keys();
         Ok(())
     }
 
-    /// Takes in a tenant that was asked for, from a view of the given revision.
+    /// Adds a tenant that was queried by key, from a source at the given revision. The floor
+    /// does not change.
     pub fn learn_tenant(
         &mut self,
         resource: Resource,
         offered: Revision,
     ) -> Result<(), ConfigError> {
         self.check_floor(offered)?;
-        self.insert(resource);
+        self.insert_if_newer(resource);
         self.index_keys();
         Ok(())
     }
 
-    /// Refuses what comes from a view older than what is applied.
+    /// Returns an error if a revision is below the floor.
     pub fn check_floor(&self, offered: Revision) -> Result<(), ConfigError> {
         if offered >= self.floor || !enforced(Guard::ConfigFloor) {
             return Ok(());
@@ -99,13 +100,13 @@
         })
     }
 
-    /// The tenant that holds a key, when this router knows it.
+    /// The tenant that holds a key, if this router has its resource.
     pub fn tenant_of_key(&self, key: &KeyHash) -> Option<(TenantName, &TenantSpec)> {
         let name = self.tenants_by_key.get(key)?;
         self.get(ResourceKind::Tenant, name.as_str())?.as_tenant()
     }
 
-    /// The tenants held.
+    /// The names of the tenants in the view.
     pub fn tenants(&self) -> impl Iterator<Item = TenantName> + '_ {
         self.resources
             .values()
@@ -113,19 +114,19 @@
             .map(|(name, _)| name)
     }
 
-    /// A tenant by name.
+    /// The specification of a tenant.
     pub fn tenant(&self, name: &TenantName) -> Option<&TenantSpec> {
         let resource = self.get(ResourceKind::Tenant, name.as_str())?;
         resource.as_tenant().map(|(_, spec)| spec)
     }
 
-    /// A model.
+    /// The specification of a model.
     pub fn model(&self, name: &ModelName) -> Option<&ModelSpec> {
         let resource = self.get(ResourceKind::Model, name.as_str())?;
         resource.as_model().map(|(_, spec)| spec)
     }
 
-    /// All models, by name.
+    /// The names of all models, in order.
     pub fn models(&self) -> impl Iterator<Item = ModelName> + '_ {
         self.resources
             .values()
@@ -133,7 +134,7 @@
             .map(|(name, _)| name)
     }
 
-    /// The pools that serve a model, by name.
+    /// The names of the pools that serve a model, in order.
     pub fn pools_of(&self, model: &ModelName) -> Vec<PoolName> {
         self.resources
             .values()
@@ -143,7 +144,7 @@
             .collect()
     }
 
-    /// A priority class.
+    /// The specification of a priority class.
     pub fn priority_class(&self, name: &str) -> Option<&PriorityClassSpec> {
         match &self.get(ResourceKind::PriorityClass, name)?.spec {
             ResourceSpec::PriorityClass(spec) => Some(spec),
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The view as bytes for the data folder.
+    /// Encodes the view for the data folder.
     pub fn encode(&self) -> Vec<u8> {
         let stored = Stored {
             floor: self.floor,
@@ -160,7 +161,7 @@
         serde_json::to_vec(&stored).expect("resources have no maps with structured keys")
     }
 
-    /// Reads a view back.
+    /// Decodes a view from the data folder.
     pub fn decode(bytes: &[u8]) -> Result<Self, ConfigError> {
         let stored: Stored = serde_json::from_slice(bytes)?;
         let mut view = Self {
@@ -168,7 +169,7 @@
             ..Self::default()
         };
         for resource in stored.resources {
-            view.insert(resource);
+            view.insert_if_newer(resource);
         }
         view.index_keys();
         Ok(view)
@@ -179,12 +180,14 @@
         self.resources.get(&ResourceKey { kind, name })
     }
 
-    /// A tenant that was asked for may be newer than the update that follows it.
-    fn insert(&mut self, resource: Resource) {
+    /// Keeps the newer version of a resource: a tenant that was queried by key may be newer than
+    /// the update that follows it.
+    fn insert_if_newer(&mut self, resource: Resource) {
         let key = resource.key();
-        let held = self.resources.get(&key);
-        let newer_held = held.is_some_and(|held| held.version > resource.version);
-        if !newer_held || !enforced(Guard::ConfigFloor) {
+        let existing = self.resources.get(&key);
+        let existing_is_newer =
+            existing.is_some_and(|existing| existing.version > resource.version);
+        if !existing_is_newer || !enforced(Guard::ConfigFloor) {
             self.resources.insert(key, resource);
         }
     }
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -1,4 +1,4 @@
-//! What the control machine says.
+//! The link to the control machine: subscription, updates from it and usage reports to it.
 
 use std::collections::BTreeSet;
 
@@ -14,17 +14,17 @@
 use super::{Effect, RouterCore};
 use crate::session::LinkId;
 
-/// Rates travel in tenths of a request a second.
+/// Rates are sent in tenths of a request per second.
 const RATE_UNIT: f64 = 10.0;
 
 impl RouterCore {
-    /// A link to a control machine is up.
+    /// Handles an opened link: subscribes, and resends everything that was not confirmed.
     pub fn on_connected(&mut self, link: LinkId) {
         if !self.session.on_connected(link, self.now) {
             self.effects.push(Effect::Close(link));
             return;
         }
-        self.abandon_questions();
+        self.abandon_lookups();
         self.slots.clear();
         let tenants = self.config.tenants();
         let subscribe = Subscribe {
@@ -38,17 +38,17 @@
         self.send_outcomes();
     }
 
-    /// A link ended or could not be opened.
+    /// Handles a link that was closed or could not be opened.
     pub fn on_closed(&mut self, link: LinkId) {
         self.session.on_closed(link, self.now, &mut self.random);
-        if self.session.up().is_none() {
-            self.abandon_questions();
+        if self.session.connected_link().is_none() {
+            self.abandon_lookups();
         }
     }
 
-    /// The control machine said something.
+    /// Handles a message from the control machine; messages of other links are ignored.
     pub fn on_control_message(&mut self, link: LinkId, message: Message) {
-        if self.session.up() != Some(link) {
+        if self.session.connected_link() != Some(link) {
             return;
         }
         self.metrics.control_messages_received += 1;
@@ -62,12 +62,12 @@
             Message::ClaimResponse(response) => self.on_claim_response(response),
             Message::OutcomeStored(ticket) => self.on_outcome_stored(ticket),
             Message::Allotment(allotment) => self.on_allotment(&allotment),
-            // The rest is what routers send.
+            // The other messages are sent only by routers.
             _ => {}
         }
     }
 
-    /// Reports what tenants used, once an interval.
+    /// Reports the usage of tenants once in each interval.
     pub(super) fn report_usage(&mut self) {
         if self.now < self.usage_due {
             return;
@@ -91,7 +91,9 @@
 
     fn on_config(&mut self, link: LinkId, update: &ConfigUpdate) {
         if let Err(error) = self.config.apply(update) {
-            tracing::warn!("router: configuration refused: {error}");
+            tracing::warn!(
+                "router: rejected a configuration update of the control machine: {error}"
+            );
             self.metrics.stale_updates += 1;
             self.effects.push(Effect::Close(link));
             self.on_closed(link);
@@ -101,7 +103,7 @@
         self.send(Message::InForce(self.config.floor().0));
         self.unknown_keys.forget_refused();
         self.admit_known_tenants();
-        self.pump();
+        self.dispatch_queued();
     }
 
     fn on_fresh(&mut self, fresh: Freshness) {
@@ -121,7 +123,7 @@
         if update.full == 1 {
             self.placer.engines_mut().retain(|id| listed.contains(&id));
         }
-        self.pump();
+        self.dispatch_queued();
     }
 
     fn on_engine(&mut self, id: EngineId, entry: &EngineEntry) {
@@ -161,10 +163,11 @@
                 at: drumshore_core::Timestamp(self.now.0.saturating_sub(age)),
             };
         }
-        self.pump();
+        self.dispatch_queued();
     }
 
-    /// The list is complete: a tenant that is no longer on it is bound by its whole limits only.
+    /// Applies this router's shares of tenant limits. The list is complete: a tenant that is no
+    /// longer on it is subject only to its full limits.
     fn on_allotment(&mut self, allotment: &UsageAllotment) {
         let mut allotted = BTreeSet::new();
         for record in &allotment.records.items {
--- a/crates/router/src/core/ledger.rs
+++ b/crates/router/src/core/ledger.rs
@@ -1,4 +1,5 @@
-//! Claims before, and outcomes after, work that may not be repeated.
+//! Requests that must not run twice: they claim their idempotency key in the ledger before they
+//! start, and report their outcome afterwards.
 
 use drumshore_core::{ErrorCode, Execution, RequestId, Timestamp, Verdict};
 use drumshore_wire::{Blob, ClaimGrant, ClaimRequest, ClaimResponse, Message, OutcomeReport, Text};
@@ -6,17 +7,17 @@
 use super::{ActiveRequest, AdmitOutcome, Phase, RouterCore};
 use crate::answer::RecordedAnswer;
 
-/// How often an outcome is sent until it is stored.
+/// Interval at which an outcome is resent until it is stored.
 const RESEND_AFTER: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// When to ask again for work that is still running.
+/// Retry delay given to a caller whose request is still running.
 const RETRY_AFTER_RUNNING: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// The largest answer that the ledger keeps, in bytes. The outcome of a larger one is "may have
-/// run" to whoever asks again.
+/// Maximum size in bytes of an answer stored in the ledger. A request with a larger answer counts
+/// as "may have run" when it is repeated.
 const MAX_RECORDED_BYTES: usize = 256 << 10;
 
-/// An outcome on its way into the ledger.
+/// An outcome that the ledger has not confirmed yet.
 #[derive(Clone, Debug)]
 pub(super) struct PendingOutcome {
     report: OutcomeReport,
@@ -24,12 +25,12 @@
 }
 
 impl RouterCore {
-    /// Asks the ledger whether a request may run.
+    /// Claims a request's idempotency key in the ledger.
     pub(super) fn claim(&mut self, id: RequestId) {
-        if self.session.up().is_none() {
-            return self.refuse_active(id, unavailable());
+        if self.session.connected_link().is_none() {
+            return self.refuse_active(id, ledger_unavailable());
         }
-        let until = self.now.plus(self.params.claim_patience);
+        let until = self.now.plus(self.params.claim_timeout);
         if let Some(request) = self.active.get_mut(&id) {
             request.phase = Phase::AwaitingClaim { until };
         }
@@ -62,23 +63,23 @@
         }
         match response.grant {
             ClaimGrant::Granted => self.queue_or_place(id),
-            ClaimGrant::Completed(answer) => self.answer_recorded(id, &answer),
+            ClaimGrant::Completed(answer) => self.answer_from_ledger(id, &answer),
             ClaimGrant::StillRunning => {
                 let message = "a request with this key is still running";
                 let verdict = Verdict::may_have_run(ErrorCode::StillRunning, message);
-                self.refuse_claimed(id, verdict.retry_after(RETRY_AFTER_RUNNING));
+                self.refuse_claimed_elsewhere(id, verdict.retry_after(RETRY_AFTER_RUNNING));
             }
             ClaimGrant::MayHaveRun => {
                 let message = "a request with this key may have run; it is not repeated";
                 let verdict = Verdict::may_have_run(ErrorCode::NotRepeated, message);
-                self.refuse_claimed(id, verdict);
+                self.refuse_claimed_elsewhere(id, verdict);
             }
             ClaimGrant::KeyReused => {
                 let message = "the key was used for another request";
                 let verdict = Verdict::not_run(ErrorCode::KeyReused, message);
-                self.refuse_claimed(id, verdict);
+                self.refuse_claimed_elsewhere(id, verdict);
             }
-            ClaimGrant::Unavailable => self.give_claim_up(id),
+            ClaimGrant::Unavailable => self.release_claim(id),
         }
     }
 
@@ -93,11 +94,11 @@
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
-            self.give_claim_up(id);
+            self.release_claim(id);
         }
     }
 
-    /// Keeps an outcome until the ledger has stored it.
+    /// Sends an outcome and keeps it until the ledger has stored it.
     pub(super) fn record_outcome(
         &mut self,
         request: &ActiveRequest,
@@ -105,7 +106,7 @@
         execution: Execution,
         answer: Option<&RecordedAnswer>,
     ) {
-        let Some(key) = &request.ask.idempotency_key else {
+        let Some(key) = &request.admit_request.idempotency_key else {
             return;
         };
         let answer = answer
@@ -152,7 +153,7 @@
         }
     }
 
-    /// A new link is up: everything that was not confirmed is said again.
+    /// Resends all unconfirmed outcomes over a new link.
     pub(super) fn send_outcomes(&mut self) {
         for outcome in self.outcomes.values_mut() {
             outcome.resend_at = self.now;
@@ -164,22 +165,22 @@
         let Some(request) = self.active.get(&id) else {
             return;
         };
-        let Some(key) = &request.ask.idempotency_key else {
+        let Some(key) = &request.admit_request.idempotency_key else {
             return;
         };
         let claim = ClaimRequest {
             ticket: id.sequence,
             tenant: Text::new(request.tenant.as_str()),
             key: Text::new(key.as_str()),
-            fingerprint: request.ask.fingerprint,
+            fingerprint: request.admit_request.fingerprint,
             request_router: id.router,
             request_sequence: id.sequence,
         };
         self.send(Message::Claim(claim));
     }
 
-    fn answer_recorded(&mut self, id: RequestId, answer: &Blob) {
-        self.drop_claim(id);
+    fn answer_from_ledger(&mut self, id: RequestId, answer: &Blob) {
+        self.forget_claim(id);
         let outcome = match serde_json::from_slice(&answer.bytes) {
             Ok(answer) => AdmitOutcome::Recorded(answer),
             Err(error) => {
@@ -190,30 +191,30 @@
         self.answer(id, outcome);
     }
 
-    /// Somebody else holds the claim, so this request has no outcome to report.
-    fn refuse_claimed(&mut self, id: RequestId, verdict: Verdict) {
-        self.drop_claim(id);
+    /// Refuses a request whose key is claimed by another one, so it has no outcome to report.
+    fn refuse_claimed_elsewhere(&mut self, id: RequestId, verdict: Verdict) {
+        self.forget_claim(id);
         self.refuse_active(id, verdict);
     }
 
-    fn drop_claim(&mut self, id: RequestId) {
+    fn forget_claim(&mut self, id: RequestId) {
         if let Some(request) = self.active.get_mut(&id) {
-            request.ask.idempotency_key = None;
+            request.admit_request.idempotency_key = None;
             request.phase = Phase::Queued;
         }
     }
 
-    /// Nobody answered. The claim may still be granted later, so it is given back: the refusal
-    /// leads to an outcome "not run", which is sent until it is stored.
-    fn give_claim_up(&mut self, id: RequestId) {
+    /// Refuses a request whose claim was not answered. The claim may still be granted later, so it
+    /// is released: the refusal leads to a "not run" outcome, which is sent until it is stored.
+    fn release_claim(&mut self, id: RequestId) {
         if let Some(request) = self.active.get_mut(&id) {
             request.phase = Phase::Queued;
         }
-        self.refuse_active(id, unavailable());
+        self.refuse_active(id, ledger_unavailable());
     }
 }
 
-fn unavailable() -> Verdict {
+fn ledger_unavailable() -> Verdict {
     let message = "no quorum of control machines answered; nothing was started";
     Verdict::not_run(ErrorCode::LedgerUnavailable, message)
         .retry_after(std::time::Duration::from_secs(1))
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -1,9 +1,9 @@
-//! The router's decisions.
+//! The core of the router: admission, queues, placement, retries and the control session.
 
 mod control;
 mod ledger;
+mod lookups;
 mod placement;
-mod questions;
 mod requests;
 mod slots;
 mod tenants;
@@ -29,7 +29,7 @@
 use crate::session::{ControlSession, SessionAction, SessionParams};
 
 use ledger::PendingOutcome;
-use questions::Questions;
+use lookups::Lookups;
 use slots::Slots;
 use tenants::UnknownKeys;
 
@@ -37,69 +37,70 @@
     AdmitOutcome, AdmitRequest, Assignment, Effect, Purpose, RouterMetrics, StoredFile, StoredState,
 };
 
-/// The engine list is written at most this often.
-const ENGINES_STORED_EVERY: Duration = Duration::from_secs(2);
+/// Minimum interval between writes of the engine list.
+const ENGINE_STORE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Bounds, periods and weights of a router.
+/// Limits, timeouts and weights of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterParams {
-    /// The router's name.
+    /// The router's name, which also selects its first control machine.
     pub name: RouterName,
-    /// Where it runs.
+    /// The zone that the router runs in.
     pub zone: ZoneName,
-    /// Control machines to choose from.
-    pub controls: usize,
-    /// How engines are chosen.
+    /// Number of control machines.
+    pub control_count: usize,
+    /// Parameters of the engine scheduler.
     pub scheduler: SchedulerParams,
-    /// What is remembered of their caches.
-    pub belief: BeliefParams,
-    /// What may be open.
+    /// Parameters of the estimate of the engines' caches.
+    pub prefix_index: BeliefParams,
+    /// Limits on open requests.
     pub admission: AdmissionParams,
-    /// What may be tried again.
+    /// Limits on retries.
     pub retry: RetryParams,
-    /// Requests that may wait for an engine, for each model.
+    /// Maximum number of requests that wait for an engine, for each model.
     pub queue_capacity: usize,
-    /// How long a request may wait for an engine when its class says nothing else.
+    /// How long a request may wait for an engine, unless its priority class sets a deadline.
     pub queue_timeout: Duration,
-    /// Decisions kept.
+    /// Number of decision records kept.
     pub decision_entries: usize,
-    /// A link to a control machine is left when it did not confirm its view for this long.
+    /// A link to a control machine is closed if the machine did not confirm its view for this long.
     pub stale_after: Duration,
-    /// The longest pause before a new link.
-    pub max_reconnect_pause: Duration,
-    /// How long a request waits until its tenant is known.
-    pub tenant_patience: Duration,
-    /// How long a request waits for its claim.
-    pub claim_patience: Duration,
-    /// How often use is reported.
+    /// Upper bound of the random delay before a link is reopened.
+    pub max_reconnect_delay: Duration,
+    /// How long a request waits for its tenant to be identified.
+    pub tenant_query_timeout: Duration,
+    /// How long a request waits for the ledger to grant its claim.
+    pub claim_timeout: Duration,
+    /// Interval at which the usage of tenants is reported.
     pub usage_interval: Duration,
-    /// An engine that failed a request is avoided for this long.
+    /// How long an engine is avoided after it failed a request.
     pub suspect_time: Duration,
-    /// How long a request waits for an answer of the index.
-    pub index_patience: Duration,
+    /// How long a request waits for the answer to an index lookup.
+    pub index_timeout: Duration,
 }
 
 impl RouterParams {
-    /// Usual bounds for a router of this name and zone.
-    pub fn new(name: RouterName, zone: ZoneName, controls: usize) -> Self {
+    /// Default parameters for a router with this name and zone, and this number of control
+    /// machines.
+    pub fn new(name: RouterName, zone: ZoneName, control_count: usize) -> Self {
         Self {
             name,
             zone,
-            controls,
+            control_count,
             scheduler: SchedulerParams::default(),
-            belief: BeliefParams::default(),
+            prefix_index: BeliefParams::default(),
             admission: AdmissionParams { max_open: 2_048 },
             retry: RetryParams::default(),
             queue_capacity: 4_096,
             queue_timeout: Duration::from_secs(10),
             decision_entries: 8_192,
             stale_after: Duration::from_secs(3),
-            max_reconnect_pause: Duration::from_millis(500),
-            tenant_patience: Duration::from_secs(3),
-            claim_patience: Duration::from_secs(6),
+            max_reconnect_delay: Duration::from_millis(500),
+            tenant_query_timeout: Duration::from_secs(3),
+            claim_timeout: Duration::from_secs(6),
             usage_interval: Duration::from_secs(1),
             suspect_time: Duration::from_secs(2),
-            index_patience: Duration::from_millis(30),
+            index_timeout: Duration::from_millis(30),
         }
     }
 }
@@ -115,21 +116,21 @@
 
 #[derive(Clone, Debug)]
 struct ActiveRequest {
-    ask: AdmitRequest,
+    admit_request: AdmitRequest,
     tenant: TenantName,
     weight: u32,
     priority: Priority,
     deadline: Timestamp,
     attempts: u32,
     excluded: Vec<EngineId>,
-    /// Once a part of the answer was passed on, only the same weights can continue it.
+    /// Set once part of the answer was sent: only the same weights can continue it.
     pinned_weights: Option<WeightsVersion>,
-    /// The worst that any attempt has left behind.
+    /// The most severe execution state of the failed attempts.
     execution: Execution,
     phase: Phase,
 }
 
-/// A router without I/O.
+/// A router as a state machine without I/O and without a clock.
 pub struct RouterCore {
     params: RouterParams,
     router_id: u64,
@@ -139,7 +140,7 @@
     config: ConfigView,
     session: ControlSession,
     slots: Slots,
-    questions: Questions,
+    lookups: Lookups,
     placer: Placer,
     admission: Admission,
     retry: RetryBudget,
@@ -159,17 +160,17 @@
 }
 
 impl RouterCore {
-    /// A router that starts from what its data folder holds. `seed` must differ at each start.
+    /// Creates a router from the contents of its data folder. `seed` must differ at every start.
     pub fn new(params: RouterParams, stored: StoredState, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let scheduler_random = ChaCha8Rng::from_rng(&mut random);
         let session_params = SessionParams {
-            peers: params.controls,
+            peer_count: params.control_count,
             stale_after: params.stale_after,
-            max_pause: params.max_reconnect_pause,
+            max_reconnect_delay: params.max_reconnect_delay,
         };
         let scheduler = Scheduler::new(params.scheduler.clone(), scheduler_random);
-        let mut placer = Placer::new(scheduler, params.belief.clone());
+        let mut placer = Placer::new(scheduler, params.prefix_index.clone());
         for observation in stored.engines {
             placer.engines_mut().observe(observation);
         }
@@ -182,7 +183,7 @@
             config: stored.config,
             session: ControlSession::new(session_params, first_peer),
             slots: Slots::default(),
-            questions: Questions::default(),
+            lookups: Lookups::default(),
             placer,
             admission: Admission::new(params.admission.clone()),
             retry: RetryBudget::new(params.retry.clone()),
@@ -203,12 +204,12 @@
         }
     }
 
-    /// Sets the time; it must not go back.
+    /// Sets the current time; an earlier time than the last one is ignored.
     pub fn set_now(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
     }
 
-    /// Lets time pass. To be called about ten times a second.
+    /// Runs everything that is due. Must be called about ten times a second.
     pub fn on_tick(&mut self) {
         for action in self.session.on_tick(self.now, &mut self.random) {
             let effect = match action {
@@ -217,57 +218,57 @@
             };
             self.effects.push(effect);
         }
-        self.expire_waiting();
-        self.expire_questions();
+        self.expire_unconfirmed();
+        self.expire_lookups();
         self.expire_queued();
         self.resend_outcomes();
         self.report_usage();
         self.store_engines();
-        self.pump();
+        self.dispatch_queued();
     }
 
-    /// What there is to do, in order.
+    /// Takes the effects to carry out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         self.send_bookings();
         std::mem::take(&mut self.effects)
     }
 
-    /// From now on nothing new is taken; what is open goes on.
+    /// Refuses new requests from now on; open requests continue.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// True when nothing is open and every outcome is stored.
+    /// True if no request is open and every outcome is stored.
     pub fn is_drained(&self) -> bool {
         self.active.is_empty() && self.outcomes.is_empty()
     }
 
-    /// True when requests can be served: some configuration was applied and no stop is under way.
+    /// True if requests can be served: a configuration was applied and the router is not stopping.
     pub fn is_ready(&self) -> bool {
         !self.config.is_blank() && !self.stopping
     }
 
-    /// The story of a recent request.
+    /// The decision record of a recent request.
     pub fn explain(&self, request: RequestId) -> Option<&DecisionRecord> {
         self.decisions.get(request)
     }
 
-    /// The stories kept, oldest first.
+    /// All decision records kept, oldest first.
     pub fn decisions(&self) -> impl Iterator<Item = &DecisionRecord> {
         self.decisions.iter()
     }
 
-    /// The configuration applied.
+    /// The configuration in force.
     pub fn config(&self) -> &ConfigView {
         &self.config
     }
 
-    /// The engines known.
+    /// All known engines.
     pub fn engines(&self) -> &EngineSet {
         self.placer.engines()
     }
 
-    /// Counters and gauges.
+    /// The current counters and gauges.
     pub fn metrics(&self) -> RouterMetrics {
         let recent = self.params.stale_after;
         let fresh = self
@@ -289,7 +290,7 @@
     }
 
     fn store_engines(&mut self) {
-        let due = self.engines_stored_at.plus(ENGINES_STORED_EVERY);
+        let due = self.engines_stored_at.plus(ENGINE_STORE_INTERVAL);
         if !self.engines_changed || self.now < due {
             return;
         }
@@ -311,7 +312,7 @@
     }
 
     fn send(&mut self, message: Message) {
-        if let Some(link) = self.session.up() {
+        if let Some(link) = self.session.connected_link() {
             self.metrics.control_messages_sent += 1;
             self.effects.push(Effect::Send(link, message));
         }
--- a/crates/router/src/core/placement.rs
+++ b/crates/router/src/core/placement.rs
@@ -1,4 +1,4 @@
-//! Puts a request on an engine, and learns from what came of it.
+//! Assigns requests to engines, and updates the cache estimate from the engines' answers.
 
 use drumshore_core::{ErrorCode, PlacementGoal, RequestId, Timestamp, Verdict, WeightsVersion};
 use drumshore_routing::{
@@ -8,7 +8,7 @@
 
 use super::{AdmitOutcome, Assignment, Phase, RouterCore};
 
-/// A request's prompt under its tenant, model and weights.
+/// A prompt's prefix chain, hashed for its tenant, model, weights and adapter.
 struct HashedPrompt {
     chain: PrefixChain,
     root: PrefixRoot,
@@ -17,7 +17,8 @@
 }
 
 impl RouterCore {
-    /// Chooses an engine; false when there is none with room.
+    /// Assigns an engine to a request, or starts an index lookup for it. Returns false if no engine
+    /// has capacity, true if the request needs no place in the queue.
     pub(super) fn place(&mut self, id: RequestId) -> bool {
         if !self.active.contains_key(&id) {
             return true;
@@ -30,42 +31,46 @@
         };
         match self.choose(id, &prompt, None) {
             Some(Decision::Placed(placement, choice)) => {
-                self.commit(id, &prompt, (placement, choice));
+                self.assign(id, &prompt, (placement, choice));
                 true
             }
-            Some(Decision::Ask(like)) => {
-                self.ask_index(id, &prompt.chain, like) || self.place_informed(id, &[])
+            Some(Decision::Ask(pool_member)) => {
+                self.start_lookup(id, &prompt.chain, pool_member) || self.place_informed(id, &[])
             }
             None => false,
         }
     }
 
-    /// Places a request with what the index answered; false when there is none with room.
+    /// Assigns an engine by the answers of the index. Returns false if no engine has capacity.
     pub(super) fn place_informed(&mut self, id: RequestId, answers: &[LookupAnswer]) -> bool {
         let Some(prompt) = self.prompt_of(id) else {
             return false;
         };
         match self.choose(id, &prompt, Some(answers)) {
             Some(Decision::Placed(placement, choice)) => {
-                self.commit(id, &prompt, (placement, choice));
+                self.assign(id, &prompt, (placement, choice));
                 true
             }
             _ => false,
         }
     }
 
-    /// The prompt as it is hashed now.
+    /// Hashes a request's prompt under the current configuration.
     fn prompt_of(&self, id: RequestId) -> Option<HashedPrompt> {
         let request = self.active.get(&id)?;
-        let model = self.config.model(&request.ask.model)?;
+        let model = self.config.model(&request.admit_request.model)?;
         let weights_version = request.pinned_weights.unwrap_or(model.weights_version);
         let root = PrefixRoot::new(
             &request.tenant,
-            &request.ask.model,
+            &request.admit_request.model,
             weights_version,
-            request.ask.adapter.as_ref(),
+            request.admit_request.adapter.as_ref(),
+        );
+        let chain = PrefixChain::new(
+            root,
+            request.admit_request.prompt.as_prompt(),
+            model.block_tokens,
         );
-        let chain = PrefixChain::new(root, request.ask.prompt.as_prompt(), model.block_tokens);
         Some(HashedPrompt {
             chain,
             root,
@@ -74,7 +79,7 @@
         })
     }
 
-    /// The first token of an attempt arrived.
+    /// Handles the first token of an attempt and the engine's report that came with it.
     pub fn on_first_token(&mut self, id: RequestId, report: AnswerReport) {
         let Some(request) = self.active.get_mut(&id) else {
             return;
@@ -82,31 +87,31 @@
         let Phase::Running(placement) = &request.phase else {
             return;
         };
-        let over = self.placer.on_first_token(placement, report, self.now);
-        // Only the same weights can continue what the caller has from now on.
+        let overestimated = self.placer.on_first_token(placement, report, self.now);
+        // From now on, only the same weights can continue the part that the caller has.
         let engine = self.placer.engines().get(placement.engine);
         request.pinned_weights = engine.map(|engine| engine.observation.weights_version);
         if let Some(cached) = report.cached_tokens {
             self.metrics.cached_tokens += u64::from(cached);
-            self.metrics.overestimated_tokens += u64::from(over);
+            self.metrics.overestimated_tokens += u64::from(overestimated);
             let record = self.decisions.get_mut(id);
             if let Some(attempt) = record.and_then(|record| record.attempts.last_mut()) {
                 attempt.cached_tokens = Some(cached);
             }
         }
-        self.pump();
+        self.dispatch_queued();
     }
 
-    /// Asks the pools that serve the model, one after the other.
+    /// Tries the pools that serve the model in order of their names.
     fn choose(
         &mut self,
         id: RequestId,
         prompt: &HashedPrompt,
         answers: Option<&[LookupAnswer]>,
     ) -> Option<Decision> {
-        let may_ask = self.may_ask_index();
+        let may_ask = self.may_query_index();
         let request = self.active.get(&id)?;
-        for pool in self.config.pools_of(&request.ask.model) {
+        for pool in self.config.pools_of(&request.admit_request.model) {
             let routing = RoutingRequest {
                 pool: &pool,
                 weights_version: prompt.weights_version,
@@ -129,20 +134,20 @@
                 return Some(decision);
             }
         }
-        // An engine that failed once is better than none.
+        // No other engine is available: allow those again that failed the request before.
         let request = self.active.get_mut(&id)?;
         request.excluded.clear();
         None
     }
 
-    fn commit(
+    fn assign(
         &mut self,
         id: RequestId,
         prompt: &HashedPrompt,
         (placement, choice): (Placement, Choice),
     ) {
-        let ticket = self.take_ticket(id);
-        self.book_at_index(ticket, &placement);
+        let ticket = self.close_lookup(id);
+        self.queue_booking(ticket, &placement);
         let Some(request) = self.active.get_mut(&id) else {
             return;
         };
@@ -159,7 +164,7 @@
             weights_version: prompt.weights_version,
             cache_salt: prompt.root,
             priority: request.priority,
-            idempotency_key: request.ask.idempotency_key.clone(),
+            idempotency_key: request.admit_request.idempotency_key.clone(),
         };
         request.phase = Phase::Running(placement);
         self.record_attempt(id, &assignment, choice, self.now);
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! A request's life: admitted, queued, placed, tried again, ended.
+//! The life cycle of a request: admission, queueing, retries and the end.
 
 use drumshore_core::{ErrorCode, Execution, RequestId, TenantName, TenantSpec, Verdict};
 use drumshore_guard::{enforced, Guard};
@@ -10,12 +10,13 @@
 use crate::answer::RecordedAnswer;
 use crate::exchange::{AttemptFailure, Conclusion, FailureKind};
 
-/// When to come back after a full queue.
+/// Retry delay given to a caller when the router is stopping, the queue is full or the wait timed
+/// out.
 const RETRY_AFTER_SHED: std::time::Duration = std::time::Duration::from_secs(1);
 
 impl RouterCore {
-    /// Takes a request in; its outcome follows as an effect.
-    pub fn admit(&mut self, ask: AdmitRequest) -> RequestId {
+    /// Admits a request; the decision follows as [`Effect::Answer`](super::Effect::Answer).
+    pub fn admit(&mut self, admit_request: AdmitRequest) -> RequestId {
         self.next_sequence += 1;
         self.metrics.requests += 1;
         let id = RequestId {
@@ -26,12 +27,12 @@
             let verdict = Verdict::not_run(ErrorCode::Stopping, "the router is stopping");
             self.refuse_new(id, verdict.retry_after(RETRY_AFTER_SHED));
         } else {
-            self.identify(id, ask);
+            self.identify(id, admit_request);
         }
         id
     }
 
-    /// An attempt failed. Its owner waits for another outcome.
+    /// Handles a failed attempt; another decision for the request follows as an effect.
     pub fn on_attempt_failed(&mut self, id: RequestId, failure: &AttemptFailure) {
         let Some(request) = self.active.get_mut(&id) else {
             return;
@@ -47,20 +48,21 @@
         if !failure.delivered {
             request.pinned_weights = None;
         }
-        let engines_fault = !matches!(failure.kind, FailureKind::Rejected | FailureKind::Diverged);
-        let until = engines_fault.then(|| self.now.plus(self.params.suspect_time));
+        let is_engine_fault =
+            !matches!(failure.kind, FailureKind::Rejected | FailureKind::Diverged);
+        let until = is_engine_fault.then(|| self.now.plus(self.params.suspect_time));
         self.placer.on_failed(&placement, until);
-        self.note_failure(id, &failure.verdict);
+        self.record_attempt_failure(id, &failure.verdict);
         if self.may_retry(id, failure) {
             self.metrics.retries += 1;
             self.queue_or_place(id);
         } else {
             self.refuse_active(id, failure.verdict.clone());
         }
-        self.pump();
+        self.dispatch_queued();
     }
 
-    /// A request's owner is done with it.
+    /// Handles the end of a request: releases its slots, counts it and records its outcome.
     pub fn on_finished(&mut self, id: RequestId, conclusion: &Conclusion, answer: &RecordedAnswer) {
         let Some(request) = self.active.remove(&id) else {
             return;
@@ -68,13 +70,13 @@
         if let Phase::Running(placement) = &request.phase {
             self.placer.on_ended(placement);
         }
-        self.forget_queued(&request, id);
+        self.remove_queued(&request, id);
         self.admission.release(&request.tenant);
         match conclusion {
             Conclusion::Answered => {
                 self.metrics.answered += 1;
                 self.metrics.prompt_tokens +=
-                    u64::from(request.ask.prompt.as_prompt().token_count());
+                    u64::from(request.admit_request.prompt.as_prompt().token_count());
                 self.record_outcome(&request, id, Execution::Ran, Some(answer));
                 if let Some(record) = self.decisions.get_mut(id) {
                     record.answered = true;
@@ -84,34 +86,34 @@
             Conclusion::Failed(verdict) => {
                 self.count_failure(verdict);
                 self.record_outcome(&request, id, verdict.execution, None);
-                self.note_end(id, verdict);
+                self.record_end(id, verdict);
             }
             Conclusion::CallerGone => {
                 self.metrics.failed += 1;
                 let message = "the caller went away";
                 let verdict = Verdict::may_have_run(ErrorCode::EngineFailed, message);
                 self.record_outcome(&request, id, verdict.execution, None);
-                self.note_end(id, &verdict);
+                self.record_end(id, &verdict);
             }
         }
-        self.pump();
+        self.dispatch_queued();
     }
 
     pub(super) fn admit_tenant(
         &mut self,
         id: RequestId,
-        ask: AdmitRequest,
+        admit_request: AdmitRequest,
         tenant: TenantName,
         spec: &TenantSpec,
     ) {
-        if ask.purpose == Purpose::ListModels {
+        if admit_request.purpose == Purpose::ListModels {
             let mut models: Vec<_> = self.config.models().collect();
             models.retain(|model| spec.models.is_empty() || spec.models.contains(model));
             return self.answer(id, AdmitOutcome::Models(models));
         }
-        let allowed = spec.models.is_empty() || spec.models.contains(&ask.model);
-        if !allowed || self.config.model(&ask.model).is_none() {
-            let message = format!("model {} is not served to this tenant", ask.model);
+        let allowed = spec.models.is_empty() || spec.models.contains(&admit_request.model);
+        if !allowed || self.config.model(&admit_request.model).is_none() {
+            let message = format!("model {} is not served to this tenant", admit_request.model);
             return self.refuse_new(id, Verdict::not_run(ErrorCode::UnknownModel, message));
         }
         let limits = &spec.limits;
@@ -123,9 +125,9 @@
             return self.refuse_new(id, verdict);
         }
         self.retry.deposit(&tenant);
-        let request = self.active_request(ask, tenant, spec);
+        let request = self.active_request(admit_request, tenant, spec);
         self.open_record(id, &request);
-        let claims = request.ask.idempotency_key.is_some();
+        let claims = request.admit_request.idempotency_key.is_some();
         self.active.insert(id, request);
         if claims && enforced(Guard::ClaimBeforeDispatch) {
             self.claim(id);
@@ -134,10 +136,11 @@
         }
     }
 
-    /// Keeps a request whose tenant is not known yet.
-    pub(super) fn park(&mut self, id: RequestId, ask: AdmitRequest) {
-        let until = self.now.plus(self.params.tenant_patience);
-        let mut request = self.active_request(ask, TenantName::default(), &unknown_tenant());
+    /// Keeps a request until its tenant is identified.
+    pub(super) fn await_tenant(&mut self, id: RequestId, admit_request: AdmitRequest) {
+        let until = self.now.plus(self.params.tenant_query_timeout);
+        let mut request =
+            self.active_request(admit_request, TenantName::default(), &unknown_tenant());
         request.phase = Phase::AwaitingTenant { until };
         self.active.insert(id, request);
     }
@@ -148,8 +151,8 @@
         self.answer(id, AdmitOutcome::Refused(verdict));
     }
 
-    /// Refuses a request that was admitted. Its owner ends it with `on_finished`. It is "not
-    /// run" only if none of its attempts may have run.
+    /// Refuses an admitted request; its owner then ends it with `on_finished`. The verdict is "not
+    /// run" only if no attempt may have run.
     pub(super) fn refuse_active(&mut self, id: RequestId, mut verdict: Verdict) {
         if let Some(request) = self.active.get(&id) {
             verdict.execution = verdict.execution.max(request.execution);
@@ -157,25 +160,25 @@
         self.answer(id, AdmitOutcome::Refused(verdict));
     }
 
-    /// Places a request, or lets it wait for its turn.
+    /// Places a request, or queues it if others wait or no engine has capacity.
     pub(super) fn queue_or_place(&mut self, id: RequestId) {
         let Some(request) = self.active.get_mut(&id) else {
             return;
         };
         request.phase = Phase::Queued;
-        let model = request.ask.model.clone();
-        let others_wait = self
+        let model = request.admit_request.model.clone();
+        let has_waiting = self
             .queues
             .get(&model)
             .is_some_and(|queue| !queue.is_empty());
-        if !others_wait && self.place(id) {
+        if !has_waiting && self.place(id) {
             return;
         }
         self.enqueue(id);
     }
 
-    /// Places what waits, as far as there is room.
-    pub(super) fn pump(&mut self) {
+    /// Places queued requests of each model until no engine has capacity.
+    pub(super) fn dispatch_queued(&mut self) {
         let models: Vec<_> = self.queues.keys().cloned().collect();
         for model in models {
             while let Some(item) = self.queues.get_mut(&model).and_then(FairQueue::pop) {
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Gives up what waited too long.
+    /// Refuses queued requests whose deadline has passed.
     pub(super) fn expire_queued(&mut self) {
         let now = self.now;
         let expired: Vec<RequestId> = self
@@ -216,14 +219,14 @@
             item: id,
             tenant: request.tenant.clone(),
             priority: request.priority,
-            cost: u64::from(request.ask.prompt.as_prompt().token_count()),
+            cost: u64::from(request.admit_request.prompt.as_prompt().token_count()),
             deadline: request.deadline,
         };
         let weight = request.weight;
         let capacity = self.params.queue_capacity;
         let queue = self
             .queues
-            .entry(request.ask.model.clone())
+            .entry(request.admit_request.model.clone())
             .or_insert_with(|| FairQueue::new(capacity));
         if let Some(shed) = queue.push(item, weight) {
             let message = "too many requests wait for an engine";
@@ -232,16 +235,16 @@
         }
     }
 
-    /// Only work that did not run, or may be repeated, is tried again; and what the caller has
-    /// of an answer can be continued only by the same answer.
+    /// A request is retried only if it did not run or may run twice. If the caller already has part
+    /// of the answer, only a deterministic request can continue it.
     fn may_retry(&mut self, id: RequestId, failure: &AttemptFailure) -> bool {
         let Some(request) = self.active.get(&id) else {
             return false;
         };
         let kind_allows = !matches!(failure.kind, FailureKind::Rejected | FailureKind::Diverged);
         let not_run = failure.verdict.execution == Execution::NotRun;
-        let repeatable = request.ask.idempotency_key.is_none();
-        let continuable = !failure.delivered || request.ask.deterministic;
+        let repeatable = request.admit_request.idempotency_key.is_none();
+        let continuable = !failure.delivered || request.admit_request.deterministic;
         let safe = not_run || (repeatable && continuable) || !enforced(Guard::RetryOnlyIfSafe);
         let attempts = request.attempts;
         let tenant = request.tenant.clone();
@@ -250,24 +253,24 @@
 
     fn active_request(
         &self,
-        ask: AdmitRequest,
+        admit_request: AdmitRequest,
         tenant: TenantName,
         spec: &TenantSpec,
     ) -> ActiveRequest {
-        let class = ask
+        let class = admit_request
             .priority_class
             .as_deref()
             .and_then(|name| self.config.priority_class(name));
-        let asked = class.map(|class| class.priority).or(ask.priority);
-        let patience = class.map_or(self.params.queue_timeout, |class| {
+        let requested_priority = class.map(|class| class.priority).or(admit_request.priority);
+        let timeout = class.map_or(self.params.queue_timeout, |class| {
             std::time::Duration::from_millis(class.deadline_ms)
         });
         ActiveRequest {
-            ask,
+            admit_request,
             tenant,
             weight: spec.limits.weight,
-            priority: asked.unwrap_or(spec.default_priority),
-            deadline: self.now.plus(patience),
+            priority: requested_priority.unwrap_or(spec.default_priority),
+            deadline: self.now.plus(timeout),
             attempts: 0,
             excluded: Vec::new(),
             pinned_weights: None,
@@ -280,10 +283,10 @@
         self.decisions.open(DecisionRecord {
             request: id,
             tenant: request.tenant.clone(),
-            model: request.ask.model.clone(),
+            model: request.admit_request.model.clone(),
             revision: self.config.floor().0,
-            prompt_tokens: request.ask.prompt.as_prompt().token_count(),
-            non_repeatable: request.ask.idempotency_key.is_some(),
+            prompt_tokens: request.admit_request.prompt.as_prompt().token_count(),
+            non_repeatable: request.admit_request.idempotency_key.is_some(),
             attempts: Vec::new(),
             verdict: None,
             answered: false,
@@ -298,21 +301,21 @@
         }
     }
 
-    fn note_failure(&mut self, id: RequestId, verdict: &Verdict) {
+    fn record_attempt_failure(&mut self, id: RequestId, verdict: &Verdict) {
         let record = self.decisions.get_mut(id);
         if let Some(attempt) = record.and_then(|record| record.attempts.last_mut()) {
             attempt.verdict = Some(verdict.clone());
         }
     }
 
-    fn note_end(&mut self, id: RequestId, verdict: &Verdict) {
+    fn record_end(&mut self, id: RequestId, verdict: &Verdict) {
         if let Some(record) = self.decisions.get_mut(id) {
             record.verdict = Some(verdict.clone());
         }
     }
 
-    fn forget_queued(&mut self, request: &ActiveRequest, id: RequestId) {
-        if let Some(queue) = self.queues.get_mut(&request.ask.model) {
+    fn remove_queued(&mut self, request: &ActiveRequest, id: RequestId) {
+        if let Some(queue) = self.queues.get_mut(&request.admit_request.model) {
             queue.drain_where(|item| item.item == id);
         }
     }
--- a/crates/router/src/core/slots.rs
+++ b/crates/router/src/core/slots.rs
@@ -1,10 +1,10 @@
-//! Small numbers that stand for engines in messages of one link.
+//! Slots: small numbers that identify engines in the messages of one link.
 
 use std::collections::BTreeMap;
 
 use drumshore_core::EngineId;
 
-/// Engines by slot, and slots by engine.
+/// The mapping between slots and engines, in both directions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Slots {
     engines: BTreeMap<u16, EngineId>,
--- a/crates/router/src/core/tenants.rs
+++ b/crates/router/src/core/tenants.rs
@@ -1,4 +1,5 @@
-//! Tenants that this router does not know yet: asked for by key, once each.
+//! Identification of tenants by key. A key that the configuration lacks is queried at the control
+//! machine, once for all requests that present it.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +8,31 @@
 
 use super::{AdmitRequest, Phase, RouterCore};
 
-/// Keys that were refused are remembered for this long, in microseconds.
-const REFUSED_KEPT_US: u64 = 5_000_000;
+/// How long a refused key is remembered, in microseconds.
+const REFUSED_KEY_TTL_US: u64 = 5_000_000;
 
-/// Refused keys that are remembered.
-const MAX_REFUSED: usize = 1_024;
+/// Maximum number of refused keys remembered.
+const MAX_REFUSED_KEYS: usize = 1_024;
 
-/// Keys that may be asked for at once.
-const MAX_ASKED: usize = 1_024;
+/// Maximum number of keys queried at the same time.
+const MAX_PENDING_KEYS: usize = 1_024;
 
 #[derive(Clone, Debug)]
-struct AskedKey {
+struct PendingKey {
     ticket: u64,
     waiting: Vec<RequestId>,
 }
 
-/// Keys that are being asked for, and keys that nobody holds.
+/// Keys with an open query, and keys that no tenant holds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UnknownKeys {
     next_ticket: u64,
-    asked: BTreeMap<KeyHash, AskedKey>,
+    pending: BTreeMap<KeyHash, PendingKey>,
     refused: BTreeMap<KeyHash, Timestamp>,
 }
 
 impl UnknownKeys {
-    /// The configuration changed: a key that nobody held may be held now.
+    /// Forgets the refused keys after a change of the configuration, which may have added them.
     pub(super) fn forget_refused(&mut self) {
         self.refused.clear();
     }
@@ -41,41 +42,43 @@
     }
 
     fn refuse(&mut self, key: KeyHash, now: Timestamp) {
-        if self.refused.len() >= MAX_REFUSED {
+        if self.refused.len() >= MAX_REFUSED_KEYS {
             self.refused.clear();
         }
-        self.refused.insert(key, Timestamp(now.0 + REFUSED_KEPT_US));
+        self.refused
+            .insert(key, Timestamp(now.0 + REFUSED_KEY_TTL_US));
     }
 }
 
 impl RouterCore {
-    /// Finds out whose a request is, and goes on with it when that is known.
-    pub(super) fn identify(&mut self, id: RequestId, ask: AdmitRequest) {
-        let Some(key) = ask.key_hash.clone() else {
+    /// Finds a request's tenant by its key and admits the request, or queries the control machine
+    /// and keeps the request until the answer.
+    pub(super) fn identify(&mut self, id: RequestId, admit_request: AdmitRequest) {
+        let Some(key) = admit_request.key_hash.clone() else {
             let message = "no bearer key was presented";
             return self.refuse_new(id, Verdict::not_run(ErrorCode::Unauthorized, message));
         };
         if let Some((tenant, spec)) = self.config.tenant_of_key(&key) {
             let spec = spec.clone();
-            return self.admit_tenant(id, ask, tenant, &spec);
+            return self.admit_tenant(id, admit_request, tenant, &spec);
         }
         if self.unknown_keys.is_refused(&key, self.now) {
             return self.refuse_new(id, unauthorized());
         }
-        if self.unknown_keys.asked.len() >= MAX_ASKED {
+        if self.unknown_keys.pending.len() >= MAX_PENDING_KEYS {
             let verdict = Verdict::not_run(ErrorCode::Overloaded, "too many unknown keys");
-            return self.refuse_new(id, verdict.retry_after(self.params.tenant_patience));
+            return self.refuse_new(id, verdict.retry_after(self.params.tenant_query_timeout));
         }
-        self.park(id, ask);
-        self.ask_for(key, id);
+        self.await_tenant(id, admit_request);
+        self.query_tenant(key, id);
     }
 
     pub(super) fn resend_tenant_queries(&mut self) {
         let queries: Vec<Message> = self
             .unknown_keys
-            .asked
+            .pending
             .iter()
-            .map(|(key, asked)| query(key, asked.ticket))
+            .map(|(key, pending)| query(key, pending.ticket))
             .collect();
         for query in queries {
             self.send(query);
@@ -83,8 +86,8 @@
     }
 
     pub(super) fn on_tenant_answer(&mut self, answer: &TenantAnswer) {
-        let mut asked = self.unknown_keys.asked.iter();
-        let found = asked.find(|(_, asked)| asked.ticket == answer.ticket);
+        let mut pending = self.unknown_keys.pending.iter();
+        let found = pending.find(|(_, pending)| pending.ticket == answer.ticket);
         let Some(key) = found.map(|(key, _)| key.clone()) else {
             return;
         };
@@ -93,13 +96,13 @@
             return;
         };
         let revision = Revision(answer.revision);
-        // An answer from an older view says nothing; the request waits for its patience to end.
+        // An answer from an older view is ignored; the request keeps waiting until its timeout.
         if self.config.check_floor(revision).is_err() {
             self.metrics.stale_updates += 1;
             return;
         }
-        let waiting = self.unknown_keys.asked.remove(&key);
-        let waiting = waiting.map_or(Vec::new(), |asked| asked.waiting);
+        let waiting = self.unknown_keys.pending.remove(&key);
+        let waiting = waiting.map_or(Vec::new(), |pending| pending.waiting);
         match resource {
             Some(resource) => {
                 let _ = self.config.learn_tenant(resource, revision);
@@ -112,25 +115,25 @@
         }
     }
 
-    /// A configuration update may have brought tenants that requests wait for.
+    /// Admits waiting requests whose tenant has arrived with a configuration update.
     pub(super) fn admit_known_tenants(&mut self) {
         let known: Vec<KeyHash> = self
             .unknown_keys
-            .asked
+            .pending
             .keys()
             .filter(|key| self.config.tenant_of_key(key).is_some())
             .cloned()
             .collect();
         for key in known {
-            let asked = self.unknown_keys.asked.remove(&key);
-            for id in asked.map_or(Vec::new(), |asked| asked.waiting) {
+            let pending = self.unknown_keys.pending.remove(&key);
+            for id in pending.map_or(Vec::new(), |pending| pending.waiting) {
                 self.identify_again(id);
             }
         }
     }
 
-    /// Gives up requests whose tenant did not become known in time.
-    pub(super) fn expire_waiting(&mut self) {
+    /// Refuses requests whose tenant was not identified in time, and those whose claim timed out.
+    pub(super) fn expire_unconfirmed(&mut self) {
         let now = self.now;
         let expired: Vec<RequestId> = self
             .active
@@ -142,22 +145,22 @@
             .collect();
         for id in expired {
             self.active.remove(&id);
-            for asked in self.unknown_keys.asked.values_mut() {
-                asked.waiting.retain(|waiting| *waiting != id);
+            for pending in self.unknown_keys.pending.values_mut() {
+                pending.waiting.retain(|waiting| *waiting != id);
             }
             let message = "no control machine confirmed who holds the key";
             let verdict = Verdict::not_run(ErrorCode::ConfigUnavailable, message);
-            self.refuse_new(id, verdict.retry_after(self.params.tenant_patience));
+            self.refuse_new(id, verdict.retry_after(self.params.tenant_query_timeout));
         }
         self.unknown_keys
-            .asked
-            .retain(|_, asked| !asked.waiting.is_empty());
+            .pending
+            .retain(|_, pending| !pending.waiting.is_empty());
         self.expire_claims();
     }
 
-    fn ask_for(&mut self, key: KeyHash, id: RequestId) {
-        if let Some(asked) = self.unknown_keys.asked.get_mut(&key) {
-            asked.waiting.push(id);
+    fn query_tenant(&mut self, key: KeyHash, id: RequestId) {
+        if let Some(pending) = self.unknown_keys.pending.get_mut(&key) {
+            pending.waiting.push(id);
             return;
         }
         self.unknown_keys.next_ticket += 1;
@@ -165,14 +168,14 @@
         let waiting = vec![id];
         let query = query(&key, ticket);
         self.unknown_keys
-            .asked
-            .insert(key, AskedKey { ticket, waiting });
+            .pending
+            .insert(key, PendingKey { ticket, waiting });
         self.send(query);
     }
 
     fn identify_again(&mut self, id: RequestId) {
         if let Some(request) = self.active.remove(&id) {
-            self.identify(id, request.ask);
+            self.identify(id, request.admit_request);
         }
     }
 }
--- a/crates/router/src/core/types.rs
+++ b/crates/router/src/core/types.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of a router's core.
+//! Inputs and outputs of [`RouterCore`](super::RouterCore).
 
 use std::sync::Arc;
 
@@ -15,88 +15,88 @@
 use crate::config::{ConfigError, ConfigView};
 use crate::session::LinkId;
 
-/// What a request is for.
+/// The operation that a request asks for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Purpose {
-    /// To run.
+    /// Run a completion.
     #[default]
     Complete,
-    /// To learn which models the tenant may use.
+    /// List the models that the tenant may use.
     ListModels,
 }
 
-/// A request that wants to run.
+/// A request to be admitted.
 #[derive(Clone, Debug, Default)]
 pub struct AdmitRequest {
-    /// Hash of the key presented; `None` when none was.
+    /// Hash of the bearer key; `None` if the request has none.
     pub key_hash: Option<KeyHash>,
-    /// What it is for.
+    /// The operation asked for.
     pub purpose: Purpose,
-    /// The model.
+    /// The requested model.
     pub model: ModelName,
-    /// The adapter.
+    /// The adapter to apply to the model.
     pub adapter: Option<AdapterName>,
-    /// The prompt.
+    /// The prompt, from which cached prefixes are hashed.
     pub prompt: Arc<PromptInput>,
-    /// The priority asked for.
+    /// The requested priority.
     pub priority: Option<Priority>,
-    /// The priority class asked for; its word counts before `priority`.
+    /// The requested priority class; its priority overrides `priority`.
     pub priority_class: Option<String>,
-    /// True when the same request gives the same answer under the same weights.
+    /// True if repeating the request with the same weights gives the same answer.
     pub deterministic: bool,
-    /// The caller's key, when the work may not be repeated.
+    /// The caller's idempotency key, present if the request must not run twice.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// Hash of the body.
+    /// Hash of the body, compared by the ledger when an idempotency key is used again.
     pub fingerprint: u64,
 }
 
-/// An engine for a request.
+/// The engine chosen for an attempt, and what to send to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The request.
+    /// The request that is assigned.
     pub request: RequestId,
-    /// Counts the request's attempts from 1.
+    /// Number of the attempt, counted from 1.
     pub attempt: u32,
-    /// The engine.
+    /// The name of the engine.
     pub engine: EngineName,
-    /// Where it listens.
+    /// The address that the engine listens on.
     pub address: String,
-    /// The start it is believed to be; a fence.
+    /// The engine's expected incarnation, sent as a fence: an engine with another one refuses.
     pub incarnation: Incarnation,
-    /// The weights it must answer with; a fence.
+    /// The required weights version, also sent as a fence.
     pub weights_version: WeightsVersion,
-    /// The root of its prefix chain; nothing is shared across it.
+    /// The root of the prompt's prefix chain. Cache blocks are not shared between different roots.
     pub cache_salt: PrefixRoot,
-    /// How urgent it is.
+    /// The priority at the engine.
     pub priority: Priority,
-    /// The caller's key, when the work may not be repeated.
+    /// The caller's idempotency key, present if the request must not run twice.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
 /// The core's answer to a request or a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdmitOutcome {
-    /// Send it there.
+    /// Send the request to this engine.
     Assigned(Assignment),
-    /// It ran before; this was the answer.
+    /// The request ran before with this answer.
     Recorded(RecordedAnswer),
     /// The models that the tenant may use.
     Models(Vec<ModelName>),
-    /// It is over.
+    /// The request is refused, or failed and is not retried.
     Refused(Verdict),
 }
 
-/// What a router keeps in its data folder, so that it serves at once after a restart.
+/// The files in a router's data folder, with which it serves at once after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StoredFile {
     /// The configuration applied. It must not be older than what was applied before the restart.
     Config,
-    /// The engines last heard of. They may be out of date: fences protect from that.
+    /// The engines last reported. They may be out of date; fences protect against that.
     Engines,
 }
 
 impl StoredFile {
-    /// Its name in the data folder.
+    /// The file's name in the data folder.
     pub fn file_name(self) -> &'static str {
         match self {
             StoredFile::Config => "config.json",
@@ -105,7 +105,7 @@
     }
 }
 
-/// What was in a router's data folder when it started.
+/// The contents of a router's data folder at its start.
 #[derive(Clone, Debug, Default)]
 pub struct StoredState {
     /// The configuration to apply from the start.
@@ -115,8 +115,8 @@
 }
 
 impl StoredState {
-    /// Reads the files back. One that is missing counts as empty, one that is unreadable is an
-    /// error for the configuration, and nothing for the engines.
+    /// Decodes the files. A missing file counts as empty. An unreadable configuration is an error;
+    /// an unreadable list of engines counts as empty.
     pub fn decode(config: Option<&[u8]>, engines: Option<&[u8]>) -> Result<Self, ConfigError> {
         let config = config.map_or(Ok(ConfigView::default()), ConfigView::decode)?;
         let engines = engines.and_then(|bytes| serde_json::from_slice(bytes).ok());
@@ -127,59 +127,59 @@
     }
 }
 
-/// What the owner of the core has to do, in this order.
+/// An action for the owner of the core. Effects are carried out in order.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Make these bytes last before any later effect.
+    /// Make these bytes durable before carrying out any later effect.
     Persist(StoredFile, Vec<u8>),
     /// Open a link to a control machine.
     Connect {
-        /// The link.
+        /// The id of the new link.
         link: LinkId,
-        /// Which machine, counted from 0.
+        /// Index of the control machine, counted from 0.
         peer: usize,
     },
     /// Close a link.
     Close(LinkId),
     /// Send a message over a link.
     Send(LinkId, Message),
-    /// Tell a request's owner.
+    /// Return an outcome to the request's owner.
     Answer(RequestId, AdmitOutcome),
 }
 
-/// Counters since the start, and a few gauges.
+/// Counters since the start, and gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct RouterMetrics {
-    /// Requests that asked.
+    /// Requests received.
     pub requests: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub answered: u64,
-    /// Requests that ended otherwise.
+    /// Requests that failed after they may have run, or whose caller disconnected.
     pub failed: u64,
-    /// Requests refused before they ran.
+    /// Requests that were refused or failed without having run.
     pub refused: u64,
     /// Attempts after the first.
     pub retries: u64,
-    /// Requests before whose placement the index was asked.
+    /// Index lookups sent before placing a request.
     pub index_questions: u64,
     /// Prompt tokens of answered requests.
     pub prompt_tokens: u64,
-    /// Of these, tokens that engines had in their caches.
+    /// Prompt tokens that engines reported as cached.
     pub cached_tokens: u64,
-    /// Tokens believed cached that were not.
+    /// Tokens that were estimated to be cached and were not.
     pub overestimated_tokens: u64,
-    /// Configuration updates refused because they were older than what is applied.
+    /// Configuration updates and tenant answers refused as stale or unreadable.
     pub stale_updates: u64,
     /// Messages sent to control machines.
     pub control_messages_sent: u64,
     /// Messages received from control machines.
     pub control_messages_received: u64,
-    /// Requests open now.
+    /// Requests currently open.
     pub open: u64,
-    /// Requests waiting for an engine now.
+    /// Requests currently waiting for an engine.
     pub queued: u64,
-    /// The revision applied.
+    /// The configuration revision applied.
     pub revision: u64,
-    /// 1 while a quorum's confirmation is recent.
+    /// 1 while the last quorum confirmation is recent, else 0.
     pub control_fresh: u64,
 }
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -1,7 +1,7 @@
-//! One request on its way: which call to make, what its failure means, when it is over.
+//! State machine of one request: it names the next call, classifies failures and detects the end.
 //!
-//! The owner of an [`Exchange`] does the I/O. It makes the call that [`Next`] names, hands in
-//! what comes back, and asks the core where to go next when told to.
+//! The owner of an [`Exchange`] does the I/O. It makes the call that [`Next`] names, passes the
+//! result back in, and reports to the core when [`Next::Report`] says so.
 
 use drumshore_core::{ErrorCode, Execution, Verdict};
 use drumshore_routing::AnswerReport;
@@ -12,100 +12,102 @@
 use crate::relay::{RelayError, RelayProgress, StreamRelay};
 use crate::sse::Event;
 
-/// Times that one attempt's stream is taken up again before the attempt counts as failed.
+/// Maximum number of times that an attempt's stream is resumed before the attempt fails.
 const MAX_RESUMES: u32 = 3;
 
 /// A call to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamCall {
-    /// Send the request.
+    /// Sends the request.
     Start(Assignment),
-    /// Take its stream up behind the last event received.
+    /// Resumes the request's stream after the last event received.
     Resume {
-        /// Where it runs.
+        /// The engine that runs the request.
         assignment: Assignment,
-        /// The last event; `None` when none was received.
+        /// Number of the last event received; `None` if there was none.
         last_event: Option<u64>,
     },
 }
 
-/// What the owner does next.
+/// The owner's next step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
     /// Make this call.
     Call(UpstreamCall),
-    /// Read on.
+    /// Keep reading.
     Read,
-    /// Tell the core, and hand in its answer.
+    /// Report the failed attempt to the core, and pass its outcome to
+    /// [`Exchange::on_outcome`].
     Report(AttemptFailure),
-    /// It is over.
+    /// End the request.
     Finish(Conclusion),
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Conclusion {
-    /// The whole answer was passed on.
+    /// The whole answer was received.
     Answered,
-    /// The answer had been recorded before; nothing ran now.
+    /// The answer was already in the ledger; nothing ran.
     Recorded(RecordedAnswer),
-    /// It failed.
+    /// The request failed or was refused.
     Failed(Verdict),
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// What kind of failure it was, for the engine's reputation.
+/// The kind of failure, which decides whether the engine is avoided and whether the request is
+/// retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// The engine could not be reached; nothing was sent.
+    /// The connection to the engine failed; nothing was sent.
     Unreachable,
-    /// The engine is another start, or holds other weights, than was believed.
+    /// The engine's incarnation or weights differ from the assignment.
     Fenced,
-    /// The engine takes no new work.
+    /// The engine is leaving and accepts no new requests.
     Leaving,
     /// The engine's queue is full.
     Full,
-    /// The engine finds the request itself at fault.
+    /// The engine rejects the request itself as invalid.
     Rejected,
-    /// The connection ended or fell silent after the request was sent.
+    /// The connection ended or timed out after the request was sent.
     Broken,
-    /// The recomputed answer is another one.
+    /// The recomputed answer differs from the part already sent to the caller.
     Diverged,
 }
 
 /// A failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptFailure {
-    /// What kind.
+    /// The kind of failure.
     pub kind: FailureKind,
-    /// Whether it may have run, and why it failed.
+    /// Whether the request may have run, and why the attempt failed.
     pub verdict: Verdict,
-    /// True when a part of the answer has reached the caller.
+    /// True if part of the answer was sent to the caller.
     pub delivered: bool,
 }
 
-/// The head of an engine's answer.
+/// The status and headers of an engine's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamHead {
     /// HTTP status.
     pub status: u16,
-    /// What the engine says about execution.
+    /// Whether the request ran, as reported by the engine.
     pub execution: Option<Execution>,
-    /// Why it refused.
+    /// Why the engine refused; one of the `REFUSAL_` values of [`engine_api`].
     pub refusal: Option<String>,
-    /// What it says of its cache and load.
+    /// The cache hit and the load that the engine reports.
     pub report: AnswerReport,
 }
 
 /// How a connection to an engine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamEnd {
-    /// It could not be opened.
+    /// The connection could not be opened.
     NotConnected,
-    /// It ended, in whatever way.
+    /// The connection was closed or failed.
     Ended,
-    /// It fell silent.
+    /// No data arrived before the timeout.
     Stalled,
 }
 
@@ -115,21 +117,21 @@
     Starting,
     Resuming,
     Streaming,
-    Over,
+    Finished,
 }
 
-/// What is special about a request.
+/// Options of an exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExchangeParams {
-    /// The caller gets events as they come. Otherwise nothing reaches it before the end, and
-    /// every attempt starts afresh.
+    /// The caller receives events as they arrive. Otherwise it receives nothing before the end, and
+    /// every attempt starts a new answer.
     pub streams: bool,
-    /// Goes on without a caller, so that the outcome of work that may not be repeated is
-    /// recorded.
+    /// The exchange continues after the caller disconnects, so that the outcome of a request that
+    /// must not run twice is recorded.
     pub outlives_caller: bool,
 }
 
-/// A request on its way.
+/// The state of one request from its first assignment to its conclusion.
 pub struct Exchange {
     params: ExchangeParams,
     caller_gone: bool,
@@ -144,7 +146,7 @@
 }
 
 impl Exchange {
-    /// A request that nothing was done about yet.
+    /// An exchange that waits for the core's first outcome.
     pub fn new(params: ExchangeParams) -> Self {
         Self {
             params,
@@ -160,28 +162,29 @@
         }
     }
 
-    /// The answer as far as it is there. It is put together only for callers without streaming
-    /// and for work whose outcome is recorded.
+    /// The answer received so far. It is assembled only if the caller does not stream or the
+    /// outcome is recorded.
     pub fn answer(&self) -> &RecordedAnswer {
         &self.answer
     }
 
-    /// The engine that has the request.
+    /// The current assignment, or the last one after a failed attempt.
     pub fn assignment(&self) -> Option<&Assignment> {
         self.assignment.as_ref()
     }
 
-    /// True when a part of the answer was passed on.
+    /// True if part of the answer was sent to the caller.
     pub fn has_delivered(&self) -> bool {
-        self.params.streams && self.relay.passed_on() > 0
+        self.params.streams && self.relay.events_forwarded() > 0
     }
 
-    /// The first token's news, once for each attempt.
+    /// Takes the engine's report once an attempt's first token has arrived; `Some` once for each
+    /// attempt.
     pub fn take_first_token(&mut self) -> Option<AnswerReport> {
         self.first_token.take()
     }
 
-    /// The core decided.
+    /// Applies the core's decision.
     pub fn on_outcome(&mut self, outcome: AdmitOutcome) -> Next {
         match outcome {
             AdmitOutcome::Assigned(assignment) => {
@@ -201,14 +204,14 @@
         }
     }
 
-    /// The engine's answer began.
+    /// Handles the head of the engine's response.
     pub fn on_head(&mut self, head: &UpstreamHead) -> Next {
         let starting = self.stage == Stage::Starting;
         if head.status != 200 {
             return if starting {
-                self.refused(head)
+                self.fail_refused(head)
             } else {
-                self.broken("the engine no longer has the stream")
+                self.fail_broken("the engine no longer has the stream")
             };
         }
         if starting {
@@ -221,48 +224,48 @@
         Next::Read
     }
 
-    /// Bytes of the engine's answer arrived; what is due goes to the caller.
-    pub fn on_bytes(&mut self, bytes: &[u8], pass_on: &mut dyn FnMut(&Event<'_>)) -> Next {
-        let keeps_answer = !self.params.streams || self.params.outlives_caller;
+    /// Handles bytes of the engine's response and passes the caller's events to `forward`.
+    pub fn on_bytes(&mut self, bytes: &[u8], forward: &mut dyn FnMut(&Event<'_>)) -> Next {
+        let records_answer = !self.params.streams || self.params.outlives_caller;
         let caller_gone = self.caller_gone;
         let answer = &mut self.answer;
-        let fed = self.relay.feed(bytes, &mut |event| {
-            if keeps_answer {
+        let progress = self.relay.feed(bytes, &mut |event| {
+            if records_answer {
                 answer.add(event.data);
             }
             if !caller_gone {
-                pass_on(event);
+                forward(event);
             }
         });
-        self.note_first_token();
-        match fed {
+        self.record_first_token();
+        match progress {
             Ok(RelayProgress::Open) => Next::Read,
             Ok(RelayProgress::Done) => self.finish(Conclusion::Answered),
             Err(RelayError::Diverged) => {
                 let message = RelayError::Diverged.to_string();
                 let verdict = Verdict::ran(ErrorCode::EngineFailed, message);
-                self.failed(FailureKind::Diverged, verdict)
+                self.fail(FailureKind::Diverged, verdict)
             }
-            Err(error) => self.resume_or(&error.to_string()),
+            Err(error) => self.resume_or_fail(&error.to_string()),
         }
     }
 
-    /// The connection to the engine ended before the answer did.
+    /// Handles a connection that ended before the answer was complete.
     pub fn on_end(&mut self, end: UpstreamEnd) -> Next {
         match (self.stage, end) {
-            (Stage::Over, _) => Next::Read,
+            (Stage::Finished, _) => Next::Read,
             (Stage::Starting, UpstreamEnd::NotConnected) => {
                 let message = "the engine could not be reached";
                 let verdict = Verdict::not_run(ErrorCode::NoEngine, message);
-                self.failed(FailureKind::Unreachable, verdict)
+                self.fail(FailureKind::Unreachable, verdict)
             }
-            (_, UpstreamEnd::NotConnected) => self.broken("the engine is gone"),
-            (_, UpstreamEnd::Ended) => self.resume_or("the engine's connection ended"),
-            (_, UpstreamEnd::Stalled) => self.resume_or("the engine fell silent"),
+            (_, UpstreamEnd::NotConnected) => self.fail_broken("the engine is gone"),
+            (_, UpstreamEnd::Ended) => self.resume_or_fail("the engine's connection ended"),
+            (_, UpstreamEnd::Stalled) => self.resume_or_fail("the engine fell silent"),
         }
     }
 
-    /// The caller cannot be written to any more.
+    /// Handles a caller that disconnected.
     pub fn on_caller_gone(&mut self) -> Next {
         self.caller_gone = true;
         if self.params.outlives_caller {
@@ -280,15 +283,15 @@
         }
     }
 
-    fn note_first_token(&mut self) {
-        if self.first_token_seen || self.relay.passed_on() == 0 {
+    fn record_first_token(&mut self) {
+        if self.first_token_seen || self.relay.events_forwarded() == 0 {
             return;
         }
         self.first_token_seen = true;
         self.first_token = Some(self.report);
     }
 
-    fn refused(&mut self, head: &UpstreamHead) -> Next {
+    fn fail_refused(&mut self, head: &UpstreamHead) -> Next {
         let kind = match (head.refusal.as_deref(), head.status) {
             (Some(engine_api::REFUSAL_FENCE), _) | (None, 412) => FailureKind::Fenced,
             (Some(engine_api::REFUSAL_LEAVING), _) => FailureKind::Leaving,
@@ -296,7 +299,8 @@
             (_, 400..=499) => FailureKind::Rejected,
             _ => FailureKind::Broken,
         };
-        // Without the engine's word only a refusal that names its reason counts as "not run".
+        // If the engine does not report execution, only a refusal with a known reason or a 4xx
+        // status counts as "not run".
         let presumed = match kind {
             FailureKind::Broken => Execution::MayHaveRun,
             _ => Execution::NotRun,
@@ -312,15 +316,15 @@
             execution: head.execution.unwrap_or(presumed),
             ..Verdict::not_run(code, message)
         };
-        self.failed(kind, verdict)
+        self.fail(kind, verdict)
     }
 
-    fn resume_or(&mut self, reason: &str) -> Next {
+    fn resume_or_fail(&mut self, reason: &str) -> Next {
         let Some(assignment) = self.assignment.clone() else {
-            return self.broken(reason);
+            return self.fail_broken(reason);
         };
         if self.resumes >= MAX_RESUMES {
-            return self.broken(reason);
+            return self.fail_broken(reason);
         }
         self.resumes += 1;
         self.stage = Stage::Resuming;
@@ -330,16 +334,16 @@
         })
     }
 
-    fn broken(&mut self, reason: &str) -> Next {
+    fn fail_broken(&mut self, reason: &str) -> Next {
         let verdict = if self.has_delivered() {
             Verdict::ran(ErrorCode::EngineFailed, reason)
         } else {
             Verdict::may_have_run(ErrorCode::EngineFailed, reason)
         };
-        self.failed(FailureKind::Broken, verdict)
+        self.fail(FailureKind::Broken, verdict)
     }
 
-    fn failed(&mut self, kind: FailureKind, verdict: Verdict) -> Next {
+    fn fail(&mut self, kind: FailureKind, verdict: Verdict) -> Next {
         self.stage = Stage::Waiting;
         Next::Report(AttemptFailure {
             kind,
@@ -349,7 +353,7 @@
     }
 
     fn finish(&mut self, conclusion: Conclusion) -> Next {
-        self.stage = Stage::Over;
+        self.stage = Stage::Finished;
         Next::Finish(conclusion)
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,10 +1,10 @@
-//! The router beside a caller, without I/O and clock.
+//! The router that runs beside a caller, as state machines without I/O and without a clock.
 //!
-//! [`RouterCore`] decides: who may ask, whether a request may start, which engine serves it,
-//! whether it is tried again. [`Exchange`] carries one request: it says which call to make to
-//! which engine, checks the engine's stream with a [`StreamRelay`], and turns what happens into
-//! verdicts. Token bytes go through exchanges only, never through the core. [`RouterActor`] is
-//! the core on `stakker`; the daemon and the simulator both run it.
+//! [`RouterCore`] authenticates and admits requests, assigns them to engines and decides about
+//! retries. [`Exchange`] drives one request: it names the next call to an engine, checks the
+//! engine's stream with a [`StreamRelay`], and turns failures into verdicts. Token bytes pass
+//! through exchanges only, never through the core. [`RouterActor`] runs the core as a `stakker`
+//! actor, both in the daemon and in the simulator.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,51 +1,52 @@
-//! Passes an engine's stream on, whole and in order.
+//! Forwards an engine's stream to the caller, complete and in order.
 //!
-//! Events are numbered from 0 by the engine. An event is passed on only when it is the next one;
-//! one that was passed on already is dropped; a number that is skipped ends the connection, and
-//! the stream is resumed behind the last event. When a request is computed anew elsewhere, its
-//! beginning is compared with what was passed on, and only an equal one is continued.
+//! The engine numbers events from 0. An event is forwarded only if it is the next one, and dropped
+//! if it was already forwarded. If a number is skipped, the connection is closed and the stream is
+//! resumed after the last event. If the answer is recomputed by another engine, its beginning is
+//! compared with the events already forwarded, and the stream continues only if they are equal.
 
 use drumshore_guard::{enforced, Guard};
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::sse::{Event, EventDecoder, EventError, DONE};
 
-/// Why a stream cannot be passed on.
+/// Why a stream cannot be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RelayError {
     /// An event is missing.
     #[error("event {found} arrived where {expected} was due")]
     Gap {
-        /// The number that was due.
+        /// The number of the next event.
         expected: u64,
-        /// The number that came.
+        /// The number received.
         found: u64,
     },
-    /// The bytes are no events.
+    /// The bytes cannot be decoded as events.
     #[error(transparent)]
     Malformed(#[from] EventError),
-    /// Computed anew, the answer begins otherwise than what the caller has.
+    /// The recomputed answer differs from the events already sent to the caller.
     #[error("the recomputed answer differs from what was passed on")]
     Diverged,
 }
 
-/// How far a stream is.
+/// Whether a stream is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayProgress {
-    /// More is to come.
+    /// More events follow.
     Open,
-    /// The last event was passed on.
+    /// The last event was forwarded.
     Done,
 }
 
-/// The beginning of an answer that is computed anew.
+/// The beginning of a recomputed answer, as far as it was compared: the next event number and the
+/// digest of the data before it.
 #[derive(Clone)]
 struct Replay {
     next: u64,
     digest: Xxh3,
 }
 
-/// The state of one caller's stream, over all engines that serve it.
+/// The state of one caller's stream across all engines that serve it.
 #[derive(Clone)]
 pub struct StreamRelay {
     decoder: EventDecoder,
@@ -62,7 +63,7 @@
 }
 
 impl StreamRelay {
-    /// A stream of which nothing was passed on.
+    /// A stream without any forwarded event.
     pub fn new() -> Self {
         Self {
             decoder: EventDecoder::default(),
@@ -73,28 +74,29 @@
         }
     }
 
-    /// Events passed on so far.
-    pub fn passed_on(&self) -> u64 {
+    /// Number of events forwarded so far, the final `[DONE]` excluded.
+    pub fn events_forwarded(&self) -> u64 {
         self.next
     }
 
-    /// True when the last event was passed on.
+    /// True once the last event was forwarded.
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// The last event received of the engine's present stream, from which to resume it.
+    /// Number of the last event received from the current engine, after which its stream is
+    /// resumed; `None` if there was none.
     pub fn resume_point(&self) -> Option<u64> {
         let received = self.replay.as_ref().map_or(self.next, |replay| replay.next);
         received.checked_sub(1)
     }
 
-    /// The same stream goes on over a new connection, behind the last event.
+    /// The same stream continues on a new connection, after the last event.
     pub fn on_resumed(&mut self) {
         self.decoder = EventDecoder::default();
     }
 
-    /// The answer is computed anew, from its first event.
+    /// Another attempt recomputes the answer from its first event.
     pub fn on_restarted(&mut self) {
         self.decoder = EventDecoder::default();
         self.replay = (self.next > 0).then(|| Replay {
@@ -103,11 +105,11 @@
         });
     }
 
-    /// Takes bytes of the stream and passes on what is due.
+    /// Decodes bytes of the stream and passes the events that the caller lacks to `forward`.
     pub fn feed(
         &mut self,
         bytes: &[u8],
-        pass_on: &mut dyn FnMut(&Event<'_>),
+        forward: &mut dyn FnMut(&Event<'_>),
     ) -> Result<RelayProgress, RelayError> {
         self.decoder.push(bytes);
         while let Some(event) = self.decoder.next_event()? {
@@ -116,27 +118,28 @@
                     return Err(RelayError::Diverged);
                 }
                 self.done = true;
-                pass_on(&event);
+                forward(&event);
                 return Ok(RelayProgress::Done);
             }
             match &mut self.replay {
                 Some(replay) => {
-                    if replay.take(&event, self.next, &self.digest)? {
+                    if replay.compare(&event, self.next, &self.digest)? {
                         self.replay = None;
                     }
                 }
-                None => take_next(&mut self.next, &mut self.digest, &event, pass_on)?,
+                None => forward_next(&mut self.next, &mut self.digest, &event, forward)?,
             }
         }
         Ok(RelayProgress::Open)
     }
 }
 
-fn take_next(
+/// Forwards an event if it is the next one; drops an earlier one.
+fn forward_next(
     next: &mut u64,
     digest: &mut Xxh3,
     event: &Event<'_>,
-    pass_on: &mut dyn FnMut(&Event<'_>),
+    forward: &mut dyn FnMut(&Event<'_>),
 ) -> Result<(), RelayError> {
     let found = event.id.unwrap_or(*next);
     if enforced(Guard::StreamOrder) {
@@ -152,16 +155,17 @@
     }
     *next = found + 1;
     digest.update(event.data.as_bytes());
-    pass_on(event);
+    forward(event);
     Ok(())
 }
 
 impl Replay {
-    /// True when the caller's part is reached and was the same.
-    fn take(
+    /// Adds an event to the comparison. True once all events that were forwarded are compared and
+    /// equal.
+    fn compare(
         &mut self,
         event: &Event<'_>,
-        passed_on: u64,
+        events_forwarded: u64,
         digest: &Xxh3,
     ) -> Result<bool, RelayError> {
         let found = event.id.unwrap_or(self.next);
@@ -173,7 +177,7 @@
         }
         self.next += 1;
         self.digest.update(event.data.as_bytes());
-        if self.next < passed_on {
+        if self.next < events_forwarded {
             return Ok(false);
         }
         if self.digest.digest() != digest.digest() && enforced(Guard::ContinuationMatches) {
--- a/crates/router/src/session.rs
+++ b/crates/router/src/session.rs
@@ -1,5 +1,5 @@
-//! The router's one link to a control machine: which, since when, and whether it is still
-//! worth listening to.
+//! The router's link to a control machine: choice of the machine, reconnection, and detection of a
+//! link whose updates are stale.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Names one attempt at a connection, so that what an earlier one says late is not heard.
+/// Identifies one connection attempt, so that late messages of an earlier one are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// How links are kept.
+/// Parameters of the session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SessionParams {
-    /// Control machines to choose from.
-    pub(crate) peers: usize,
-    /// A link is left when the quorum has not spoken through it for this long.
+    /// Number of control machines.
+    pub(crate) peer_count: usize,
+    /// A link is closed if no quorum confirmation arrived through it for this long.
     pub(crate) stale_after: Duration,
-    /// The longest pause before the next attempt; drawn at random, so that routers that lost the
-    /// same machine do not return in step.
-    pub(crate) max_pause: Duration,
+    /// Upper bound of the random delay before the next attempt. The delay is random so that routers
+    /// that lost the same machine don't reconnect at the same time.
+    pub(crate) max_reconnect_delay: Duration,
 }
 
-/// What to do about the link.
+/// An action for the owner of the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionAction {
-    /// Open a link to this control machine.
+    /// Open a link to the control machine with index `peer`.
     Connect { link: LinkId, peer: usize },
-    /// Close a link.
+    /// Close this link.
     Close(LinkId),
 }
 
@@ -48,9 +48,10 @@
 }
 
 impl ControlSession {
-    /// Starts down; the first tick opens a link to `first_peer`.
+    /// Starts disconnected; the first tick opens a link to `first_peer`, modulo the number of
+    /// machines.
     pub(crate) fn new(params: SessionParams, first_peer: usize) -> Self {
-        let peer = first_peer % params.peers.max(1);
+        let peer = first_peer % params.peer_count.max(1);
         Self {
             params,
             state: State::Down {
@@ -61,8 +62,8 @@
         }
     }
 
-    /// The link that is up.
-    pub(crate) fn up(&self) -> Option<LinkId> {
+    /// The open link, if there is one.
+    pub(crate) fn connected_link(&self) -> Option<LinkId> {
         matches!(self.state, State::Up { .. }).then_some(self.link)
     }
 
@@ -80,7 +81,7 @@
         };
         if overdue {
             actions.push(SessionAction::Close(self.link));
-            self.go_down(now, random);
+            self.schedule_reconnect(now, random);
         }
         if let State::Down { retry_at } = self.state {
             if retry_at <= now {
@@ -95,7 +96,7 @@
         actions
     }
 
-    /// True when the link is the one that was asked for.
+    /// Returns true if the link is the one being opened, false if it is outdated.
     pub(crate) fn on_connected(&mut self, link: LinkId, now: Timestamp) -> bool {
         let expected = link == self.link && matches!(self.state, State::Opening { .. });
         if expected {
@@ -106,23 +107,23 @@
 
     pub(crate) fn on_closed(&mut self, link: LinkId, now: Timestamp, random: &mut ChaCha8Rng) {
         if link == self.link && !matches!(self.state, State::Down { .. }) {
-            self.go_down(now, random);
+            self.schedule_reconnect(now, random);
         }
     }
 
-    /// The quorum spoke through the link.
+    /// Records a quorum confirmation received through the link.
     pub(crate) fn on_fresh(&mut self, now: Timestamp) {
         if let State::Up { fresh_at } = &mut self.state {
             *fresh_at = now;
         }
     }
 
-    fn go_down(&mut self, now: Timestamp, random: &mut ChaCha8Rng) {
-        let longest = self.params.max_pause.as_micros() as u64;
-        let pause = Duration::from_micros(random.random_range(0..=longest));
-        self.peer = (self.peer + 1) % self.params.peers.max(1);
+    fn schedule_reconnect(&mut self, now: Timestamp, random: &mut ChaCha8Rng) {
+        let longest_us = self.params.max_reconnect_delay.as_micros() as u64;
+        let delay = Duration::from_micros(random.random_range(0..=longest_us));
+        self.peer = (self.peer + 1) % self.params.peer_count.max(1);
         self.state = State::Down {
-            retry_at: now.plus(pause),
+            retry_at: now.plus(delay),
         };
     }
 }
--- a/crates/router/src/sse.rs
+++ b/crates/router/src/sse.rs
@@ -1,31 +1,32 @@
-//! Server-sent events, as far as completion streams use them: one `id` and one `data` line.
+//! Decoder for the subset of server-sent events that completion streams use: one `id` and one
+//! `data` line for each event.
 
-/// An event may not be larger, in bytes; engines send one for each few tokens.
+/// Maximum size of an event in bytes. Engines send an event for every few tokens.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// The data of the event that ends a stream.
+/// Data of the event that ends a stream.
 pub const DONE: &str = "[DONE]";
 
-/// One event.
+/// A decoded event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Event<'b> {
-    /// Its number.
+    /// The number in its `id` line, if it has one.
     pub id: Option<u64>,
-    /// Its data.
+    /// The content of its `data` line.
     pub data: &'b str,
-    /// Its bytes as received, the closing blank line included.
+    /// Its bytes as received, including the blank line at the end.
     pub raw: &'b [u8],
 }
 
-/// The bytes are no event.
+/// Why bytes cannot be decoded as an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    /// Not text, or larger than the bound.
+    /// The event is not UTF-8 or exceeds the maximum size.
     #[error("malformed event")]
     Malformed,
 }
 
-/// Cuts a byte stream into events.
+/// Splits a byte stream into events.
 #[derive(Clone, Debug, Default)]
 pub struct EventDecoder {
     buffer: Vec<u8>,
@@ -33,14 +34,14 @@
 }
 
 impl EventDecoder {
-    /// Adds bytes as they arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event, when there is one.
+    /// Returns the next complete event, or `None` until more bytes arrive.
     pub fn next_event(&mut self) -> Result<Option<Event<'_>>, EventError> {
         let pending = &self.buffer[self.consumed..];
         let end = pending.windows(2).position(|pair| pair == b"\n\n");
