--- a/crates/router/src/tests.rs
+++ b/crates/router/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts; `crates/testbed` runs them together under failures.
+//! Unit tests of the modules; `crates/testbed` tests them together under failures.
 
 mod config;
 mod core;
--- a/crates/router/src/tests/config.rs
+++ b/crates/router/src/tests/config.rs
@@ -50,12 +50,12 @@
 }
 
 #[test]
-fn an_older_view_is_refused_even_after_a_restart() {
+fn older_update_is_refused_after_a_restart() {
     let mut view = ConfigView::default();
     view.apply(&update(5, true, &[model(5, 2)]))
-        .expect("it is new");
+        .expect("the update is new");
     let stored = view.encode();
-    let mut restarted = ConfigView::decode(&stored).expect("it was just stored");
+    let mut restarted = ConfigView::decode(&stored).expect("the encoded view is readable");
     let older = restarted.apply(&update(4, true, &[model(4, 1)]));
     assert!(matches!(older, Err(ConfigError::Stale { .. })));
     assert_eq!(weights(&restarted), Some(2));
@@ -63,29 +63,29 @@
 }
 
 #[test]
-fn a_change_that_is_older_than_what_was_asked_for_does_not_replace_it() {
+fn update_does_not_replace_a_newer_queried_tenant() {
     let mut view = ConfigView::default();
     view.apply(&update(5, true, &[model(5, 2)]))
-        .expect("it is new");
+        .expect("the update is new");
     view.learn_tenant(tenant("t", 8, "new"), Revision(8))
-        .expect("it is newer");
+        .expect("the revision is newer");
     view.apply(&update(6, false, &[tenant("t", 6, "old")]))
-        .expect("it is newer than the floor");
+        .expect("the revision is above the floor");
     assert!(view.tenant_of_key(&SecretKey::new("new").hash()).is_some());
     assert!(view.tenant_of_key(&SecretKey::new("old").hash()).is_none());
 }
 
 #[test]
-fn a_deleted_tenant_is_gone() {
+fn deleted_tenant_loses_its_key() {
     let mut view = ConfigView::default();
     view.apply(&update(5, true, &[tenant("t", 5, "k")]))
-        .expect("it is new");
+        .expect("the update is new");
     let deleted = [ResourceKey {
         kind: ResourceKind::Tenant,
         name: "t".to_owned(),
     }];
     let mut change = update(6, false, &[]);
     change.deleted = Blob::new(serde_json::to_vec(&deleted).expect("keys are JSON"));
-    view.apply(&change).expect("it is newer");
+    view.apply(&change).expect("the revision is newer");
     assert!(view.tenant_of_key(&SecretKey::new("k").hash()).is_none());
 }
--- a/crates/router/src/tests/core.rs
+++ b/crates/router/src/tests/core.rs
@@ -22,23 +22,24 @@
 use crate::exchange::{AttemptFailure, Conclusion, FailureKind};
 use crate::session::LinkId;
 
-struct Bench {
+/// A router core with a control machine and an index that the test plays.
+struct Harness {
     core: RouterCore,
     now: Timestamp,
     link: Option<LinkId>,
     sent: Vec<Message>,
     answers: Vec<(RequestId, AdmitOutcome)>,
     stored: BTreeMap<StoredFile, Vec<u8>>,
-    /// The index leaves questions to the test.
-    index_silent: bool,
+    /// If set, lookups are not answered by [`Self::process_effects`] but left to the test.
+    index_unresponsive: bool,
 }
 
-impl Bench {
-    fn blank() -> Self {
-        Self::with(StoredState::default())
+impl Harness {
+    fn empty() -> Self {
+        Self::with_stored(StoredState::default())
     }
 
-    fn with(stored: StoredState) -> Self {
+    fn with_stored(stored: StoredState) -> Self {
         let params = RouterParams::new("r".into(), "z".into(), 3);
         Self {
             core: RouterCore::new(params, stored, 1),
@@ -47,14 +48,14 @@
             sent: Vec::new(),
             answers: Vec::new(),
             stored: BTreeMap::new(),
-            index_silent: false,
+            index_unresponsive: false,
         }
     }
 
-    /// Linked, configured with a model and the tenant `known`, and with two engines.
+    /// A connected router with a model, the tenant `known` and the ready engines `a` and `b`.
     fn ready() -> Self {
-        let mut bench = Self::blank();
-        bench.link_up();
+        let mut harness = Self::empty();
+        harness.connect();
         let pool = resource(
             "p",
             1,
@@ -64,49 +65,50 @@
             }),
         );
         let records = [pool, model(2, 1), tenant("known", 3, "key")];
-        bench.hear(Message::Config(update(3, true, &records)));
-        bench.engines(&[
+        harness.receive(Message::Config(update(3, true, &records)));
+        harness.engines(&[
             ("a", 1, EngineStateCode::Ready),
             ("b", 1, EngineStateCode::Ready),
         ]);
-        bench
+        harness
     }
 
-    fn link_up(&mut self) {
+    fn connect(&mut self) {
         self.tick(Duration::from_millis(600));
-        let link = self.link.expect("a link was asked for");
+        let link = self.link.expect("the router opens a link");
         self.core.on_connected(link);
-        self.settle();
+        self.process_effects();
     }
 
     fn tick(&mut self, step: Duration) {
         self.now = self.now.plus(step);
         self.core.set_now(self.now);
         self.core.on_tick();
-        self.settle();
+        self.process_effects();
     }
 
-    /// Carries effects out. An index that knows nothing answers at once, unless it is silent.
-    fn settle(&mut self) {
+    /// Carries out all effects. Lookups are answered at once with an empty answer, unless the index
+    /// is unresponsive.
+    fn process_effects(&mut self) {
         loop {
             let before = self.sent.len();
             self.carry_out();
-            let asked: Vec<u32> = self.sent[before..].iter().filter_map(ticket).collect();
-            if asked.is_empty() || self.index_silent {
+            let tickets: Vec<u32> = self.sent[before..].iter().filter_map(ticket).collect();
+            if tickets.is_empty() || self.index_unresponsive {
                 return;
             }
-            for ticket in asked {
-                self.answer_question(ticket, &[]);
+            for ticket in tickets {
+                self.answer_lookup(ticket, &[]);
             }
         }
     }
 
-    fn answer_question(&mut self, ticket: u32, holdings: &[HoldingRecord]) {
+    fn answer_lookup(&mut self, ticket: u32, holdings: &[HoldingRecord]) {
         let answer = IndexAnswer {
             ticket,
             holdings: List::new(holdings.to_vec()),
         };
-        let link = self.link.expect("a link is up");
+        let link = self.link.expect("a link is open");
         self.core
             .on_control_message(link, Message::IndexAnswer(answer));
     }
@@ -125,10 +127,10 @@
         }
     }
 
-    fn hear(&mut self, message: Message) {
-        let link = self.link.expect("a link is up");
+    fn receive(&mut self, message: Message) {
+        let link = self.link.expect("a link is open");
         self.core.on_control_message(link, message);
-        self.settle();
+        self.process_effects();
     }
 
     fn engines(&mut self, engines: &[(&str, u64, EngineStateCode)]) {
@@ -143,15 +145,15 @@
             state: *state,
             slot,
         });
-        self.hear(Message::Engines(EngineUpdate {
+        self.receive(Message::Engines(EngineUpdate {
             full: 1,
             engines: List::new(entries.collect()),
         }));
     }
 
-    fn admit(&mut self, ask: AdmitRequest) -> RequestId {
-        let id = self.core.admit(ask);
-        self.settle();
+    fn admit(&mut self, request: AdmitRequest) -> RequestId {
+        let id = self.core.admit(request);
+        self.process_effects();
         id
     }
 
@@ -166,16 +168,16 @@
             delivered,
         };
         self.core.on_attempt_failed(id, &failure);
-        self.settle();
+        self.process_effects();
     }
 
     fn finish(&mut self, id: RequestId, conclusion: &Conclusion) {
         self.core
             .on_finished(id, conclusion, &RecordedAnswer::default());
-        self.settle();
+        self.process_effects();
     }
 
-    fn last(&self, id: RequestId) -> Option<&AdmitOutcome> {
+    fn last_outcome(&self, id: RequestId) -> Option<&AdmitOutcome> {
         let mut answers = self.answers.iter().rev();
         answers
             .find(|(of, _)| *of == id)
@@ -183,14 +185,14 @@
     }
 
     fn assignment(&self, id: RequestId) -> &Assignment {
-        match self.last(id) {
+        match self.last_outcome(id) {
             Some(AdmitOutcome::Assigned(assignment)) => assignment,
             other => panic!("{other:?}"),
         }
     }
 
     fn verdict(&self, id: RequestId) -> &Verdict {
-        match self.last(id) {
+        match self.last_outcome(id) {
             Some(AdmitOutcome::Refused(verdict)) => verdict,
             other => panic!("{other:?}"),
         }
@@ -211,7 +213,7 @@
     }
 }
 
-fn ask(key: &str) -> AdmitRequest {
+fn request_with_key(key: &str) -> AdmitRequest {
     AdmitRequest {
         key_hash: Some(SecretKey::new(key).hash()),
         purpose: Purpose::Complete,
@@ -226,28 +228,31 @@
     }
 }
 
-fn ask_once() -> AdmitRequest {
+fn idempotent_request() -> AdmitRequest {
     AdmitRequest {
         idempotency_key: Some(IdempotencyKey::new("booking")),
-        ..ask("key")
+        ..request_with_key("key")
     }
 }
 
 #[test]
-fn a_known_tenant_is_served_at_once_with_fences() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask("key"));
-    let assignment = bench.assignment(id);
+fn request_of_a_known_tenant_is_assigned_at_once_with_fences() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(request_with_key("key"));
+    let assignment = harness.assignment(id);
     assert_eq!(assignment.incarnation.0, 1);
     assert_eq!(assignment.weights_version.0, 1);
 }
 
 #[test]
-fn an_unknown_key_is_asked_for_once_and_refused_only_on_a_quorums_word() {
-    let mut bench = Bench::ready();
-    bench.sent.clear();
-    let (first, second) = (bench.admit(ask("stranger")), bench.admit(ask("stranger")));
-    let queries: Vec<u64> = bench
+fn unknown_key_is_queried_once_and_refused_only_after_an_answer() {
+    let mut harness = Harness::ready();
+    harness.sent.clear();
+    let (first, second) = (
+        harness.admit(request_with_key("stranger")),
+        harness.admit(request_with_key("stranger")),
+    );
+    let queries: Vec<u64> = harness
         .sent
         .iter()
         .filter_map(|message| match message {
@@ -256,58 +261,58 @@
         })
         .collect();
     assert_eq!(queries.len(), 1);
-    assert!(bench.last(first).is_none());
-    bench.hear(Message::TenantAnswer(TenantAnswer {
+    assert!(harness.last_outcome(first).is_none());
+    harness.receive(Message::TenantAnswer(TenantAnswer {
         ticket: queries[0],
         revision: 3,
         resource: Blob::new(b"null".to_vec()),
     }));
     for id in [first, second] {
-        assert_eq!(bench.verdict(id).code, ErrorCode::Unauthorized);
+        assert_eq!(harness.verdict(id).code, ErrorCode::Unauthorized);
     }
 }
 
 #[test]
-fn a_tenant_that_is_found_is_served_and_kept() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask("other-key"));
+fn queried_tenant_is_served_and_stored() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(request_with_key("other-key"));
     let answer = TenantAnswer {
         ticket: 1,
         revision: 7,
         resource: Blob::new(
-            serde_json::to_vec(&tenant("other", 6, "other-key")).expect("it is JSON"),
+            serde_json::to_vec(&tenant("other", 6, "other-key")).expect("resources are JSON"),
         ),
     };
-    bench.hear(Message::TenantAnswer(answer));
-    bench.assignment(id);
-    let restarted = bench.stored_state();
+    harness.receive(Message::TenantAnswer(answer));
+    harness.assignment(id);
+    let restarted = harness.stored_state();
     let hash = SecretKey::new("other-key").hash();
     assert!(restarted.config.tenant_of_key(&hash).is_some());
 }
 
 #[test]
-fn an_answer_from_an_older_view_refuses_nobody() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask("stranger"));
-    bench.hear(Message::TenantAnswer(TenantAnswer {
+fn tenant_answer_from_an_older_view_refuses_no_request() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(request_with_key("stranger"));
+    harness.receive(Message::TenantAnswer(TenantAnswer {
         ticket: 1,
         revision: 2,
         resource: Blob::new(b"null".to_vec()),
     }));
-    assert!(bench.last(id).is_none());
-    bench.tick(Duration::from_secs(4));
-    assert_eq!(bench.verdict(id).code, ErrorCode::ConfigUnavailable);
-    assert_eq!(bench.verdict(id).execution, Execution::NotRun);
+    assert!(harness.last_outcome(id).is_none());
+    harness.tick(Duration::from_secs(4));
+    assert_eq!(harness.verdict(id).code, ErrorCode::ConfigUnavailable);
+    assert_eq!(harness.verdict(id).execution, Execution::NotRun);
 }
 
 #[test]
-fn a_restarted_router_serves_without_control() {
-    let mut before = Bench::ready();
+fn restarted_router_serves_without_a_control_machine() {
+    let mut before = Harness::ready();
     before.tick(Duration::from_secs(3));
-    let mut bench = Bench::with(before.stored_state());
-    assert!(bench.core.is_ready());
-    let id = bench.admit(ask("key"));
-    bench.assignment(id);
+    let mut harness = Harness::with_stored(before.stored_state());
+    assert!(harness.core.is_ready());
+    let id = harness.admit(request_with_key("key"));
+    harness.assignment(id);
 }
 
 #[rstest]
@@ -317,25 +322,29 @@
 #[case::once_may_have_run(FailureKind::Broken, Execution::MayHaveRun, true, false, false)]
 #[case::delivered(FailureKind::Broken, Execution::Ran, false, true, false)]
 #[case::rejected(FailureKind::Rejected, Execution::NotRun, false, false, false)]
-fn what_is_tried_again(
+fn only_safe_failures_are_retried(
     #[case] kind: FailureKind,
     #[case] execution: Execution,
-    #[case] once: bool,
+    #[case] idempotent: bool,
     #[case] delivered: bool,
-    #[case] again: bool,
+    #[case] retried: bool,
 ) {
-    let mut bench = Bench::ready();
-    let id = bench.admit(if once { ask_once() } else { ask("key") });
-    if once {
-        bench.hear(granted(id));
+    let mut harness = Harness::ready();
+    let id = harness.admit(if idempotent {
+        idempotent_request()
+    } else {
+        request_with_key("key")
+    });
+    if idempotent {
+        harness.receive(granted(id));
     }
-    let first = bench.assignment(id).engine.clone();
-    bench.fail(id, kind, execution, delivered);
-    if again {
-        assert_eq!(bench.assignment(id).attempt, 2);
-        assert_ne!(bench.assignment(id).engine, first);
+    let first = harness.assignment(id).engine.clone();
+    harness.fail(id, kind, execution, delivered);
+    if retried {
+        assert_eq!(harness.assignment(id).attempt, 2);
+        assert_ne!(harness.assignment(id).engine, first);
     } else {
-        assert_eq!(bench.verdict(id).execution, execution);
+        assert_eq!(harness.verdict(id).execution, execution);
     }
 }
 
@@ -346,139 +355,152 @@
     })
 }
 
-/// Found when a request that had broken once was refused as "not run" by the next engine.
+/// Guards against a "not run" verdict for a request whose first attempt broke and may have run, and
+/// whose second attempt was refused by the next engine without running.
 #[test]
-fn not_run_is_said_only_when_no_attempt_may_have_run() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask("key"));
-    bench.fail(id, FailureKind::Broken, Execution::MayHaveRun, false);
-    bench.fail(id, FailureKind::Rejected, Execution::NotRun, false);
-    assert_eq!(bench.verdict(id).execution, Execution::MayHaveRun);
+fn verdict_is_not_run_only_if_no_attempt_may_have_run() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(request_with_key("key"));
+    harness.fail(id, FailureKind::Broken, Execution::MayHaveRun, false);
+    harness.fail(id, FailureKind::Rejected, Execution::NotRun, false);
+    assert_eq!(harness.verdict(id).execution, Execution::MayHaveRun);
 }
 
 #[test]
-fn work_that_may_not_be_repeated_waits_for_its_claim() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask_once());
-    assert_eq!(bench.claims(), 1);
-    assert!(bench.last(id).is_none(), "nothing runs before the claim");
-    bench.hear(granted(id));
-    bench.assignment(id);
+fn idempotent_request_does_not_start_before_its_claim_is_granted() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(idempotent_request());
+    assert_eq!(harness.claims(), 1);
+    assert!(
+        harness.last_outcome(id).is_none(),
+        "nothing runs before the claim"
+    );
+    harness.receive(granted(id));
+    harness.assignment(id);
 }
 
 #[test]
-fn a_claim_that_nobody_answers_is_refused_and_given_back() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask_once());
-    bench.tick(Duration::from_secs(7));
-    let verdict = bench.verdict(id).clone();
+fn unanswered_claim_is_refused_and_released() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(idempotent_request());
+    harness.tick(Duration::from_secs(7));
+    let verdict = harness.verdict(id).clone();
     assert_eq!(verdict.code, ErrorCode::LedgerUnavailable);
     assert_eq!(verdict.execution, Execution::NotRun);
-    bench.finish(id, &Conclusion::Failed(verdict));
-    bench.link_up_again();
-    let given_back = bench
+    harness.finish(id, &Conclusion::Failed(verdict));
+    harness.reconnect();
+    let released = harness
         .sent
         .iter()
         .any(|message| matches!(message, Message::Outcome(report) if report.execution == 0));
-    assert!(given_back);
-    bench.hear(granted(id));
-    assert!(matches!(bench.last(id), Some(AdmitOutcome::Refused(_))));
+    assert!(released);
+    harness.receive(granted(id));
+    assert!(matches!(
+        harness.last_outcome(id),
+        Some(AdmitOutcome::Refused(_))
+    ));
 }
 
 #[test]
-fn an_outcome_is_sent_until_it_is_stored() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask_once());
-    bench.hear(granted(id));
-    bench.finish(id, &Conclusion::Answered);
-    bench.core.stop();
-    assert!(!bench.core.is_drained());
-    bench.tick(Duration::from_secs(2));
-    let outcomes = bench
+fn outcome_is_resent_until_it_is_stored() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(idempotent_request());
+    harness.receive(granted(id));
+    harness.finish(id, &Conclusion::Answered);
+    harness.core.stop();
+    assert!(!harness.core.is_drained());
+    harness.tick(Duration::from_secs(2));
+    let outcomes = harness
         .sent
         .iter()
         .filter(|message| matches!(message, Message::Outcome(_)));
     assert_eq!(outcomes.count(), 2);
-    bench.hear(Message::OutcomeStored(id.sequence));
-    assert!(bench.core.is_drained());
+    harness.receive(Message::OutcomeStored(id.sequence));
+    assert!(harness.core.is_drained());
 }
 
 #[test]
-fn a_leaving_engine_gets_nothing_new() {
-    let mut bench = Bench::ready();
-    bench.engines(&[
+fn leaving_engine_gets_no_new_requests() {
+    let mut harness = Harness::ready();
+    harness.engines(&[
         ("a", 1, EngineStateCode::Leaving),
         ("b", 1, EngineStateCode::Ready),
     ]);
     for _ in 0..20 {
-        let id = bench.admit(ask("key"));
-        assert_eq!(bench.assignment(id).engine.as_str(), "b");
+        let id = harness.admit(request_with_key("key"));
+        assert_eq!(harness.assignment(id).engine.as_str(), "b");
     }
 }
 
 #[test]
-fn a_restarted_engines_cache_is_not_relied_on() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask("key"));
-    let engine = bench.assignment(id).engine.clone();
-    bench.finish(id, &Conclusion::Answered);
+fn cache_estimate_of_a_restarted_engine_is_discarded() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(request_with_key("key"));
+    let engine = harness.assignment(id).engine.clone();
+    harness.finish(id, &Conclusion::Answered);
     let restarted = |name: &str| if engine.as_str() == name { 2 } else { 1 };
-    bench.engines(&[
+    harness.engines(&[
         ("a", restarted("a"), EngineStateCode::Ready),
         ("b", restarted("b"), EngineStateCode::Ready),
     ]);
-    let again = bench.admit(ask("key"));
-    let record = bench.core.explain(again).expect("it was just placed");
+    let second = harness.admit(request_with_key("key"));
+    let record = harness
+        .core
+        .explain(second)
+        .expect("the decision record is kept");
     let candidates = &record.attempts[0].candidates;
     let candidate = candidates
         .iter()
         .find(|candidate| candidate.engine == engine);
-    let candidate = candidate.expect("both were considered");
+    let candidate = candidate.expect("both engines are candidates");
     assert_eq!(candidate.incarnation.0, 2);
-    // Only the presumption that a home holds the prefix is left, never the belief.
+    // Only the assumption that a home caches the prefix remains, not the estimate from before.
     assert!(candidate.expected_cached_tokens < 96, "{candidate:?}");
 }
 
 #[test]
-fn a_stopping_router_refuses_new_work_and_finishes_what_is_open() {
-    let mut bench = Bench::ready();
-    let open = bench.admit(ask("key"));
-    bench.core.stop();
-    let late = bench.admit(ask("key"));
-    assert_eq!(bench.verdict(late).code, ErrorCode::Stopping);
-    assert!(!bench.core.is_drained());
-    bench.finish(open, &Conclusion::Answered);
-    assert!(bench.core.is_drained());
+fn stopping_router_refuses_new_requests_and_finishes_open_ones() {
+    let mut harness = Harness::ready();
+    let open = harness.admit(request_with_key("key"));
+    harness.core.stop();
+    let late = harness.admit(request_with_key("key"));
+    assert_eq!(harness.verdict(late).code, ErrorCode::Stopping);
+    assert!(!harness.core.is_drained());
+    harness.finish(open, &Conclusion::Answered);
+    assert!(harness.core.is_drained());
 }
 
 #[test]
-fn a_link_whose_view_is_not_confirmed_is_left() {
-    let mut bench = Bench::ready();
-    let before = bench.link;
+fn link_without_quorum_confirmations_is_replaced() {
+    let mut harness = Harness::ready();
+    let before = harness.link;
     for _ in 0..5 {
-        bench.tick(Duration::from_secs(1));
-        bench.hear_if_up(Message::Fresh(Freshness {
+        harness.tick(Duration::from_secs(1));
+        harness.receive_if_connected(Message::Fresh(Freshness {
             revision: 3,
             epoch: 1,
             routers: 1,
         }));
     }
-    assert_eq!(bench.link, before);
+    assert_eq!(harness.link, before);
     for _ in 0..5 {
-        bench.tick(Duration::from_secs(1));
+        harness.tick(Duration::from_secs(1));
     }
-    assert_ne!(bench.link, before);
+    assert_ne!(harness.link, before);
 }
 
 #[test]
-fn the_story_of_a_retried_request_is_true() {
-    let mut bench = Bench::ready();
-    let id = bench.admit(ask("key"));
-    let first = bench.assignment(id).engine.clone();
-    bench.fail(id, FailureKind::Fenced, Execution::NotRun, false);
-    let second = bench.assignment(id).engine.clone();
-    bench.finish(id, &Conclusion::Answered);
-    let record = bench.core.explain(id).expect("it is recent");
+fn decision_record_of_a_retried_request_matches_its_attempts() {
+    let mut harness = Harness::ready();
+    let id = harness.admit(request_with_key("key"));
+    let first = harness.assignment(id).engine.clone();
+    harness.fail(id, FailureKind::Fenced, Execution::NotRun, false);
+    let second = harness.assignment(id).engine.clone();
+    harness.finish(id, &Conclusion::Answered);
+    let record = harness
+        .core
+        .explain(id)
+        .expect("the decision record is kept");
     assert_eq!(record.attempts.len(), 2);
     assert_eq!(record.attempts[0].chosen, Some(first.clone()));
     let verdict = record.attempts[0].verdict.as_ref();
@@ -491,103 +513,117 @@
     assert!(record.attempts[1].verdict.is_none() && record.answered);
 }
 
-impl Bench {
-    fn hear_if_up(&mut self, message: Message) {
+impl Harness {
+    fn receive_if_connected(&mut self, message: Message) {
         if self.link.is_some() {
-            self.hear(message);
+            self.receive(message);
         }
     }
 
     fn stored_state(&self) -> StoredState {
         let file = |file| self.stored.get(&file).map(Vec::as_slice);
         StoredState::decode(file(StoredFile::Config), file(StoredFile::Engines))
-            .expect("it was just stored")
+            .expect("the stored files are readable")
     }
 
-    fn link_up_again(&mut self) {
+    fn reconnect(&mut self) {
         for _ in 0..10 {
             self.tick(Duration::from_millis(500));
             if let Some(link) = self.link {
                 self.core.on_connected(link);
-                self.settle();
+                self.process_effects();
             }
         }
     }
 }
 
 #[test]
-fn the_index_is_asked_and_its_answer_decides() {
-    let mut bench = Bench::ready();
-    bench.index_silent = true;
-    let id = bench.admit(ask("key"));
-    assert!(bench.last(id).is_none());
-    let ticket = bench.sent.iter().find_map(ticket).expect("a question");
+fn index_answer_decides_the_placement() {
+    let mut harness = Harness::ready();
+    harness.index_unresponsive = true;
+    let id = harness.admit(request_with_key("key"));
+    assert!(harness.last_outcome(id).is_none());
+    let ticket = harness
+        .sent
+        .iter()
+        .find_map(ticket)
+        .expect("the router sends a lookup");
     let holding = |slot, blocks, waiting| HoldingRecord {
         slot,
         blocks,
         waiting,
         running: 0,
     };
-    bench.answer_question(ticket, &[holding(2, 1, 0), holding(1, 0, 9)]);
-    bench.settle();
-    assert_eq!(bench.assignment(id).engine.as_str(), "b");
-    let booked = bench.sent.iter().find_map(|message| match message {
+    harness.answer_lookup(ticket, &[holding(2, 1, 0), holding(1, 0, 9)]);
+    harness.process_effects();
+    assert_eq!(harness.assignment(id).engine.as_str(), "b");
+    let booking = harness.sent.iter().find_map(|message| match message {
         Message::Bookings(bookings) => bookings.records.items.first().copied(),
         _ => None,
     });
-    let booked = booked.expect("a booking");
-    assert_eq!((booked.ticket, booked.slot), (ticket, 2));
+    let booking = booking.expect("the router sends a booking");
+    assert_eq!((booking.ticket, booking.slot), (ticket, 2));
 }
 
 #[test]
-fn an_index_that_does_not_answer_is_left_alone_for_a_while() {
-    let mut bench = Bench::ready();
-    bench.index_silent = true;
-    let first = bench.admit(ask("key"));
-    bench.tick(Duration::from_millis(100));
-    bench.assignment(first);
-    let asked = bench.sent.iter().filter_map(ticket).count();
-    let second = bench.admit(ask("key"));
-    bench.assignment(second);
-    assert_eq!(bench.sent.iter().filter_map(ticket).count(), asked);
-    bench.tick(Duration::from_secs(1));
-    bench.admit(ask("key"));
-    assert_eq!(bench.sent.iter().filter_map(ticket).count(), asked + 1);
+fn lookups_are_suspended_after_one_without_an_answer() {
+    let mut harness = Harness::ready();
+    harness.index_unresponsive = true;
+    let first = harness.admit(request_with_key("key"));
+    harness.tick(Duration::from_millis(100));
+    harness.assignment(first);
+    let lookup_count = harness.sent.iter().filter_map(ticket).count();
+    let second = harness.admit(request_with_key("key"));
+    harness.assignment(second);
+    assert_eq!(harness.sent.iter().filter_map(ticket).count(), lookup_count);
+    harness.tick(Duration::from_secs(1));
+    harness.admit(request_with_key("key"));
+    assert_eq!(
+        harness.sent.iter().filter_map(ticket).count(),
+        lookup_count + 1
+    );
 }
 
 #[test]
-fn a_link_that_ends_ends_the_wait_for_the_index() {
-    let mut bench = Bench::ready();
-    bench.index_silent = true;
-    let id = bench.admit(ask("key"));
-    let link = bench.link.expect("a link is up");
-    bench.core.on_closed(link);
-    bench.settle();
-    bench.assignment(id);
+fn closed_link_ends_the_wait_for_the_index() {
+    let mut harness = Harness::ready();
+    harness.index_unresponsive = true;
+    let id = harness.admit(request_with_key("key"));
+    let link = harness.link.expect("a link is open");
+    harness.core.on_closed(link);
+    harness.process_effects();
+    harness.assignment(id);
 }
 
 #[test]
-fn a_late_answer_of_the_index_changes_nothing() {
-    let mut bench = Bench::ready();
-    bench.index_silent = true;
-    let id = bench.admit(ask("key"));
-    let ticket = bench.sent.iter().find_map(ticket).expect("a question");
-    bench.tick(Duration::from_millis(100));
-    let answers = bench.answers.len();
-    bench.answer_question(ticket, &[]);
-    bench.settle();
-    assert_eq!(bench.answers.len(), answers);
-    bench.assignment(id);
+fn late_index_answer_is_ignored() {
+    let mut harness = Harness::ready();
+    harness.index_unresponsive = true;
+    let id = harness.admit(request_with_key("key"));
+    let ticket = harness
+        .sent
+        .iter()
+        .find_map(ticket)
+        .expect("the router sends a lookup");
+    harness.tick(Duration::from_millis(100));
+    let answers = harness.answers.len();
+    harness.answer_lookup(ticket, &[]);
+    harness.process_effects();
+    assert_eq!(harness.answers.len(), answers);
+    harness.assignment(id);
 }
 
 #[test]
-fn a_request_that_ends_while_it_waits_for_the_index_says_nothing_of_it() {
-    let mut bench = Bench::ready();
-    bench.index_silent = true;
-    let id = bench.admit(ask("key"));
-    bench.finish(id, &Conclusion::CallerGone);
-    bench.tick(Duration::from_millis(100));
-    let asked = bench.sent.iter().filter_map(ticket).count();
-    bench.admit(ask("key"));
-    assert_eq!(bench.sent.iter().filter_map(ticket).count(), asked + 1);
+fn request_that_ends_during_its_lookup_does_not_suspend_lookups() {
+    let mut harness = Harness::ready();
+    harness.index_unresponsive = true;
+    let id = harness.admit(request_with_key("key"));
+    harness.finish(id, &Conclusion::CallerGone);
+    harness.tick(Duration::from_millis(100));
+    let lookup_count = harness.sent.iter().filter_map(ticket).count();
+    harness.admit(request_with_key("key"));
+    assert_eq!(
+        harness.sent.iter().filter_map(ticket).count(),
+        lookup_count + 1
+    );
 }
--- a/crates/router/src/tests/exchange.rs
+++ b/crates/router/src/tests/exchange.rs
@@ -66,8 +66,8 @@
 
 #[rstest]
 #[case::unreachable(UpstreamEnd::NotConnected, Execution::NotRun)]
-#[case::fence(UpstreamEnd::Ended, Execution::MayHaveRun)]
-fn what_a_lost_connection_means_before_the_answer_began(
+#[case::ended(UpstreamEnd::Ended, Execution::MayHaveRun)]
+fn connection_lost_before_the_answer_is_not_run_only_if_never_opened(
     #[case] end: UpstreamEnd,
     #[case] execution: Execution,
 ) {
@@ -94,20 +94,20 @@
     FailureKind::Leaving,
     Execution::NotRun
 )]
-#[case::silent_503(503, None, None, FailureKind::Broken, Execution::MayHaveRun)]
-#[case::crash(500, None, None, FailureKind::Broken, Execution::MayHaveRun)]
-#[case::bad(400, None, None, FailureKind::Rejected, Execution::NotRun)]
-fn what_a_refusal_means(
+#[case::status_503_without_reason(503, None, None, FailureKind::Broken, Execution::MayHaveRun)]
+#[case::status_500(500, None, None, FailureKind::Broken, Execution::MayHaveRun)]
+#[case::bad_request(400, None, None, FailureKind::Rejected, Execution::NotRun)]
+fn refusals_are_classified_by_reason_and_status(
     #[case] status: u16,
     #[case] refusal: Option<&str>,
-    #[case] said: Option<Execution>,
+    #[case] reported_execution: Option<Execution>,
     #[case] kind: FailureKind,
     #[case] execution: Execution,
 ) {
     let mut exchange = started(streaming());
     let head = UpstreamHead {
         status,
-        execution: said,
+        execution: reported_execution,
         refusal: refusal.map(str::to_owned),
         report: AnswerReport::default(),
     };
@@ -116,12 +116,12 @@
 }
 
 #[test]
-fn a_cut_stream_resumes_behind_the_last_event_and_ends_whole() {
+fn interrupted_stream_resumes_after_the_last_event_and_is_complete() {
     let mut exchange = started(streaming());
-    let mut passed = String::new();
+    let mut forwarded = String::new();
     exchange.on_head(&ok());
     exchange.on_bytes(b"id: 0\ndata: a\n\nid: 1\nda", &mut |event| {
-        passed += event.data
+        forwarded += event.data
     });
     let first = exchange.take_first_token().expect("a token arrived");
     assert_eq!(first.cached_tokens, Some(7));
@@ -133,13 +133,13 @@
     assert_eq!(next, Next::Call(resume));
     exchange.on_head(&ok());
     let rest = b"id: 1\ndata: b\n\ndata: [DONE]\n\n";
-    let next = exchange.on_bytes(rest, &mut |event| passed += event.data);
+    let next = exchange.on_bytes(rest, &mut |event| forwarded += event.data);
     assert_eq!(next, Next::Finish(Conclusion::Answered));
-    assert_eq!(passed, "ab[DONE]");
+    assert_eq!(forwarded, "ab[DONE]");
 }
 
 #[test]
-fn a_stream_that_ends_without_its_last_event_is_not_answered() {
+fn stream_without_its_final_event_is_a_failure() {
     let mut exchange = started(streaming());
     exchange.on_head(&ok());
     exchange.on_bytes(b"id: 0\ndata: a\n\n", &mut |_| {});
@@ -153,12 +153,12 @@
 }
 
 #[test]
-fn without_streaming_another_attempt_starts_afresh() {
+fn retry_without_streaming_discards_the_partial_answer() {
     let mut exchange = started(ExchangeParams::default());
     exchange.on_head(&ok());
     let first = b"id: 0\ndata: {\"choices\":[{\"text\":\"lost\"}]}\n\n";
     exchange.on_bytes(first, &mut |_| {});
-    let failure = failure(exchange.on_end_for_good());
+    let failure = failure(exchange.exhaust_resumes());
     assert!(!failure.delivered);
     exchange.on_outcome(AdmitOutcome::Assigned(assignment(2)));
     exchange.on_head(&ok());
@@ -169,25 +169,31 @@
 }
 
 #[test]
-fn work_that_may_not_be_repeated_goes_on_without_its_caller() {
-    let mut kept = started(ExchangeParams {
+fn idempotent_request_continues_after_its_caller_disconnects() {
+    let mut idempotent = started(ExchangeParams {
         streams: true,
         outlives_caller: true,
     });
-    kept.on_head(&ok());
-    assert_eq!(kept.on_caller_gone(), Next::Read);
-    let mut passed = 0;
+    idempotent.on_head(&ok());
+    assert_eq!(idempotent.on_caller_gone(), Next::Read);
+    let mut forwarded = 0;
     let rest = b"id: 0\ndata: {\"choices\":[{\"text\":\"booked\"}]}\n\ndata: [DONE]\n\n";
-    let next = kept.on_bytes(rest, &mut |_| passed += 1);
+    let next = idempotent.on_bytes(rest, &mut |_| forwarded += 1);
     assert_eq!(next, Next::Finish(Conclusion::Answered));
-    assert_eq!((passed, kept.answer().text.as_str()), (0, "booked"));
-    let mut left = started(streaming());
-    assert_eq!(left.on_caller_gone(), Next::Finish(Conclusion::CallerGone));
+    assert_eq!(
+        (forwarded, idempotent.answer().text.as_str()),
+        (0, "booked")
+    );
+    let mut ordinary = started(streaming());
+    assert_eq!(
+        ordinary.on_caller_gone(),
+        Next::Finish(Conclusion::CallerGone)
+    );
 }
 
 impl Exchange {
-    /// Ends every connection until the attempt counts as failed.
-    fn on_end_for_good(&mut self) -> Next {
+    /// Ends every connection until no resume is left and the attempt fails.
+    fn exhaust_resumes(&mut self) -> Next {
         let mut next = self.on_end(UpstreamEnd::Ended);
         while let Next::Call(_) = next {
             next = self.on_end(UpstreamEnd::NotConnected);
