--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -92,7 +92,7 @@
     fn on_config(&mut self, link: LinkId, update: &ConfigUpdate) {
         if let Err(error) = self.config.apply(update) {
             tracing::warn!(
-                "router: rejected a configuration update of the control machine: {error}"
+                "router: rejected a configuration update from the control machine: {error}"
             );
             self.metrics.stale_updates += 1;
             self.effects.push(Effect::Close(link));
--- a/crates/router/src/core/lookups.rs
+++ b/crates/router/src/core/lookups.rs
@@ -20,7 +20,7 @@
 /// How long lookups are suspended after one was not answered in time.
 const LOOKUP_SUSPENSION: Duration = Duration::from_secs(1);
 
-/// Weights are sent in tenths.
+/// Weights are sent in tenths: a weight of 1 is sent as 10.
 const WEIGHT_UNIT: f64 = 10.0;
 
 /// Ticket of a booking without a preceding lookup.
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -62,7 +62,8 @@
         self.dispatch_queued();
     }
 
-    /// Handles the end of a request: releases its slots, counts it and records its outcome.
+    /// Handles the end of a request: releases the capacity it holds, counts it and records its
+    /// outcome.
     pub fn on_finished(&mut self, id: RequestId, conclusion: &Conclusion, answer: &RecordedAnswer) {
         let Some(request) = self.active.remove(&id) else {
             return;
--- a/crates/router/src/core/types.rs
+++ b/crates/router/src/core/types.rs
@@ -168,7 +168,7 @@
     pub cached_tokens: u64,
     /// Tokens that were estimated to be cached and were not.
     pub overestimated_tokens: u64,
-    /// Configuration updates and tenant answers refused as stale or unreadable.
+    /// Configuration updates refused as stale or unreadable, and stale tenant answers.
     pub stale_updates: u64,
     /// Messages sent to control machines.
     pub control_messages_sent: u64,
