--- a/crates/control/src/actor.rs
+++ b/crates/control/src/actor.rs
@@ -82,7 +82,7 @@
     }
 
     /// A router's connection ended.
-    pub fn router_gone(&mut self, cx: CX![], connection: ConnectionId) {
+    pub fn router_disconnected(&mut self, cx: CX![], connection: ConnectionId) {
         self.core.on_router_gone(connection);
         self.queue_flush(cx);
     }
--- a/crates/control/src/core/operators.rs
+++ b/crates/control/src/core/operators.rs
@@ -63,8 +63,8 @@
             }
             OperatorRequest::Get(key) => self.request_read(Waiting::Get(ticket, key)),
             OperatorRequest::List(kind) => self.request_read(Waiting::List(ticket, kind)),
-            OperatorRequest::Watch { after, patience } => {
-                let deadline = self.clock.now.plus(patience);
+            OperatorRequest::Watch { after, timeout } => {
+                let deadline = self.clock.now.plus(timeout);
                 self.watchers.push(Watcher {
                     ticket,
                     after,
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -50,7 +50,7 @@
         /// The last revision seen.
         after: Revision,
         /// How long to wait.
-        patience: Duration,
+        timeout: Duration,
     },
     /// The state of the cluster.
     Status,
--- a/crates/control/src/tests/core.rs
+++ b/crates/control/src/tests/core.rs
@@ -287,7 +287,7 @@
     let follower = cluster.follower();
     let watch = OperatorRequest::Watch {
         after: Revision(0),
-        patience: Duration::from_secs(60),
+        timeout: Duration::from_secs(60),
     };
     cluster.ask(follower, 5, watch);
     cluster.run(5);
--- a/crates/node/src/control/api.rs
+++ b/crates/node/src/control/api.rs
@@ -84,14 +84,14 @@
     fn answer(&self, request: &mut Request<'_>) -> Result<OperatorReply, Verdict> {
         let operator = self.operator(request)?;
         let asked = parse(request, operator)?;
-        let patience = match &asked {
-            OperatorRequest::Watch { patience, .. } => *patience + REPLY_MARGIN,
+        let timeout = match &asked {
+            OperatorRequest::Watch { timeout, .. } => *timeout + REPLY_MARGIN,
             _ => REPLY_MARGIN,
         };
-        self.ask(asked, patience)
+        self.ask(asked, timeout)
     }
 
-    fn ask(&self, request: OperatorRequest, patience: Duration) -> Result<OperatorReply, Verdict> {
+    fn ask(&self, request: OperatorRequest, timeout: Duration) -> Result<OperatorReply, Verdict> {
         let (sender, receiver) = bounded(1);
         let ticket = {
             let mut registry = self.registry.lock();
@@ -103,7 +103,7 @@
         self.handle.post(move |_, context| {
             call!([context.actor], operator(ticket, request));
         });
-        let reply = receiver.recv_timeout(patience);
+        let reply = receiver.recv_timeout(timeout);
         self.registry.lock().operators.remove(&ticket);
         reply.map_err(|_| unavailable())
     }
@@ -155,10 +155,10 @@
 
 fn parse_watch(request: &Request<'_>) -> OperatorRequest {
     let number = |name: &str| request.query(name).and_then(|value| value.parse().ok());
-    let patience = number("patience_ms").map_or(MAX_WATCH, Duration::from_millis);
+    let timeout = number("patience_ms").map_or(MAX_WATCH, Duration::from_millis);
     OperatorRequest::Watch {
         after: Revision(number("after").unwrap_or(0)),
-        patience: patience.min(MAX_WATCH),
+        timeout: timeout.min(MAX_WATCH),
     }
 }
 
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -55,7 +55,7 @@
         });
         self.registry.lock().routers.remove(&connection);
         self.handle.post(move |_, context| {
-            call!([context.actor], router_gone(connection));
+            call!([context.actor], router_disconnected(connection));
         });
     }
 }
--- a/crates/testbed/src/sim/routers.rs
+++ b/crates/testbed/src/sim/routers.rs
@@ -230,7 +230,7 @@
         let control = &self.controls[link.control];
         if let Some(actor) = &control.actor {
             if control.generation == link.control_generation {
-                call!([actor], router_gone(link.connection));
+                call!([actor], router_disconnected(link.connection));
             }
         }
     }
