--- a/crates/control/src/actor.rs
+++ b/crates/control/src/actor.rs
@@ -83,7 +83,7 @@
 
     /// A router's connection ended.
     pub fn router_disconnected(&mut self, cx: CX![], connection: ConnectionId) {
-        self.core.on_router_gone(connection);
+        self.core.on_router_disconnected(connection);
         self.queue_flush(cx);
     }
 
--- a/crates/control/src/allotment.rs
+++ b/crates/control/src/allotment.rs
@@ -9,10 +9,10 @@
 use drumshore_core::{TenantLimits, TenantName};
 
 /// The share of a limit at which dividing it begins.
-const NEAR_LIMIT: f64 = 0.8;
+const NEAR_LIMIT_FRACTION: f64 = 0.8;
 
 /// A share is at least this, so that a new caller of a divided tenant is noticed.
-const MIN_SHARE: f64 = 0.5;
+const MIN_DEMAND: f64 = 0.5;
 
 /// What one party asks of one tenant's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -41,11 +41,11 @@
 
 /// The demands of several parties, by tenant.
 #[derive(Clone, Debug)]
-pub struct DemandBook<P> {
+pub struct DemandTable<P> {
     demands: BTreeMap<TenantName, BTreeMap<P, Demand>>,
 }
 
-impl<P> Default for DemandBook<P> {
+impl<P> Default for DemandTable<P> {
     fn default() -> Self {
         Self {
             demands: BTreeMap::new(),
@@ -53,7 +53,7 @@
     }
 }
 
-impl<P: Ord + Copy> DemandBook<P> {
+impl<P: Ord + Copy> DemandTable<P> {
     /// Replaces what one party asks.
     pub fn report(&mut self, party: P, demands: impl IntoIterator<Item = (TenantName, Demand)>) {
         self.forget(party);
@@ -93,8 +93,10 @@
     ) -> impl Iterator<Item = (&'a TenantName, Demand)> + 'a {
         self.totals().filter_map(move |(tenant, total)| {
             let limits = limits_of(tenant)?;
-            let rate_near = total.rate >= NEAR_LIMIT * f64::from(limits.requests_per_second);
-            let open_near = total.open >= NEAR_LIMIT * f64::from(limits.concurrent_requests);
+            let rate_near =
+                total.rate >= NEAR_LIMIT_FRACTION * f64::from(limits.requests_per_second);
+            let open_near =
+                total.open >= NEAR_LIMIT_FRACTION * f64::from(limits.concurrent_requests);
             (rate_near || open_near).then_some((
                 tenant,
                 Demand {
@@ -112,11 +114,11 @@
         };
         let rates: Vec<f64> = parties
             .values()
-            .map(|demand| demand.rate.max(MIN_SHARE))
+            .map(|demand| demand.rate.max(MIN_DEMAND))
             .collect();
         let opens: Vec<f64> = parties
             .values()
-            .map(|demand| demand.open.max(MIN_SHARE))
+            .map(|demand| demand.open.max(MIN_DEMAND))
             .collect();
         let rates = divide(limits.rate, &rates);
         let opens = divide(limits.open, &opens);
--- a/crates/control/src/core/index.rs
+++ b/crates/control/src/core/index.rs
@@ -19,7 +19,7 @@
 use crate::subscription::ConnectionId;
 
 /// Tenths in a weight of 1.
-const WEIGHT_UNIT: f64 = 10.0;
+const WEIGHT_SCALE: f64 = 10.0;
 
 impl<D: Directory> ControlCore<D> {
     /// What to ask an engine about its cache; `None` when this machine does not index it.
@@ -55,7 +55,7 @@
         let gone: Vec<EngineId> = self
             .indexer
             .engines()
-            .filter(|engine| self.fleet.of_id(*engine).is_none())
+            .filter(|engine| self.fleet.get_by_id(*engine).is_none())
             .collect();
         for engine in gone {
             self.indexer.forget(engine);
@@ -63,26 +63,26 @@
     }
 
     /// A router asks what engines hold of a prompt.
-    pub(super) fn on_index_question(&mut self, connection: ConnectionId, asked: &IndexQuestion) {
-        let Some(like) = self.fleet.of_slot(asked.like) else {
+    pub(super) fn on_index_question(&mut self, connection: ConnectionId, question: &IndexQuestion) {
+        let Some(like) = self.fleet.get_by_slot(question.like) else {
             return;
         };
-        let question = question(connection, asked);
+        let lookup = to_lookup(connection, question);
         let candidates = self.fleet.peers_of(like);
         let holdings = self
             .indexer
-            .ask(&question, candidates, self.clock.now)
+            .ask(&lookup, candidates, self.clock.now)
             .iter()
             .filter_map(|holding| {
-                let view = self.fleet.of_id(holding.engine)?;
-                Some(record(view.slot(), holding))
+                let view = self.fleet.get_by_id(holding.engine)?;
+                Some(to_holding_record(view.slot(), holding))
             })
             .collect();
         let answer = IndexAnswer {
-            ticket: asked.ticket,
+            ticket: question.ticket,
             holdings: List::new(holdings),
         };
-        self.hints
+        self.immediate_effects
             .push(Effect::ToRouter(connection, Message::IndexAnswer(answer)));
     }
 
@@ -93,17 +93,17 @@
                 continue;
             };
             self.indexer.book(&booking, self.clock.now);
-            self.unrelayed.push(relayed(&booking));
+            self.bookings_to_relay.push(to_relayed_booking(&booking));
         }
     }
 
     /// Tells the other machines what this one's routers placed since the last time.
     pub(super) fn relay_bookings(&mut self) {
-        if self.unrelayed.is_empty() {
+        if self.bookings_to_relay.is_empty() {
             return;
         }
         let bookings = RelayedBookings {
-            bookings: List::new(std::mem::take(&mut self.unrelayed)),
+            bookings: List::new(std::mem::take(&mut self.bookings_to_relay)),
         };
         let own = self.id();
         let members = self.replica.raft().membership().members().iter();
@@ -116,8 +116,8 @@
     }
 
     /// Another machine's routers placed requests.
-    pub(super) fn on_relayed_bookings(&mut self, relayed: &RelayedBookings) {
-        for booking in &relayed.bookings.items {
+    pub(super) fn on_relayed_bookings(&mut self, message: &RelayedBookings) {
+        for booking in &message.bookings.items {
             let prefixes = booking.prefixes.items.iter().copied();
             let booking = Booking {
                 engine: EngineId(booking.engine),
@@ -129,36 +129,36 @@
     }
 
     fn booking(&mut self, connection: ConnectionId, record: &BookingRecord) -> Option<Booking> {
-        let engine = self.fleet.of_slot(record.slot)?.id();
-        let question = QuestionId {
+        let engine = self.fleet.get_by_slot(record.slot)?.id();
+        let lookup_id = QuestionId {
             asker: connection.0,
             ticket: record.ticket,
         };
         let missing_tokens = u32::from(record.missing) * WAITING_UNIT_TOKENS;
-        Some(self.indexer.booking_of(question, engine, missing_tokens))
+        Some(self.indexer.booking_of(lookup_id, engine, missing_tokens))
     }
 }
 
-fn question(connection: ConnectionId, asked: &IndexQuestion) -> Question {
-    let hashes = asked.prefixes.items.iter().zip(1u32..);
+fn to_lookup(connection: ConnectionId, question: &IndexQuestion) -> Question {
+    let hashes = question.prefixes.items.iter().zip(1u32..);
     let prefixes = hashes.map(|(hash, number)| QuestionPrefix {
         hash: SequenceHash(*hash),
-        blocks: number * u32::from(asked.step),
+        blocks: number * u32::from(question.step),
     });
     Question {
         id: QuestionId {
             asker: connection.0,
-            ticket: asked.ticket,
+            ticket: question.ticket,
         },
         prefixes: prefixes.collect(),
-        block_tokens: asked.block_tokens,
-        prompt_tokens: asked.prompt_tokens,
-        recompute_weight: f64::from(asked.recompute_weight) / WEIGHT_UNIT,
-        limit: usize::from(asked.limit),
+        block_tokens: question.block_tokens,
+        prompt_tokens: question.prompt_tokens,
+        recompute_weight: f64::from(question.recompute_weight) / WEIGHT_SCALE,
+        limit: usize::from(question.limit),
     }
 }
 
-fn record(slot: u16, holding: &Holding) -> HoldingRecord {
+fn to_holding_record(slot: u16, holding: &Holding) -> HoldingRecord {
     let waiting = holding.waiting_tokens.div_ceil(WAITING_UNIT_TOKENS);
     HoldingRecord {
         slot,
@@ -168,7 +168,7 @@
     }
 }
 
-fn relayed(booking: &Booking) -> RelayedBooking {
+fn to_relayed_booking(booking: &Booking) -> RelayedBooking {
     let prefixes = booking.prefixes.iter().map(|prefix| prefix.0);
     RelayedBooking {
         engine: booking.engine.0,
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -21,17 +21,17 @@
 use drumshore_routing::{Indexer, IndexerParams};
 use drumshore_wire::{Blob, Message, RelayedBooking};
 
-use crate::allotment::DemandBook;
+use crate::allotment::DemandTable;
 use crate::command::{Command, ProposalId};
 use crate::fleet::{EngineOrder, EngineProbe, Fleet, MachineRecord, ProbeFailed};
 use crate::operator::{OperatorReply, OperatorTicket};
 use crate::rollout::{RolloutDriver, RolloutView};
-use crate::state::{Applied, StateMachine};
+use crate::state::{CommandResult, StateMachine};
 use crate::store::ChangeOutcome;
 use crate::subscription::{ConnectionId, Subscription};
 
 use operators::Watcher;
-use proposals::{Origin, Pending};
+use proposals::{PendingProposal, ProposalWaiter};
 use reads::Reads;
 
 /// Bounds and periods of a control machine.
@@ -42,15 +42,15 @@
     /// Entries applied between two snapshots.
     pub snapshot_entries: u64,
     /// How long a caller waits for a quorum.
-    pub patience: Duration,
+    pub quorum_timeout: Duration,
     /// How long until a command or a read that was not confirmed is sent again.
-    pub resend_after: Duration,
+    pub resend_interval: Duration,
     /// How often this machine confirms its view and tells routers so.
     pub freshness_interval: Duration,
     /// How often routers hear how busy engines are.
     pub load_interval: Duration,
     /// How often the leader looks after rollouts, claims and limits.
-    pub upkeep_interval: Duration,
+    pub maintenance_interval: Duration,
     /// The region whose engines' caches are indexed here; empty for all.
     pub index_region: String,
     /// Of the index.
@@ -62,11 +62,11 @@
         Self {
             consensus: Params::default(),
             snapshot_entries: 5_000,
-            patience: Duration::from_secs(5),
-            resend_after: Duration::from_secs(1),
+            quorum_timeout: Duration::from_secs(5),
+            resend_interval: Duration::from_secs(1),
             freshness_interval: Duration::from_secs(1),
             load_interval: Duration::from_millis(500),
-            upkeep_interval: Duration::from_secs(1),
+            maintenance_interval: Duration::from_secs(1),
             index_region: String::new(),
             indexer: IndexerParams::default(),
         }
@@ -111,29 +111,29 @@
     snapshot_at: LogIndex,
     fleet: Fleet,
     indexer: Indexer,
-    unrelayed: Vec<RelayedBooking>,
+    bookings_to_relay: Vec<RelayedBooking>,
     rollouts: RolloutDriver,
     subscriptions: BTreeMap<ConnectionId, Subscription>,
-    router_demands: DemandBook<ConnectionId>,
-    replica_demands: DemandBook<ReplicaId>,
+    router_demands: DemandTable<ConnectionId>,
+    replica_demands: DemandTable<ReplicaId>,
     watchers: Vec<Watcher>,
     origin: u64,
     next_proposal: u64,
-    pending: BTreeMap<ProposalId, Pending>,
+    pending: BTreeMap<ProposalId, PendingProposal>,
     reads: Reads,
     last_confirmed: Option<Timestamp>,
     clock: Clock,
-    due: Due,
+    schedule: Schedule,
     /// Answers that promise nothing, and so need not wait for the disk.
-    hints: Vec<Effect>,
+    immediate_effects: Vec<Effect>,
     effects: Vec<Effect>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Due {
+struct Schedule {
     freshness: Timestamp,
     loads: Timestamp,
-    upkeep: Timestamp,
+    maintenance: Timestamp,
 }
 
 impl<D: Directory> ControlCore<D> {
@@ -150,7 +150,7 @@
         let replica = Replica::open(directory, identity, first_membership, consensus, seed)?;
         Ok(Self {
             indexer: Indexer::new(params.indexer.clone()),
-            unrelayed: Vec::new(),
+            bookings_to_relay: Vec::new(),
             params,
             replica,
             state: StateMachine::default(),
@@ -159,8 +159,8 @@
             fleet: Fleet::default(),
             rollouts: RolloutDriver::default(),
             subscriptions: BTreeMap::new(),
-            router_demands: DemandBook::default(),
-            replica_demands: DemandBook::default(),
+            router_demands: DemandTable::default(),
+            replica_demands: DemandTable::default(),
             watchers: Vec::new(),
             origin: seed,
             next_proposal: 0,
@@ -168,8 +168,8 @@
             reads: Reads::default(),
             last_confirmed: None,
             clock: Clock::default(),
-            due: Due::default(),
-            hints: Vec::new(),
+            schedule: Schedule::default(),
+            immediate_effects: Vec::new(),
             effects: Vec::new(),
         })
     }
@@ -207,18 +207,26 @@
         self.resend_reads();
         self.expire_watchers();
         self.relay_bookings();
-        if is_due(
-            &mut self.due.freshness,
+        if advance_if_due(
+            &mut self.schedule.freshness,
             clock.now,
             self.params.freshness_interval,
         ) {
             self.request_freshness();
         }
-        if is_due(&mut self.due.loads, clock.now, self.params.load_interval) {
+        if advance_if_due(
+            &mut self.schedule.loads,
+            clock.now,
+            self.params.load_interval,
+        ) {
             self.push_loads();
         }
-        if is_due(&mut self.due.upkeep, clock.now, self.params.upkeep_interval) {
-            self.upkeep();
+        if advance_if_due(
+            &mut self.schedule.maintenance,
+            clock.now,
+            self.params.maintenance_interval,
+        ) {
+            self.run_maintenance();
         }
     }
 
@@ -239,7 +247,7 @@
     /// Does all that is due and hands out what to send, in order. Must run after each batch of
     /// calls; everything that gathered in between shares one sync of the disk.
     pub fn flush(&mut self, sink: &mut dyn FnMut(Effect)) -> Result<(), ReplicaError> {
-        self.hints.drain(..).for_each(&mut *sink);
+        self.immediate_effects.drain(..).for_each(&mut *sink);
         self.start_reads();
         let mut send = |envelope: drumshore_consensus::Envelope| {
             let message = Message::Consensus(Blob::new(envelope.encode()));
@@ -267,8 +275,8 @@
             if entry.kind != EntryKind::Command {
                 continue;
             }
-            if let Some((proposal, applied)) = self.state.apply(&entry.data) {
-                self.answer_proposal(proposal, applied);
+            if let Some((proposal, result)) = self.state.apply(&entry.data) {
+                self.answer_proposal(proposal, result);
             }
         }
         self.reads.on_confirmed(output.reads);
@@ -313,14 +321,14 @@
     }
 
     /// The leader's housekeeping, and every machine's share of the limits.
-    fn upkeep(&mut self) {
-        self.share_usage();
+    fn run_maintenance(&mut self) {
+        self.report_usage();
         if !self.is_leader() {
             return;
         }
         self.divide_limits();
         if !self.state.ledger.is_empty() {
-            self.propose(Command::Expire, Origin::Nobody);
+            self.propose(Command::Expire, ProposalWaiter::Nobody);
         }
         self.drive_rollouts();
     }
@@ -350,11 +358,11 @@
                 .filter(|(_, pool)| pool.model == spec.model)
                 .map(|(name, _)| name)
                 .collect();
-            let in_force = model_spec.weights_version;
+            let active_version = model_spec.weights_version;
             let (epoch, revision) = self.order_fence();
             let view = RolloutView {
                 spec,
-                in_force,
+                active_version,
                 pools: &pools,
                 epoch,
                 revision,
@@ -363,8 +371,8 @@
             for (engine, order) in step.orders {
                 self.send_order(engine, order);
             }
-            if let Some(version) = step.put_in_force {
-                self.put_version_in_force(&resource.name, &model, version);
+            if let Some(version) = step.activate {
+                self.activate_version(&resource.name, &model, version);
             }
         }
     }
@@ -389,7 +397,7 @@
         });
     }
 
-    fn put_version_in_force(
+    fn activate_version(
         &mut self,
         rollout: &str,
         model: &drumshore_core::Resource,
@@ -415,7 +423,7 @@
             name: model.name.as_str().into(),
             spec: Blob::new(bytes),
         };
-        self.propose(command, Origin::Nobody);
+        self.propose(command, ProposalWaiter::Nobody);
     }
 
     fn revision(&self) -> Revision {
@@ -423,7 +431,7 @@
     }
 }
 
-fn is_due(next: &mut Timestamp, now: Timestamp, interval: Duration) -> bool {
+fn advance_if_due(next: &mut Timestamp, now: Timestamp, interval: Duration) -> bool {
     if now < *next {
         return false;
     }
@@ -432,11 +440,13 @@
 }
 
 /// An answer for an operator from what a command came to.
-fn change_reply(applied: Applied) -> OperatorReply {
-    match applied {
-        Applied::Change(outcome) => OperatorReply::Change(outcome),
-        Applied::Claim(_) | Applied::Done => OperatorReply::Change(ChangeOutcome::Invalid {
-            message: "the command was not a change".to_owned(),
-        }),
+fn change_reply(result: CommandResult) -> OperatorReply {
+    match result {
+        CommandResult::Change(outcome) => OperatorReply::Change(outcome),
+        CommandResult::Claim(_) | CommandResult::Done => {
+            OperatorReply::Change(ChangeOutcome::Invalid {
+                message: "the command was not a change".to_owned(),
+            })
+        }
     }
 }
--- a/crates/control/src/core/operators.rs
+++ b/crates/control/src/core/operators.rs
@@ -4,8 +4,8 @@
 use drumshore_core::{Revision, Timestamp};
 use drumshore_wire::{Blob, EngineStateCode, Text};
 
-use super::proposals::Origin;
-use super::reads::Waiting;
+use super::proposals::ProposalWaiter;
+use super::reads::ReadWaiter;
 use super::{ControlCore, Effect};
 use crate::command::Command;
 use crate::operator::{
@@ -44,7 +44,7 @@
                     name: Text::new(name),
                     spec: Blob::new(spec),
                 };
-                self.propose(command, Origin::Operator(ticket));
+                self.propose(command, ProposalWaiter::Operator(ticket));
             }
             OperatorRequest::Delete {
                 change_id,
@@ -59,10 +59,10 @@
                     kind: Text::new(key.kind.as_str()),
                     name: Text::new(key.name),
                 };
-                self.propose(command, Origin::Operator(ticket));
+                self.propose(command, ProposalWaiter::Operator(ticket));
             }
-            OperatorRequest::Get(key) => self.request_read(Waiting::Get(ticket, key)),
-            OperatorRequest::List(kind) => self.request_read(Waiting::List(ticket, kind)),
+            OperatorRequest::Get(key) => self.request_read(ReadWaiter::Get(ticket, key)),
+            OperatorRequest::List(kind) => self.request_read(ReadWaiter::List(ticket, kind)),
             OperatorRequest::Watch { after, timeout } => {
                 let deadline = self.clock.now.plus(timeout);
                 self.watchers.push(Watcher {
@@ -151,7 +151,7 @@
             .is_some_and(|at| self.clock.now.since(at) <= recent);
         StatusReport {
             replica: raft.id().0,
-            role: role_word(raft.role()).to_owned(),
+            role: role_name(raft.role()).to_owned(),
             leader: raft.leader().map(|leader| leader.0),
             term: raft.term().0,
             applied: self.applied.0,
@@ -171,7 +171,7 @@
             .values()
             .map(|subscription| RouterStatus {
                 name: subscription.router.clone(),
-                in_force: subscription.in_force,
+                in_force: subscription.applied_revision,
                 tenants: subscription.tenants.len(),
             })
             .collect()
@@ -184,7 +184,7 @@
                 name: name.to_string(),
                 pool: view.record.pool.to_string(),
                 zone: view.record.zone.to_string(),
-                state: state_word(view.state).to_owned(),
+                state: state_name(view.state).to_owned(),
                 incarnation: view.probe.as_ref().map_or(0, |probe| probe.incarnation.0),
                 weights_version: view
                     .probe
@@ -196,7 +196,7 @@
     }
 }
 
-fn role_word(role: Role) -> &'static str {
+fn role_name(role: Role) -> &'static str {
     match role {
         Role::Follower => "follower",
         Role::PreCandidate | Role::Candidate => "candidate",
@@ -204,7 +204,7 @@
     }
 }
 
-fn state_word(state: EngineStateCode) -> &'static str {
+fn state_name(state: EngineStateCode) -> &'static str {
     match state {
         EngineStateCode::Joining => "joining",
         EngineStateCode::Ready => "ready",
--- a/crates/control/src/core/peers.rs
+++ b/crates/control/src/core/peers.rs
@@ -40,11 +40,11 @@
     }
 
     /// Tells the leader what this machine's routers ask for together.
-    pub(super) fn share_usage(&mut self) {
+    pub(super) fn report_usage(&mut self) {
         let records: Vec<UsageRecord> = self
             .router_demands
             .totals()
-            .map(|(tenant, demand)| record(tenant, demand))
+            .map(|(tenant, demand)| to_usage_record(tenant, demand))
             .collect();
         let own = UsageReport {
             records: List::new(records),
@@ -89,7 +89,7 @@
         for (tenant, limits) in near {
             let shares = self.replica_demands.shares(tenant, limits);
             let share = shares.into_iter().find(|(party, _)| *party == member);
-            records.extend(share.map(|(_, demand)| record(tenant, demand)));
+            records.extend(share.map(|(_, demand)| to_usage_record(tenant, demand)));
         }
         UsageAllotment {
             records: List::new(records),
@@ -99,10 +99,10 @@
     fn divide_among_routers(&mut self, allotment: &UsageAllotment) {
         for connection in self.subscriptions.keys() {
             let mut records = Vec::new();
-            for (tenant, limits) in allotment.records.items.iter().map(parse) {
+            for (tenant, limits) in allotment.records.items.iter().map(parse_usage_record) {
                 let shares = self.router_demands.shares(&tenant, limits);
                 let share = shares.into_iter().find(|(party, _)| party == connection);
-                records.extend(share.map(|(_, demand)| record(&tenant, demand)));
+                records.extend(share.map(|(_, demand)| to_usage_record(&tenant, demand)));
             }
             let own = UsageAllotment {
                 records: List::new(records),
@@ -122,7 +122,7 @@
     }
 }
 
-fn record(tenant: &TenantName, demand: Demand) -> UsageRecord {
+fn to_usage_record(tenant: &TenantName, demand: Demand) -> UsageRecord {
     UsageRecord {
         tenant: Text::new(tenant.as_str()),
         rate: (demand.rate * RATE_UNIT).round() as u32,
@@ -130,7 +130,7 @@
     }
 }
 
-fn parse(record: &UsageRecord) -> (TenantName, Demand) {
+fn parse_usage_record(record: &UsageRecord) -> (TenantName, Demand) {
     let demand = Demand {
         rate: f64::from(record.rate) / RATE_UNIT,
         open: f64::from(record.open),
@@ -139,5 +139,5 @@
 }
 
 fn demands(usage: &UsageReport) -> Vec<(TenantName, Demand)> {
-    usage.records.items.iter().map(parse).collect()
+    usage.records.items.iter().map(parse_usage_record).collect()
 }
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -8,12 +8,12 @@
 use crate::command::{Command, Proposal, ProposalId};
 use crate::ledger::ClaimResult;
 use crate::operator::{OperatorReply, OperatorTicket};
-use crate::state::Applied;
+use crate::state::CommandResult;
 use crate::subscription::ConnectionId;
 
 /// Who waits for a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Origin {
+pub(super) enum ProposalWaiter {
     /// Nobody.
     Nobody,
     /// An operator.
@@ -31,9 +31,9 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingProposal {
     proposal: Vec<u8>,
-    origin: Origin,
+    waiter: ProposalWaiter,
     deadline: Timestamp,
     resend_at: Timestamp,
 }
@@ -41,7 +41,7 @@
 impl<D: Directory> ControlCore<D> {
     /// Sends a command into the log, by way of the leader when this is not it. It is sent again
     /// until it shows: every command may safely be applied twice.
-    pub(super) fn propose(&mut self, command: Command, origin: Origin) {
+    pub(super) fn propose(&mut self, command: Command, waiter: ProposalWaiter) {
         self.next_proposal += 1;
         let id = ProposalId {
             origin: self.origin,
@@ -54,11 +54,11 @@
         }
         .encode();
         let now = self.clock.now;
-        let pending = Pending {
+        let pending = PendingProposal {
             proposal: proposal.clone(),
-            origin,
-            deadline: now.plus(self.params.patience),
-            resend_at: now.plus(self.params.resend_after),
+            waiter,
+            deadline: now.plus(self.params.quorum_timeout),
+            resend_at: now.plus(self.params.resend_interval),
         };
         self.pending.insert(id, pending);
         self.submit(proposal);
@@ -72,19 +72,19 @@
     }
 
     /// Answers whoever waits for a command that was applied.
-    pub(super) fn answer_proposal(&mut self, id: ProposalId, applied: Applied) {
+    pub(super) fn answer_proposal(&mut self, id: ProposalId, result: CommandResult) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        let effect = match pending.origin {
-            Origin::Nobody => return,
-            Origin::Operator(ticket) => Effect::Reply(ticket, change_reply(applied)),
-            Origin::Claim { connection, ticket } => {
-                let grant = claim_grant(applied);
+        let effect = match pending.waiter {
+            ProposalWaiter::Nobody => return,
+            ProposalWaiter::Operator(ticket) => Effect::Reply(ticket, change_reply(result)),
+            ProposalWaiter::Claim { connection, ticket } => {
+                let grant = claim_grant(result);
                 let response = Message::ClaimResponse(ClaimResponse { ticket, grant });
                 Effect::ToRouter(connection, response)
             }
-            Origin::Outcome { connection, ticket } => {
+            ProposalWaiter::Outcome { connection, ticket } => {
                 Effect::ToRouter(connection, Message::OutcomeStored(ticket))
             }
         };
@@ -103,7 +103,7 @@
         for id in expired {
             self.give_up(id);
         }
-        let resend_at = now.plus(self.params.resend_after);
+        let resend_at = now.plus(self.params.resend_interval);
         let mut due = Vec::new();
         for pending in self
             .pending
@@ -132,13 +132,13 @@
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        match pending.origin {
-            Origin::Nobody | Origin::Outcome { .. } => {}
-            Origin::Operator(ticket) => {
+        match pending.waiter {
+            ProposalWaiter::Nobody | ProposalWaiter::Outcome { .. } => {}
+            ProposalWaiter::Operator(ticket) => {
                 self.effects
                     .push(Effect::Reply(ticket, OperatorReply::Unavailable));
             }
-            Origin::Claim { connection, ticket } => {
+            ProposalWaiter::Claim { connection, ticket } => {
                 let grant = ClaimGrant::Unavailable;
                 let response = Message::ClaimResponse(ClaimResponse { ticket, grant });
                 self.effects.push(Effect::ToRouter(connection, response));
@@ -147,13 +147,15 @@
     }
 }
 
-fn claim_grant(applied: Applied) -> ClaimGrant {
-    match applied {
-        Applied::Claim(ClaimResult::Granted) => ClaimGrant::Granted,
-        Applied::Claim(ClaimResult::StillRunning) => ClaimGrant::StillRunning,
-        Applied::Claim(ClaimResult::Completed(answer)) => ClaimGrant::Completed(Blob::new(answer)),
-        Applied::Claim(ClaimResult::MayHaveRun) => ClaimGrant::MayHaveRun,
-        Applied::Claim(ClaimResult::KeyReused) => ClaimGrant::KeyReused,
-        Applied::Change(_) | Applied::Done => ClaimGrant::Unavailable,
+fn claim_grant(result: CommandResult) -> ClaimGrant {
+    match result {
+        CommandResult::Claim(ClaimResult::Granted) => ClaimGrant::Granted,
+        CommandResult::Claim(ClaimResult::StillRunning) => ClaimGrant::StillRunning,
+        CommandResult::Claim(ClaimResult::Completed(answer)) => {
+            ClaimGrant::Completed(Blob::new(answer))
+        }
+        CommandResult::Claim(ClaimResult::MayHaveRun) => ClaimGrant::MayHaveRun,
+        CommandResult::Claim(ClaimResult::KeyReused) => ClaimGrant::KeyReused,
+        CommandResult::Change(_) | CommandResult::Done => ClaimGrant::Unavailable,
     }
 }
--- a/crates/control/src/core/reads.rs
+++ b/crates/control/src/core/reads.rs
@@ -13,7 +13,7 @@
 
 /// Who waits for a confirmed view.
 #[derive(Clone, Debug)]
-pub(super) enum Waiting {
+pub(super) enum ReadWaiter {
     /// The routers here want to know that they are up to date.
     Freshness,
     /// A router that subscribed.
@@ -27,8 +27,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct Round {
-    waiting: Vec<Waiting>,
+struct ReadRound {
+    waiting: Vec<ReadWaiter>,
     resend_at: Timestamp,
     deadline: Timestamp,
 }
@@ -37,16 +37,16 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reads {
     next_context: u64,
-    gathering: Vec<Waiting>,
-    asked: BTreeMap<u64, Round>,
-    confirmed: Vec<(LogIndex, Vec<Waiting>)>,
+    queued: Vec<ReadWaiter>,
+    in_flight: BTreeMap<u64, ReadRound>,
+    confirmed: Vec<(LogIndex, Vec<ReadWaiter>)>,
 }
 
 impl Reads {
     /// The quorum's answers.
     pub(super) fn on_confirmed(&mut self, states: Vec<ReadState>) {
         for state in states {
-            if let Some(round) = self.asked.remove(&state.context) {
+            if let Some(round) = self.in_flight.remove(&state.context) {
                 self.confirmed.push((state.index, round.waiting));
             }
         }
@@ -54,32 +54,32 @@
 }
 
 impl<D: Directory> ControlCore<D> {
-    pub(super) fn request_read(&mut self, waiting: Waiting) {
+    pub(super) fn request_read(&mut self, waiting: ReadWaiter) {
         if !enforced(Guard::QuorumRead) {
             self.serve(waiting);
             return;
         }
-        self.reads.gathering.push(waiting);
+        self.reads.queued.push(waiting);
     }
 
     pub(super) fn request_freshness(&mut self) {
-        self.request_read(Waiting::Freshness);
+        self.request_read(ReadWaiter::Freshness);
     }
 
     /// Asks the quorum once for everything that has gathered.
     pub(super) fn start_reads(&mut self) {
-        if self.reads.gathering.is_empty() {
+        if self.reads.queued.is_empty() {
             return;
         }
         self.reads.next_context += 1;
         let context = self.reads.next_context;
         let now = self.clock.now;
-        let round = Round {
-            waiting: std::mem::take(&mut self.reads.gathering),
-            resend_at: now.plus(self.params.resend_after),
-            deadline: now.plus(self.params.patience),
+        let round = ReadRound {
+            waiting: std::mem::take(&mut self.reads.queued),
+            resend_at: now.plus(self.params.resend_interval),
+            deadline: now.plus(self.params.quorum_timeout),
         };
-        self.reads.asked.insert(context, round);
+        self.reads.in_flight.insert(context, round);
         let _ = self.replica.raft_mut().read_index(context);
     }
 
@@ -87,7 +87,7 @@
         let now = self.clock.now;
         let expired: Vec<u64> = self
             .reads
-            .asked
+            .in_flight
             .iter()
             .filter(|(_, round)| round.deadline <= now)
             .map(|(context, _)| *context)
@@ -95,9 +95,9 @@
         for context in expired {
             self.give_up_read(context);
         }
-        let resend_at = now.plus(self.params.resend_after);
+        let resend_at = now.plus(self.params.resend_interval);
         let mut due = Vec::new();
-        for (context, round) in &mut self.reads.asked {
+        for (context, round) in &mut self.reads.in_flight {
             if round.resend_at <= now {
                 round.resend_at = resend_at;
                 due.push(*context);
@@ -124,17 +124,17 @@
         }
     }
 
-    fn serve(&mut self, waiting: Waiting) {
+    fn serve(&mut self, waiting: ReadWaiter) {
         match waiting {
-            Waiting::Freshness => self.push_freshness(),
-            Waiting::Subscriber(connection) => self.send_full_config(connection),
-            Waiting::Tenant(connection, query) => self.answer_tenant(connection, &query),
-            Waiting::Get(ticket, key) => {
+            ReadWaiter::Freshness => self.push_freshness(),
+            ReadWaiter::Subscriber(connection) => self.send_full_config(connection),
+            ReadWaiter::Tenant(connection, query) => self.answer_tenant(connection, &query),
+            ReadWaiter::Get(ticket, key) => {
                 let resource = self.state.store.get(&key).cloned().map(Box::new);
                 self.effects
                     .push(Effect::Reply(ticket, OperatorReply::Resource(resource)));
             }
-            Waiting::List(ticket, kind) => {
+            ReadWaiter::List(ticket, kind) => {
                 let resources = self.state.store.list(kind).cloned().collect();
                 let reply = OperatorReply::Resources {
                     revision: self.revision(),
@@ -147,17 +147,17 @@
 
     /// Operators are told; routers keep what they have and their request is asked again.
     fn give_up_read(&mut self, context: u64) {
-        let Some(round) = self.reads.asked.remove(&context) else {
+        let Some(round) = self.reads.in_flight.remove(&context) else {
             return;
         };
         for waiting in round.waiting {
             match waiting {
-                Waiting::Get(ticket, _) | Waiting::List(ticket, _) => {
+                ReadWaiter::Get(ticket, _) | ReadWaiter::List(ticket, _) => {
                     self.effects
                         .push(Effect::Reply(ticket, OperatorReply::Unavailable));
                 }
-                Waiting::Subscriber(_) => self.reads.gathering.push(waiting),
-                Waiting::Freshness | Waiting::Tenant(..) => {}
+                ReadWaiter::Subscriber(_) => self.reads.queued.push(waiting),
+                ReadWaiter::Freshness | ReadWaiter::Tenant(..) => {}
             }
         }
     }
--- a/crates/control/src/core/routers.rs
+++ b/crates/control/src/core/routers.rs
@@ -9,8 +9,8 @@
     Message, OutcomeReport, Subscribe, TenantAnswer, TenantQuery,
 };
 
-use super::proposals::Origin;
-use super::reads::Waiting;
+use super::proposals::ProposalWaiter;
+use super::reads::ReadWaiter;
 use super::{ControlCore, Effect};
 use crate::command::Command;
 use crate::subscription::{ConnectionId, Subscription};
@@ -23,7 +23,7 @@
     }
 
     /// A router's connection ended.
-    pub fn on_router_gone(&mut self, connection: ConnectionId) {
+    pub fn on_router_disconnected(&mut self, connection: ConnectionId) {
         self.subscriptions.remove(&connection);
         self.router_demands.forget(connection);
     }
@@ -34,10 +34,10 @@
             Message::Subscribe(subscribe) => self.on_subscribe(connection, &subscribe),
             Message::InForce(revision) => {
                 if let Some(subscription) = self.subscriptions.get_mut(&connection) {
-                    subscription.in_force = Revision(revision);
+                    subscription.applied_revision = Revision(revision);
                 }
             }
-            Message::TenantQuery(query) => self.request_read(Waiting::Tenant(connection, query)),
+            Message::TenantQuery(query) => self.request_read(ReadWaiter::Tenant(connection, query)),
             Message::Claim(claim) => self.on_claim(connection, claim),
             Message::Outcome(report) => self.on_outcome(connection, report),
             Message::Usage(usage) => self.on_router_usage(connection, &usage),
@@ -80,7 +80,7 @@
 
     /// Tells every router of engines that changed.
     pub(super) fn push_engines(&mut self) {
-        let change = self.fleet.change();
+        let change = self.fleet.change_count();
         for (connection, subscription) in &mut self.subscriptions {
             let (full, engines) = match subscription.engines_sent {
                 Some(sent) if sent == change => continue,
@@ -125,7 +125,9 @@
         let Some(subscription) = self.subscriptions.get_mut(&connection) else {
             return;
         };
-        let resources: Vec<&Resource> = subscription.concerned(self.state.store.iter()).collect();
+        let resources: Vec<&Resource> = subscription
+            .relevant_resources(self.state.store.iter())
+            .collect();
         let update = config_update(revision, true, &resources, &[]);
         subscription.confirmed = true;
         subscription.sent = revision;
@@ -158,13 +160,13 @@
         };
         let tenants = subscribe.tenants.items.iter();
         subscription.tenants = tenants.map(|name| TenantName::new(name.as_str())).collect();
-        subscription.in_force = Revision(subscribe.floor);
+        subscription.applied_revision = Revision(subscribe.floor);
         subscription.region = subscribe.region.as_str().to_owned();
-        self.request_read(Waiting::Subscriber(connection));
+        self.request_read(ReadWaiter::Subscriber(connection));
     }
 
     fn on_claim(&mut self, connection: ConnectionId, claim: ClaimRequest) {
-        let origin = Origin::Claim {
+        let waiter = ProposalWaiter::Claim {
             connection,
             ticket: claim.ticket,
         };
@@ -175,11 +177,11 @@
             request_router: claim.request_router,
             request_sequence: claim.request_sequence,
         };
-        self.propose(command, origin);
+        self.propose(command, waiter);
     }
 
     fn on_outcome(&mut self, connection: ConnectionId, report: OutcomeReport) {
-        let origin = Origin::Outcome {
+        let waiter = ProposalWaiter::Outcome {
             connection,
             ticket: report.ticket,
         };
@@ -191,7 +193,7 @@
             execution: report.execution,
             answer: report.answer,
         };
-        self.propose(command, origin);
+        self.propose(command, waiter);
     }
 
     fn push_changes_to(&mut self, connection: ConnectionId) {
@@ -205,7 +207,7 @@
         };
         let mut resources: Vec<&Resource> = Vec::new();
         let mut deleted: Vec<ResourceKey> = Vec::new();
-        for change in changes.filter(|change| subscription.concerns(&change.key)) {
+        for change in changes.filter(|change| subscription.is_relevant(&change.key)) {
             resources.retain(|resource| resource.key() != change.key);
             deleted.retain(|key| *key != change.key);
             match &change.resource {
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -105,7 +105,7 @@
     draining: bool,
     failures: u32,
     failing_since: Option<Timestamp>,
-    change: u64,
+    change_count: u64,
 }
 
 impl EngineView {
@@ -132,16 +132,16 @@
     by_id: BTreeMap<EngineId, EngineName>,
     gone: Vec<(u64, EngineEntry)>,
     draining: BTreeSet<EngineName>,
-    change: u64,
+    change_count: u64,
     next_slot: u16,
 }
 
-const GONE_KEPT: usize = 1_024;
+const MAX_GONE_ENTRIES: usize = 1_024;
 
 impl Fleet {
     /// Counts the changes; routers are told what changed after the count they have.
-    pub fn change(&self) -> u64 {
-        self.change
+    pub fn change_count(&self) -> u64 {
+        self.change_count
     }
 
     /// The engines, by name.
@@ -155,12 +155,12 @@
     }
 
     /// The engine that a slot stands for.
-    pub fn of_slot(&self, slot: u16) -> Option<&EngineView> {
+    pub fn get_by_slot(&self, slot: u16) -> Option<&EngineView> {
         self.get(self.by_slot.get(&slot)?)
     }
 
     /// The engine of an identity.
-    pub fn of_id(&self, id: EngineId) -> Option<&EngineView> {
+    pub fn get_by_id(&self, id: EngineId) -> Option<&EngineView> {
         self.get(self.by_id.get(&id)?)
     }
 
@@ -185,8 +185,8 @@
         for machine in machines {
             self.on_machine(machine);
         }
-        self.forget_gone(now);
-        self.settle_all();
+        self.remove_gone(now);
+        self.update_all_states();
     }
 
     /// Takes in an engine's answer, or that there was none.
@@ -212,33 +212,33 @@
             }
         }
         if identity(view.probe.as_ref()) != before {
-            self.change += 1;
-            view.change = self.change;
+            self.change_count += 1;
+            view.change_count = self.change_count;
         }
         // Only this engine: with 1,900 engines there are thousands of answers a second.
-        settle(view, &mut self.change);
+        update_state(view, &mut self.change_count);
         if view.failing_since.is_some() {
-            self.forget_gone(now);
+            self.remove_gone(now);
         }
     }
 
     /// Takes in which engines operators want to be empty.
     pub fn set_draining(&mut self, draining: BTreeSet<EngineName>) {
         self.draining = draining;
-        self.settle_all();
+        self.update_all_states();
     }
 
     /// Engines that changed after a count, those that are gone included.
-    pub fn entries_after(&self, change: u64) -> Vec<EngineEntry> {
+    pub fn entries_after(&self, change_count: u64) -> Vec<EngineEntry> {
         let gone = self
             .gone
             .iter()
-            .filter(|(at, _)| *at > change)
+            .filter(|(at, _)| *at > change_count)
             .map(|(_, entry)| entry.clone());
         let current = self
             .engines
             .values()
-            .filter(|view| view.change > change)
+            .filter(|view| view.change_count > change_count)
             .map(entry);
         gone.chain(current).collect()
     }
@@ -265,12 +265,12 @@
                 view.listed = true;
                 if view.record != *machine {
                     view.record = machine.clone();
-                    self.change += 1;
-                    view.change = self.change;
+                    self.change_count += 1;
+                    view.change_count = self.change_count;
                 }
             }
             None => {
-                self.change += 1;
+                self.change_count += 1;
                 self.next_slot = self.next_slot.wrapping_add(1);
                 let view = EngineView {
                     record: machine.clone(),
@@ -283,7 +283,7 @@
                     draining: false,
                     failures: 0,
                     failing_since: None,
-                    change: self.change,
+                    change_count: self.change_count,
                 };
                 self.by_slot.insert(view.slot, machine.name.clone());
                 self.by_id.insert(view.id, machine.name.clone());
@@ -292,15 +292,15 @@
         }
     }
 
-    fn settle_all(&mut self) {
+    fn update_all_states(&mut self) {
         for (name, view) in &mut self.engines {
             view.draining = self.draining.contains(name);
-            settle(view, &mut self.change);
+            update_state(view, &mut self.change_count);
         }
     }
 
     /// An engine that does not answer is gone when the list says so too; the list alone lags.
-    fn forget_gone(&mut self, now: Timestamp) {
+    fn remove_gone(&mut self, now: Timestamp) {
         let is_gone = |view: &EngineView| {
             let limit = if view.listed {
                 GONE_AFTER_LISTED
@@ -320,15 +320,15 @@
             if let Some(view) = self.engines.remove(&name) {
                 self.by_slot.remove(&view.slot);
                 self.by_id.remove(&view.id);
-                self.change += 1;
+                self.change_count += 1;
                 let entry = EngineEntry {
                     state: EngineStateCode::Gone,
                     ..entry(&view)
                 };
-                self.gone.push((self.change, entry));
+                self.gone.push((self.change_count, entry));
             }
         }
-        if self.gone.len() > GONE_KEPT {
+        if self.gone.len() > MAX_GONE_ENTRIES {
             self.gone.remove(0);
         }
     }
@@ -338,13 +338,13 @@
     probe.map(|probe| (probe.incarnation, probe.weights_version))
 }
 
-fn settle(view: &mut EngineView, change: &mut u64) {
+fn update_state(view: &mut EngineView, change_count: &mut u64) {
     let (state, reason) = merged_state(view);
     view.reason = reason;
     if view.state != state {
-        *change += 1;
+        *change_count += 1;
         view.state = state;
-        view.change = *change;
+        view.change_count = *change_count;
     }
 }
 
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -4,8 +4,8 @@
 //! for a tenant's key; whoever sends the key again, through whichever router, gets the recorded
 //! answer, "still running", or "may have run", and nothing runs a second time. A claim is given
 //! back only by its holder's word that the work did not run. A holder that falls silent loses the
-//! claim to "may have run" after [`RUNNING_LIMIT_MS`], never to another execution. Keys are
-//! forgotten after [`KEPT_MS`]; a resend later than that runs again, and the operators' page says
+//! claim to "may have run" after [`CLAIM_TIMEOUT_MS`], never to another execution. Keys are
+//! forgotten after [`KEY_RETENTION_MS`]; a resend later than that runs again, and the operators' page says
 //! so.
 
 use std::collections::BTreeMap;
@@ -14,10 +14,10 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a claim may run before its holder counts as lost, in milliseconds.
-pub const RUNNING_LIMIT_MS: u64 = 10 * 60 * 1_000;
+pub const CLAIM_TIMEOUT_MS: u64 = 10 * 60 * 1_000;
 
 /// How long a key is remembered after its claim, in milliseconds.
-pub const KEPT_MS: u64 = 24 * 60 * 60 * 1_000;
+pub const KEY_RETENTION_MS: u64 = 24 * 60 * 60 * 1_000;
 
 /// Names a claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
 
 /// How claimed work ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WorkOutcome {
+pub enum ExecutionOutcome {
     /// It did not run; the claim is given back.
     NotRun,
     /// Nobody can say.
@@ -128,7 +128,7 @@
     }
 
     /// Records how the holder's work ended. Nothing that others say counts.
-    pub fn record(&mut self, key: &ClaimKey, request: RequestId, outcome: WorkOutcome) {
+    pub fn record(&mut self, key: &ClaimKey, request: RequestId, outcome: ExecutionOutcome) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
@@ -137,20 +137,20 @@
             return;
         }
         match outcome {
-            WorkOutcome::NotRun => {
+            ExecutionOutcome::NotRun => {
                 self.claims.remove(key);
             }
-            WorkOutcome::MayHaveRun => claim.state = ClaimState::MayHaveRun,
-            WorkOutcome::Ran(answer) => claim.state = ClaimState::Completed(answer),
+            ExecutionOutcome::MayHaveRun => claim.state = ClaimState::MayHaveRun,
+            ExecutionOutcome::Ran(answer) => claim.state = ClaimState::Completed(answer),
         }
     }
 
     /// Ends claims whose holders fell silent and forgets old keys.
     pub fn expire(&mut self, now_ms: u64) {
         self.claims
-            .retain(|_, claim| now_ms.saturating_sub(claim.claimed_at_ms) < KEPT_MS);
+            .retain(|_, claim| now_ms.saturating_sub(claim.claimed_at_ms) < KEY_RETENTION_MS);
         for claim in self.claims.values_mut() {
-            let silent = now_ms.saturating_sub(claim.claimed_at_ms) >= RUNNING_LIMIT_MS;
+            let silent = now_ms.saturating_sub(claim.claimed_at_ms) >= CLAIM_TIMEOUT_MS;
             if silent && claim.state == ClaimState::Running {
                 claim.state = ClaimState::MayHaveRun;
             }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -25,7 +25,7 @@
 pub use fleet::{EngineOrder, EngineProbe, Fleet, MachineRecord, MachineState, ProbeFailed};
 pub use ledger::{ClaimResult, Ledger};
 pub use operator::{OperatorReply, OperatorRequest, OperatorTicket, StatusReport};
-pub use state::{Applied, StateMachine};
+pub use state::{CommandResult, StateMachine};
 pub use store::{ChangeOutcome, ChangeRecord, ResourceStore};
 pub use subscription::ConnectionId;
 
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -20,7 +20,7 @@
     /// Orders to send.
     pub orders: Vec<(EngineName, EngineOrder)>,
     /// The version that requests should now be answered with, when it is time to change it.
-    pub put_in_force: Option<WeightsVersion>,
+    pub activate: Option<WeightsVersion>,
 }
 
 /// What a rollout works on.
@@ -29,7 +29,7 @@
     /// The rollout.
     pub spec: &'a RolloutSpec,
     /// The version in force.
-    pub in_force: WeightsVersion,
+    pub active_version: WeightsVersion,
     /// The pools that serve the model.
     pub pools: &'a [PoolName],
     /// The leader's term.
@@ -42,7 +42,7 @@
 /// and engines take an order twice without harm.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutDriver {
-    ordered: BTreeMap<EngineName, Timestamp>,
+    order_sent_at: BTreeMap<EngineName, Timestamp>,
 }
 
 impl RolloutDriver {
@@ -59,15 +59,12 @@
             .collect();
         let loaded = engines
             .iter()
-            .filter(|(_, engine)| holds(engine, target))
+            .filter(|(_, engine)| has_loaded(engine, target))
             .count();
         let half_loaded = !engines.is_empty() && loaded * 2 >= engines.len();
-        let put_in_force = (half_loaded && view.in_force != target).then_some(target);
+        let activate = (half_loaded && view.active_version != target).then_some(target);
         let orders = self.orders(view, target, &engines, now);
-        RolloutStep {
-            orders,
-            put_in_force,
-        }
+        RolloutStep { orders, activate }
     }
 
     fn orders(
@@ -85,27 +82,27 @@
             return Vec::new();
         }
         for (name, engine) in engines {
-            if holds(engine, target) {
-                self.ordered.remove(*name);
+            if has_loaded(engine, target) {
+                self.order_sent_at.remove(*name);
             }
         }
         let loading = engines
             .iter()
-            .filter(|(name, _)| self.ordered.contains_key(*name))
+            .filter(|(name, _)| self.order_sent_at.contains_key(*name))
             .count();
-        let mut room = (view.spec.max_loading as usize).saturating_sub(loading);
+        let mut loads_allowed = (view.spec.max_loading as usize).saturating_sub(loading);
         let mut orders = Vec::new();
         for (name, engine) in engines {
-            let due = match self.ordered.get(*name) {
+            let due = match self.order_sent_at.get(*name) {
                 Some(at) => now.since(*at) >= ORDER_RETRY,
                 None => {
-                    let wanted = room > 0 && may_load(engine, target);
-                    room -= usize::from(wanted);
-                    wanted
+                    let starts_load = loads_allowed > 0 && may_load(engine, target);
+                    loads_allowed -= usize::from(starts_load);
+                    starts_load
                 }
             };
-            if due && !holds(engine, target) {
-                self.ordered.insert((*name).clone(), now);
+            if due && !has_loaded(engine, target) {
+                self.order_sent_at.insert((*name).clone(), now);
                 orders.push(((*name).clone(), order(view, target)));
             }
         }
@@ -129,7 +126,7 @@
         .map_or(WeightsVersion(0), |probe| probe.weights_version)
 }
 
-fn holds(engine: &EngineView, target: WeightsVersion) -> bool {
+fn has_loaded(engine: &EngineView, target: WeightsVersion) -> bool {
     engine.state == EngineStateCode::Ready && version(engine) == target
 }
 
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -7,12 +7,12 @@
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Command, Proposal, ProposalId};
-use crate::ledger::{ClaimKey, ClaimResult, Ledger, WorkOutcome};
+use crate::ledger::{ClaimKey, ClaimResult, ExecutionOutcome, Ledger};
 use crate::store::{Author, ChangeOutcome, ResourceStore};
 
 /// What came of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum CommandResult {
     /// A change of resources.
     Change(ChangeOutcome),
     /// A claim.
@@ -33,12 +33,12 @@
 
 impl StateMachine {
     /// Applies one committed entry; `None` when its bytes are no command.
-    pub fn apply(&mut self, entry: &[u8]) -> Option<(ProposalId, Applied)> {
+    pub fn apply(&mut self, entry: &[u8]) -> Option<(ProposalId, CommandResult)> {
         let proposal = Proposal::decode(entry)?;
         // Proposers' clocks differ; time here never goes back.
         self.now_ms = self.now_ms.max(proposal.now_ms);
-        let applied = self.apply_command(proposal.command);
-        Some((proposal.id, applied))
+        let result = self.apply_command(proposal.command);
+        Some((proposal.id, result))
     }
 
     /// The state as bytes for a snapshot.
@@ -53,7 +53,7 @@
         Ok(state)
     }
 
-    fn apply_command(&mut self, command: Command) -> Applied {
+    fn apply_command(&mut self, command: Command) -> CommandResult {
         match command {
             Command::Put {
                 change_id,
@@ -71,7 +71,7 @@
                         message: error.to_string(),
                     },
                 };
-                Applied::Change(outcome)
+                CommandResult::Change(outcome)
             }
             Command::Delete {
                 change_id,
@@ -93,7 +93,7 @@
                         message: "no such kind".to_owned(),
                     },
                 };
-                Applied::Change(outcome)
+                CommandResult::Change(outcome)
             }
             Command::Claim {
                 tenant,
@@ -107,7 +107,7 @@
                     router: request_router,
                     sequence: request_sequence,
                 };
-                Applied::Claim(self.ledger.claim(key, fingerprint, request, self.now_ms))
+                CommandResult::Claim(self.ledger.claim(key, fingerprint, request, self.now_ms))
             }
             Command::Outcome {
                 tenant,
@@ -123,16 +123,16 @@
                     sequence: request_sequence,
                 };
                 let outcome = match execution {
-                    0 => WorkOutcome::NotRun,
-                    2 => WorkOutcome::Ran(answer.bytes),
-                    _ => WorkOutcome::MayHaveRun,
+                    0 => ExecutionOutcome::NotRun,
+                    2 => ExecutionOutcome::Ran(answer.bytes),
+                    _ => ExecutionOutcome::MayHaveRun,
                 };
                 self.ledger.record(&key, request, outcome);
-                Applied::Done
+                CommandResult::Done
             }
             Command::Expire => {
                 self.ledger.expire(self.now_ms);
-                Applied::Done
+                CommandResult::Done
             }
         }
     }
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -102,7 +102,7 @@
             kind: spec.kind(),
             name: name.to_owned(),
         };
-        let outcome = match self.check(&key, expected, name, &spec) {
+        let outcome = match self.check_put(&key, expected, name, &spec) {
             Err(refused) => refused,
             Ok(()) => self.accept_put(&author, key, spec),
         };
@@ -190,7 +190,7 @@
         known.map(|known| known.outcome.clone())
     }
 
-    fn check(
+    fn check_put(
         &self,
         key: &ResourceKey,
         expected: Revision,
@@ -201,7 +201,7 @@
             .map_err(|error| ChangeOutcome::Invalid {
                 message: error.to_string(),
             })?;
-        self.check_keys_are_free(key, spec)?;
+        self.check_keys_unused(key, spec)?;
         self.check_version(key, expected)
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Two tenants with one key could not be told apart.
-    fn check_keys_are_free(
+    fn check_keys_unused(
         &self,
         key: &ResourceKey,
         spec: &ResourceSpec,
--- a/crates/control/src/subscription.rs
+++ b/crates/control/src/subscription.rs
@@ -23,7 +23,7 @@
     /// The revision it was told last.
     pub sent: Revision,
     /// The revision it says it applies.
-    pub in_force: Revision,
+    pub applied_revision: Revision,
     /// The fleet's change that it was told last; `None` before the first list.
     pub engines_sent: Option<u64>,
     /// The loads it was told last, by slot.
@@ -39,31 +39,31 @@
             tenants: BTreeSet::new(),
             confirmed: false,
             sent: Revision(0),
-            in_force: Revision(0),
+            applied_revision: Revision(0),
             engines_sent: None,
             loads_sent: BTreeMap::new(),
         }
     }
 
     /// True when the router is to hear of the resource: all but tenants it does not use.
-    pub fn concerns(&self, key: &ResourceKey) -> bool {
+    pub fn is_relevant(&self, key: &ResourceKey) -> bool {
         key.kind != ResourceKind::Tenant || self.tenants.contains(&TenantName::new(&key.name))
     }
 
     /// The resources that concern the router.
-    pub fn concerned<'a>(
+    pub fn relevant_resources<'a>(
         &'a self,
         resources: impl Iterator<Item = &'a Resource> + 'a,
     ) -> impl Iterator<Item = &'a Resource> + 'a {
-        resources.filter(|resource| self.concerns(&resource.key()))
+        resources.filter(|resource| self.is_relevant(&resource.key()))
     }
 
     /// The loads that differ noticeably from what the router was told, which is noted.
     pub fn changed_loads(&mut self, loads: &[EngineLoad]) -> Vec<EngineLoad> {
         let mut changed = Vec::new();
         for load in loads {
-            let told = self.loads_sent.get(&load.slot);
-            if told.is_none_or(|told| differs(told, load)) {
+            let last_sent = self.loads_sent.get(&load.slot);
+            if last_sent.is_none_or(|last_sent| differs_noticeably(last_sent, load)) {
                 self.loads_sent.insert(load.slot, *load);
                 changed.push(*load);
             }
@@ -73,8 +73,8 @@
 }
 
 /// Waiting by more than an eighth and two units, or running by more than an eighth and one.
-fn differs(told: &EngineLoad, load: &EngineLoad) -> bool {
-    let waiting = told.waiting.abs_diff(load.waiting);
-    let running = told.running.abs_diff(load.running);
-    waiting > 2 + told.waiting / 8 || running > 1 + told.running / 8
+fn differs_noticeably(last_sent: &EngineLoad, load: &EngineLoad) -> bool {
+    let waiting = last_sent.waiting.abs_diff(load.waiting);
+    let running = last_sent.running.abs_diff(load.running);
+    waiting > 2 + last_sent.waiting / 8 || running > 1 + last_sent.running / 8
 }
--- a/crates/control/src/tests/core.rs
+++ b/crates/control/src/tests/core.rs
@@ -25,7 +25,7 @@
 
 struct Cluster {
     cores: BTreeMap<ReplicaId, ControlCore<MemoryDirectory>>,
-    cut: Vec<ReplicaId>,
+    isolated: Vec<ReplicaId>,
     clock: Clock,
     to_routers: Vec<(ReplicaId, ConnectionId, Message)>,
     replies: Vec<(OperatorTicket, OperatorReply)>,
@@ -54,7 +54,7 @@
         });
         let mut cluster = Self {
             cores: cores.into_iter().collect(),
-            cut: Vec::new(),
+            isolated: Vec::new(),
             clock: Clock::default(),
             to_routers: Vec::new(),
             replies: Vec::new(),
@@ -76,22 +76,22 @@
 
     fn deliver(&mut self) {
         loop {
-            let mut moved = Vec::new();
+            let mut in_transit = Vec::new();
             for (from, core) in &mut self.cores {
                 core.flush(&mut |effect| match effect {
-                    Effect::ToControl(to, message) => moved.push((*from, to, message)),
+                    Effect::ToControl(to, message) => in_transit.push((*from, to, message)),
                     Effect::ToRouter(to, message) => self.to_routers.push((*from, to, message)),
                     Effect::Reply(ticket, reply) => self.replies.push((ticket, reply)),
                     Effect::Order { .. } => {}
                 })
                 .expect("memory does not fail");
             }
-            if moved.is_empty() {
+            if in_transit.is_empty() {
                 return;
             }
-            for (from, to, message) in moved {
-                let cut = self.cut.contains(&from) || self.cut.contains(&to);
-                if let Some(core) = self.cores.get_mut(&to).filter(|_| !cut) {
+            for (from, to, message) in in_transit {
+                let isolated = self.isolated.contains(&from) || self.isolated.contains(&to);
+                if let Some(core) = self.cores.get_mut(&to).filter(|_| !isolated) {
                     core.on_control_message(from, message);
                 }
             }
@@ -100,7 +100,7 @@
 
     fn leader(&self) -> ReplicaId {
         let leads = |(id, core): (&ReplicaId, &ControlCore<_>)| {
-            (core.role() == Role::Leader && !self.cut.contains(id)).then_some(*id)
+            (core.role() == Role::Leader && !self.isolated.contains(id)).then_some(*id)
         };
         self.cores.iter().find_map(leads).expect("a leader")
     }
@@ -108,7 +108,7 @@
     fn follower(&self) -> ReplicaId {
         let leader = self.leader();
         let mut ids = self.cores.keys().copied();
-        ids.find(|id| *id != leader && !self.cut.contains(id))
+        ids.find(|id| *id != leader && !self.isolated.contains(id))
             .expect("a follower")
     }
 
@@ -149,7 +149,7 @@
             .map(|(_, reply)| reply)
     }
 
-    fn told_tenant_versions(&self, connection: u64) -> Vec<u64> {
+    fn sent_tenant_versions(&self, connection: u64) -> Vec<u64> {
         let of_connection = self
             .to_routers
             .iter()
@@ -183,8 +183,8 @@
         Some(OperatorReply::Change(ChangeOutcome::Accepted { .. }))
     );
     assert!(accepted, "{:?}", cluster.reply(9));
-    assert_eq!(cluster.told_tenant_versions(1), [1]);
-    assert_eq!(cluster.told_tenant_versions(2), [1]);
+    assert_eq!(cluster.sent_tenant_versions(1), [1]);
+    assert_eq!(cluster.sent_tenant_versions(2), [1]);
 }
 
 #[test]
@@ -194,7 +194,7 @@
     cluster.connect(leader, 1, &[]);
     cluster.put(leader, 9, 0, tenant("k"));
     cluster.run(5);
-    assert!(cluster.told_tenant_versions(1).is_empty());
+    assert!(cluster.sent_tenant_versions(1).is_empty());
     let query = Message::TenantQuery(TenantQuery {
         ticket: 5,
         key_hash: Text::new(
@@ -214,7 +214,7 @@
     assert!(answered);
     cluster.put(leader, 10, 1, tenant("k2"));
     cluster.run(5);
-    assert_eq!(cluster.told_tenant_versions(1), [2], "it uses it now");
+    assert_eq!(cluster.sent_tenant_versions(1), [2], "it uses it now");
 }
 
 #[test]
@@ -223,7 +223,7 @@
     let old = cluster.leader();
     cluster.connect(old, 1, &["x"]);
     cluster.run(30);
-    cluster.cut = vec![old];
+    cluster.isolated = vec![old];
     cluster.run(10);
     cluster.to_routers.clear();
     cluster.run(80);
@@ -242,9 +242,9 @@
         cluster.reply(10),
         Some(OperatorReply::Unavailable)
     ));
-    cluster.cut.clear();
+    cluster.isolated.clear();
     cluster.run(60);
-    assert_eq!(cluster.told_tenant_versions(1), [1]);
+    assert_eq!(cluster.sent_tenant_versions(1), [1]);
 }
 
 #[test]
--- a/crates/control/src/tests/fleet.rs
+++ b/crates/control/src/tests/fleet.rs
@@ -65,15 +65,15 @@
 fn an_engine_that_stops_answering_is_suspect_then_gone_when_unlisted() {
     let mut fleet = fleet_of(&["e"]);
     let name = EngineName::new("e");
-    let change = fleet.change();
+    let change_count = fleet.change_count();
     fleet.on_probe(&name, Err(ProbeFailed), Timestamp(0));
     assert_eq!(state_of(&fleet, "e"), Some(EngineStateCode::Ready));
     fleet.on_probe(&name, Err(ProbeFailed), Timestamp(1));
     assert_eq!(state_of(&fleet, "e"), Some(EngineStateCode::Suspect));
     fleet.on_machines(&[], Timestamp(6_000_000));
     assert_eq!(state_of(&fleet, "e"), None);
-    let told = fleet.entries_after(change);
-    assert!(told
+    let entries = fleet.entries_after(change_count);
+    assert!(entries
         .iter()
         .any(|entry| entry.state == EngineStateCode::Gone));
 }
@@ -81,9 +81,9 @@
 #[test]
 fn a_restart_is_told_to_routers() {
     let mut fleet = fleet_of(&["e"]);
-    let change = fleet.change();
+    let change_count = fleet.change_count();
     fleet.on_probe(&EngineName::new("e"), Ok(probe(2, 1)), Timestamp(0));
-    let told = fleet.entries_after(change);
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].incarnation, 2);
+    let entries = fleet.entries_after(change_count);
+    assert_eq!(entries.len(), 1);
+    assert_eq!(entries[0].incarnation, 2);
 }
--- a/crates/control/src/tests/ledger.rs
+++ b/crates/control/src/tests/ledger.rs
@@ -2,7 +2,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::ledger::{ClaimKey, ClaimResult, Ledger, WorkOutcome, KEPT_MS, RUNNING_LIMIT_MS};
+use crate::ledger::{
+    ClaimKey, ClaimResult, ExecutionOutcome, Ledger, CLAIM_TIMEOUT_MS, KEY_RETENTION_MS,
+};
 
 pub(super) fn claim_key(tenant: &str, key: &str) -> ClaimKey {
     ClaimKey {
@@ -19,10 +21,10 @@
 }
 
 #[rstest]
-#[case(WorkOutcome::NotRun, ClaimResult::Granted)]
-#[case(WorkOutcome::MayHaveRun, ClaimResult::MayHaveRun)]
-#[case(WorkOutcome::Ran(b"booked".to_vec()), ClaimResult::Completed(b"booked".to_vec()))]
-fn what_a_resend_gets(#[case] outcome: WorkOutcome, #[case] expected: ClaimResult) {
+#[case(ExecutionOutcome::NotRun, ClaimResult::Granted)]
+#[case(ExecutionOutcome::MayHaveRun, ClaimResult::MayHaveRun)]
+#[case(ExecutionOutcome::Ran(b"booked".to_vec()), ClaimResult::Completed(b"booked".to_vec()))]
+fn what_a_resend_gets(#[case] outcome: ExecutionOutcome, #[case] expected: ClaimResult) {
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     let granted = ledger.claim(key.clone(), 1, request(1), 0);
@@ -36,7 +38,7 @@
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     ledger.claim(key.clone(), 1, request(1), 0);
-    ledger.record(&key, request(2), WorkOutcome::NotRun);
+    ledger.record(&key, request(2), ExecutionOutcome::NotRun);
     let resent = ledger.claim(key, 1, request(3), 0);
     assert_eq!(resent, ClaimResult::StillRunning);
 }
@@ -54,10 +56,10 @@
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     ledger.claim(key.clone(), 1, request(1), 0);
-    ledger.expire(RUNNING_LIMIT_MS);
-    let resent = ledger.claim(key.clone(), 1, request(2), RUNNING_LIMIT_MS);
+    ledger.expire(CLAIM_TIMEOUT_MS);
+    let resent = ledger.claim(key.clone(), 1, request(2), CLAIM_TIMEOUT_MS);
     assert_eq!(resent, ClaimResult::MayHaveRun);
-    ledger.expire(KEPT_MS);
+    ledger.expire(KEY_RETENTION_MS);
     assert!(ledger.is_empty());
 }
 
@@ -76,7 +78,7 @@
         (1..5_u64).prop_map(LedgerStep::NotRun),
         (1..5_u64).prop_map(LedgerStep::MayHaveRun),
         (1..5_u64).prop_map(LedgerStep::Ran),
-        (0..KEPT_MS).prop_map(LedgerStep::Expire),
+        (0..KEY_RETENTION_MS).prop_map(LedgerStep::Expire),
     ]
 }
 
@@ -99,16 +101,16 @@
                     }
                 }
                 LedgerStep::NotRun(id) => {
-                    ledger.record(&key, request(id), WorkOutcome::NotRun);
+                    ledger.record(&key, request(id), ExecutionOutcome::NotRun);
                     if holder == Some(id) && ledger.is_empty() {
                         holder = None;
                     }
                 }
                 LedgerStep::MayHaveRun(id) => {
-                    ledger.record(&key, request(id), WorkOutcome::MayHaveRun);
+                    ledger.record(&key, request(id), ExecutionOutcome::MayHaveRun);
                 }
                 LedgerStep::Ran(id) => {
-                    ledger.record(&key, request(id), WorkOutcome::Ran(Vec::new()));
+                    ledger.record(&key, request(id), ExecutionOutcome::Ran(Vec::new()));
                 }
                 LedgerStep::Expire(at) => ledger.expire(at),
             }
--- a/crates/control/src/tests/rollout.rs
+++ b/crates/control/src/tests/rollout.rs
@@ -24,7 +24,7 @@
     let spec = rollout(RolloutState::Running);
     let view = RolloutView {
         spec: &spec,
-        in_force: WeightsVersion(1),
+        active_version: WeightsVersion(1),
         pools: &pools,
         epoch: Epoch(3),
         revision: Revision(7),
@@ -33,7 +33,7 @@
     let mut switched_after = None;
     for loaded in 0..4 {
         let step = driver.step(&view, &fleet, Timestamp(0));
-        if step.put_in_force.is_some() && switched_after.is_none() {
+        if step.activate.is_some() && switched_after.is_none() {
             switched_after = Some(loaded);
         }
         assert_eq!(step.orders.len(), 1, "after {loaded} engines");
@@ -51,7 +51,7 @@
     let spec = rollout(RolloutState::Running);
     let view = RolloutView {
         spec: &spec,
-        in_force: WeightsVersion(1),
+        active_version: WeightsVersion(1),
         pools: &pools,
         epoch: Epoch(1),
         revision: Revision(7),
