--- a/crates/control/src/actor.rs
+++ b/crates/control/src/actor.rs
@@ -1,4 +1,5 @@
-//! The control machine on `stakker`: time, ticks, and one flush for all that has gathered.
+//! The control machine as a `stakker` actor. It drives the core's clock and flushes the core once
+//! for each batch of events.
 
 use std::time::{Duration, Instant};
 
@@ -13,17 +14,17 @@
 use crate::operator::{OperatorRequest, OperatorTicket};
 use crate::subscription::ConnectionId;
 
-/// Where the actor sends what it cannot do itself.
+/// The connections of the actor to its environment.
 pub struct ControlOutputs {
-    /// Carries out an effect.
+    /// Receives the effects to carry out.
     pub effect: Fwd<Effect>,
-    /// The disk failed; nothing may be acknowledged any more and the process should end.
+    /// Receives a disk failure. Nothing may be acknowledged after it, and the process should exit.
     pub disk_failed: Fwd<ReplicaError>,
-    /// Milliseconds since the Unix epoch.
+    /// Reads the wall clock, in milliseconds since the Unix epoch.
     pub unix_ms: Box<dyn Fn() -> u64>,
 }
 
-/// A control machine.
+/// The actor of one control machine.
 pub struct ControlActor<D: Directory + 'static> {
     core: ControlCore<D>,
     outputs: ControlOutputs,
@@ -34,7 +35,7 @@
 }
 
 impl<D: Directory + 'static> ControlActor<D> {
-    /// Starts the machine; `tick` is the period of the replication clock.
+    /// Starts the actor. `tick` is the period of the replication clock.
     pub fn init(
         cx: CX![],
         core: ControlCore<D>,
@@ -53,13 +54,13 @@
         Some(actor)
     }
 
-    /// The platform's list arrived.
+    /// Handles a new machine list of the platform.
     pub fn machines(&mut self, cx: CX![], machines: Vec<MachineRecord>) {
         self.core.on_machines(&machines);
         self.queue_flush(cx);
     }
 
-    /// An engine answered a probe, or did not.
+    /// Handles the result of a probe of an engine.
     pub fn probe(
         &mut self,
         cx: CX![],
@@ -70,42 +71,42 @@
         self.queue_flush(cx);
     }
 
-    /// An engine's cache reported.
+    /// Handles a report of an engine's cache. It changes only the index and needs no flush.
     pub fn cache_report(&mut self, _: CX![], engine: EngineName, report: CacheReport) {
         self.core.on_cache_report(&engine, &report);
     }
 
-    /// A router connected and proved the cluster key.
+    /// Handles a new connection of a router that has authenticated with the cluster key.
     pub fn router_connected(&mut self, cx: CX![], connection: ConnectionId, router: String) {
         self.core.on_router_connected(connection, router);
         self.queue_flush(cx);
     }
 
-    /// A router's connection ended.
+    /// Handles the end of a router's connection.
     pub fn router_disconnected(&mut self, cx: CX![], connection: ConnectionId) {
         self.core.on_router_disconnected(connection);
         self.queue_flush(cx);
     }
 
-    /// A router said something.
+    /// Handles a message from a router.
     pub fn router_message(&mut self, cx: CX![], connection: ConnectionId, message: Message) {
         self.core.on_router_message(connection, message);
         self.queue_flush(cx);
     }
 
-    /// Another control machine said something.
+    /// Handles a message from another control machine.
     pub fn control_message(&mut self, cx: CX![], from: ReplicaId, message: Message) {
         self.core.on_control_message(from, message);
         self.queue_flush(cx);
     }
 
-    /// An operator asks.
+    /// Handles an operator's request; the reply carries the same ticket.
     pub fn operator(&mut self, cx: CX![], ticket: OperatorTicket, request: OperatorRequest) {
         self.core.on_operator(ticket, request);
         self.queue_flush(cx);
     }
 
-    /// The core, to be read with [`stakker::Actor::query`].
+    /// The core, for reads through [`stakker::Actor::query`].
     pub fn core(&self) -> &ControlCore<D> {
         &self.core
     }
@@ -120,7 +121,8 @@
         after!(self.tick, [cx], tick());
     }
 
-    /// The lazy queue runs when all that has arrived is taken in, so one sync serves it all.
+    /// Queues a flush on the lazy queue, which runs after all events that have arrived are handled,
+    /// so that one disk sync covers them all.
     fn queue_flush(&mut self, cx: CX![]) {
         if !self.flush_queued {
             self.flush_queued = true;
--- a/crates/control/src/allotment.rs
+++ b/crates/control/src/allotment.rs
@@ -1,29 +1,31 @@
-//! Limits over the whole fleet: each router gets the share that its callers ask for.
+//! Fleet-wide tenant limits: each router is allotted a share according to its callers' demand.
 //!
-//! Routers report what tenants used; only tenants near a limit cost control traffic. The limit is
-//! divided max-min fairly: nobody gets more than was asked for while others ask for more than
-//! they get. The same rule divides twice, among control machines and among their routers.
+//! Routers report the usage of their tenants. Limits are divided only for tenants that are near
+//! one, so that the others add no control traffic for allotments. The division is max-min fair: no
+//! party gets more than its demand while another gets less than its own. The same rule is applied
+//! twice: the leader divides among control machines, and each control machine among its routers.
 
 use std::collections::BTreeMap;
 
 use drumshore_core::{TenantLimits, TenantName};
 
-/// The share of a limit at which dividing it begins.
+/// Fraction of a limit that the total demand must reach before the limit is divided.
 const NEAR_LIMIT_FRACTION: f64 = 0.8;
 
-/// A share is at least this, so that a new caller of a divided tenant is noticed.
+/// Smallest demand to assume for a reporting party. Its share is then never zero, so that a new
+/// caller of a tenant whose limit is divided is noticed.
 const MIN_DEMAND: f64 = 0.5;
 
-/// What one party asks of one tenant's limits.
+/// The demand of one party (a control machine or a router) on the limits of one tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Requests a second that asked to start.
+    /// Requests per second that asked to start.
     pub rate: f64,
-    /// Requests open.
+    /// Requests that are open at the same time.
     pub open: f64,
 }
 
-/// Divides `total` among demands, max-min fairly; what is left over is spread evenly.
+/// Divides `total` among the demands max-min fairly. The remainder is spread evenly.
 pub fn divide(total: f64, demands: &[f64]) -> Vec<f64> {
     let mut shares = vec![0.0; demands.len()];
     let mut order: Vec<usize> = (0..demands.len()).collect();
@@ -39,7 +41,7 @@
     shares.iter().map(|share| share + spare).collect()
 }
 
-/// The demands of several parties, by tenant.
+/// The latest demands that several parties reported, by tenant.
 #[derive(Clone, Debug)]
 pub struct DemandTable<P> {
     demands: BTreeMap<TenantName, BTreeMap<P, Demand>>,
@@ -54,7 +56,7 @@
 }
 
 impl<P: Ord + Copy> DemandTable<P> {
-    /// Replaces what one party asks.
+    /// Replaces all demands of one party.
     pub fn report(&mut self, party: P, demands: impl IntoIterator<Item = (TenantName, Demand)>) {
         self.forget(party);
         for (tenant, demand) in demands {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// A party is gone.
+    /// Removes all demands of a party that has disconnected.
     pub fn forget(&mut self, party: P) {
         for parties in self.demands.values_mut() {
             parties.remove(&party);
@@ -73,7 +75,7 @@
         self.demands.retain(|_, parties| !parties.is_empty());
     }
 
-    /// What all parties ask together.
+    /// The total demand of all parties, by tenant.
     pub fn totals(&self) -> impl Iterator<Item = (&TenantName, Demand)> {
         self.demands.iter().map(|(tenant, parties)| {
             let total = parties
@@ -86,7 +88,7 @@
         })
     }
 
-    /// Tenants whose total comes near a limit.
+    /// Tenants whose total demand is near one of their limits, with these limits.
     pub fn near_limit<'a>(
         &'a self,
         limits_of: impl Fn(&TenantName) -> Option<TenantLimits> + 'a,
@@ -107,7 +109,7 @@
         })
     }
 
-    /// Divides a tenant's limits among the parties that ask.
+    /// Divides a tenant's limits among the parties that reported a demand for it.
     pub fn shares(&self, tenant: &TenantName, limits: Demand) -> Vec<(P, Demand)> {
         let Some(parties) = self.demands.get(tenant) else {
             return Vec::new();
--- a/crates/control/src/core/index.rs
+++ b/crates/control/src/core/index.rs
@@ -1,7 +1,8 @@
-//! The index beside this machine: engines report their caches to it, routers ask it.
+//! The index of cached prompt prefixes: engines report their caches, and routers query the index
+//! to place requests.
 //!
-//! It is a hint and nothing else. It is not replicated, a machine that starts has an empty one
-//! until engines have reported, and fences protect from what is out of date in it.
+//! Its answers are only hints. The index is not replicated and is empty after a start until engines
+//! have reported. Fences protect requests from outdated entries.
 
 use drumshore_consensus::{Directory, ReplicaId};
 use drumshore_core::{EngineId, EngineName, Timestamp};
@@ -18,11 +19,11 @@
 use crate::fleet::EngineProbe;
 use crate::subscription::ConnectionId;
 
-/// Tenths in a weight of 1.
+/// Weights are sent in tenths: a weight of 1 is sent as this number.
 const WEIGHT_SCALE: f64 = 10.0;
 
 impl<D: Directory> ControlCore<D> {
-    /// What to ask an engine about its cache; `None` when this machine does not index it.
+    /// The cache report to request from an engine; `None` if this machine does not index it.
     pub fn report_wanted(&self, engine: &EngineName) -> Option<ReportWanted> {
         let view = self.fleet.get(engine)?;
         let region = &self.params.index_region;
@@ -30,14 +31,14 @@
         indexed.then(|| self.indexer.wanted(view.id(), self.clock.now))
     }
 
-    /// Takes in what an engine's cache publishes.
+    /// Updates the index from a report of an engine's cache.
     pub fn on_cache_report(&mut self, engine: &EngineName, report: &CacheReport) {
         if self.fleet.get(engine).is_some() {
             self.indexer.on_report(engine.id(), report, self.clock.now);
         }
     }
 
-    /// Takes in how busy an engine says it is.
+    /// Updates the load of an engine in the index from a probe response.
     pub(super) fn index_load(&mut self, engine: EngineId, probe: &EngineProbe) {
         let age_us = probe.lag_ms * 1_000;
         self.indexer.on_load(
@@ -50,7 +51,7 @@
         );
     }
 
-    /// Forgets engines that are not in the fleet any more.
+    /// Removes engines from the index that are no longer in the fleet.
     pub(super) fn trim_index(&mut self) {
         let gone: Vec<EngineId> = self
             .indexer
@@ -62,7 +63,8 @@
         }
     }
 
-    /// A router asks what engines hold of a prompt.
+    /// Answers a router's question which engines hold prefixes of a prompt. A question about an
+    /// unknown slot is dropped.
     pub(super) fn on_index_question(&mut self, connection: ConnectionId, question: &IndexQuestion) {
         let Some(like) = self.fleet.get_by_slot(question.like) else {
             return;
@@ -86,7 +88,8 @@
             .push(Effect::ToRouter(connection, Message::IndexAnswer(answer)));
     }
 
-    /// A router placed requests. Other machines' routers are told by way of these machines.
+    /// Records the requests that a router placed, and queues them for the other control machines,
+    /// whose routers must see the bookings as well.
     pub(super) fn on_bookings(&mut self, connection: ConnectionId, bookings: &Bookings) {
         for record in &bookings.records.items {
             let Some(booking) = self.booking(connection, record) else {
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Tells the other machines what this one's routers placed since the last time.
+    /// Sends the bookings since the last call to the other control machines.
     pub(super) fn relay_bookings(&mut self) {
         if self.bookings_to_relay.is_empty() {
             return;
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Another machine's routers placed requests.
+    /// Records the requests that routers of another control machine placed.
     pub(super) fn on_relayed_bookings(&mut self, message: &RelayedBookings) {
         for booking in &message.bookings.items {
             let prefixes = booking.prefixes.items.iter().copied();
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -1,4 +1,5 @@
-//! A control machine without I/O: the replicated log, what it replicates, and everybody who asks.
+//! A control machine without network I/O: the replicated log, the state machine, and the requests
+//! of routers, operators and other control machines.
 
 mod index;
 mod operators;
@@ -34,26 +35,26 @@
 use proposals::{PendingProposal, ProposalWaiter};
 use reads::Reads;
 
-/// Bounds and periods of a control machine.
+/// Timeouts, intervals and limits of a control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlParams {
-    /// Of the replicated log.
+    /// Parameters of the replicated log.
     pub consensus: Params,
-    /// Entries applied between two snapshots.
+    /// Number of entries applied between two snapshots.
     pub snapshot_entries: u64,
-    /// How long a caller waits for a quorum.
+    /// How long a command or read waits for a quorum before it fails.
     pub quorum_timeout: Duration,
-    /// How long until a command or a read that was not confirmed is sent again.
+    /// Interval at which a command or read that is not confirmed is sent again.
     pub resend_interval: Duration,
-    /// How often this machine confirms its view and tells routers so.
+    /// Interval at which this machine has its view confirmed by a quorum and notifies its routers.
     pub freshness_interval: Duration,
-    /// How often routers hear how busy engines are.
+    /// Interval at which routers are sent the loads of engines.
     pub load_interval: Duration,
-    /// How often the leader looks after rollouts, claims and limits.
+    /// Interval at which usage is reported and the leader advances limits, claims and rollouts.
     pub maintenance_interval: Duration,
-    /// The region whose engines' caches are indexed here; empty for all.
+    /// The region whose engines' caches this machine indexes; empty for all regions.
     pub index_region: String,
-    /// Of the index.
+    /// Parameters of the index.
     pub indexer: IndexerParams,
 }
 
@@ -73,36 +74,36 @@
     }
 }
 
-/// What is to be sent, and to whom.
+/// A message, reply or order to send.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// A message to another control machine.
+    /// Sends a message to another control machine.
     ToControl(ReplicaId, Message),
-    /// A message to a router.
+    /// Sends a message to a router.
     ToRouter(ConnectionId, Message),
-    /// An answer to an operator.
+    /// Replies to an operator's request.
     Reply(OperatorTicket, OperatorReply),
-    /// An order to an engine.
+    /// Sends an order to an engine.
     Order {
-        /// The engine.
+        /// The engine's name in the fleet.
         engine: EngineName,
-        /// Where it listens.
+        /// IP address and port of the engine.
         address: String,
-        /// The order.
+        /// The order, with the fence of its leader.
         order: EngineOrder,
     },
 }
 
-/// The time, as the machine's loop sees it.
+/// The current time, read by the caller.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
-    /// Monotonic.
+    /// Monotonic time, for timeouts and intervals.
     pub now: Timestamp,
-    /// Milliseconds since the Unix epoch, for histories and claims.
+    /// Wall clock in milliseconds since the Unix epoch, for histories and claims.
     pub unix_ms: u64,
 }
 
-/// A control machine.
+/// The state of a control machine.
 pub struct ControlCore<D> {
     params: ControlParams,
     replica: Replica<D>,
@@ -124,11 +125,12 @@
     last_confirmed: Option<Timestamp>,
     clock: Clock,
     schedule: Schedule,
-    /// Answers that promise nothing, and so need not wait for the disk.
+    /// Effects that acknowledge nothing durable, and so are sent before the disk is synced.
     immediate_effects: Vec<Effect>,
     effects: Vec<Effect>,
 }
 
+/// The next time of each periodic task.
 #[derive(Clone, Copy, Debug, Default)]
 struct Schedule {
     freshness: Timestamp,
@@ -137,8 +139,8 @@
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Opens a control machine. `first_membership` counts only in a new folder; `seed` has to
-    /// differ at each start.
+    /// Opens a control machine and recovers its log. `first_membership` is used only in a new
+    /// folder. `seed` must differ at each start: it is also the origin of the proposals.
     pub fn open(
         directory: D,
         identity: &FolderIdentity,
@@ -174,32 +176,33 @@
         })
     }
 
-    /// This machine's number.
+    /// The number of this control machine.
     pub fn id(&self) -> ReplicaId {
         self.replica.raft().id()
     }
 
-    /// What it is in the replicated log.
+    /// The role of this machine in the replicated log.
     pub fn role(&self) -> Role {
         self.replica.raft().role()
     }
 
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state, up to the last entry applied here.
     pub fn state(&self) -> &StateMachine {
         &self.state
     }
 
-    /// The index beside this machine.
+    /// The index of the engines' caches, which is local to this machine.
     pub fn indexer(&self) -> &Indexer {
         &self.indexer
     }
 
-    /// The engines as this machine sees them.
+    /// The engines, as this machine sees them.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Lets one tick of the replication clock pass. [`ControlCore::flush`] must follow.
+    /// Advances the replication clock by one tick and runs the periodic tasks that are due.
+    /// [`ControlCore::flush`] must follow.
     pub fn on_tick(&mut self, clock: Clock) {
         self.clock = clock;
         self.replica.raft_mut().tick();
@@ -230,13 +233,13 @@
         }
     }
 
-    /// Takes in the platform's list.
+    /// Updates the fleet from the platform's machine list.
     pub fn on_machines(&mut self, machines: &[MachineRecord]) {
         self.fleet.on_machines(machines, self.clock.now);
         self.trim_index();
     }
 
-    /// Takes in an engine's answer to a probe, or that there was none.
+    /// Records the result of a probe of an engine.
     pub fn on_probe(&mut self, engine: &EngineName, result: Result<EngineProbe, ProbeFailed>) {
         if let Ok(probe) = &result {
             self.index_load(engine.id(), probe);
@@ -244,8 +247,9 @@
         self.fleet.on_probe(engine, result, self.clock.now);
     }
 
-    /// Does all that is due and hands out what to send, in order. Must run after each batch of
-    /// calls; everything that gathered in between shares one sync of the disk.
+    /// Stores and applies pending log entries and passes the effects to `sink` in order. It must be
+    /// called after each batch of calls; all calls since the last flush share one disk sync. An
+    /// error means that the disk failed.
     pub fn flush(&mut self, sink: &mut dyn FnMut(Effect)) -> Result<(), ReplicaError> {
         self.immediate_effects.drain(..).for_each(&mut *sink);
         self.start_reads();
@@ -308,7 +312,7 @@
         self.role() == Role::Leader
     }
 
-    /// The fence of this leader's orders.
+    /// The fence that engines compare to refuse outdated orders: the term and the revision.
     fn order_fence(&self) -> (Epoch, Revision) {
         if !enforced(Guard::OrderEpoch) {
             return (Epoch(u64::MAX), Revision(u64::MAX));
@@ -320,7 +324,8 @@
         Epoch(self.replica.raft().term().0)
     }
 
-    /// The leader's housekeeping, and every machine's share of the limits.
+    /// Reports usage to the leader; on the leader, also divides limits, expires claims and advances
+    /// rollouts.
     fn run_maintenance(&mut self) {
         self.report_usage();
         if !self.is_leader() {
@@ -431,6 +436,7 @@
     }
 }
 
+/// Returns true if the time has come, and then sets `next` to one interval from now.
 fn advance_if_due(next: &mut Timestamp, now: Timestamp, interval: Duration) -> bool {
     if now < *next {
         return false;
@@ -439,7 +445,7 @@
     true
 }
 
-/// An answer for an operator from what a command came to.
+/// The reply to an operator for the result of a command.
 fn change_reply(result: CommandResult) -> OperatorReply {
     match result {
         CommandResult::Change(outcome) => OperatorReply::Change(outcome),
--- a/crates/control/src/core/operators.rs
+++ b/crates/control/src/core/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask.
+//! Requests of operators.
 
 use drumshore_consensus::{Change, Directory, Role};
 use drumshore_core::{Revision, Timestamp};
@@ -12,7 +12,7 @@
     EngineStatus, OperatorReply, OperatorRequest, OperatorTicket, RouterStatus, StatusReport,
 };
 
-/// An operator who waits for the next change.
+/// An operator that waits for a change after a revision.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Watcher {
     ticket: OperatorTicket,
@@ -20,11 +20,11 @@
     deadline: Timestamp,
 }
 
-/// A view counts as confirmed this many freshness intervals after a quorum's word.
+/// Number of freshness intervals for which a view counts as confirmed after a quorum confirmed it.
 const CONFIRMED_INTERVALS: u32 = 3;
 
 impl<D: Directory> ControlCore<D> {
-    /// An operator asks.
+    /// Handles an operator's request. The reply is an [`Effect::Reply`] with the same ticket.
     pub fn on_operator(&mut self, ticket: OperatorTicket, request: OperatorRequest) {
         match request {
             OperatorRequest::Put {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Answers watchers for whom there is something.
+    /// Replies to the watchers whose revision is older than the current one.
     pub(super) fn notify_watchers(&mut self) {
         let revision = self.revision();
         let (due, waiting) = self
@@ -137,7 +137,7 @@
         self.effects.push(Effect::Reply(ticket, reply));
     }
 
-    /// The state of the cluster as seen from here.
+    /// The state of the cluster as this control machine sees it.
     pub fn status(&self) -> StatusReport {
         let raft = self.replica.raft();
         let membership = raft.membership();
--- a/crates/control/src/core/peers.rs
+++ b/crates/control/src/core/peers.rs
@@ -1,4 +1,4 @@
-//! What control machines say to one another, and how they divide limits.
+//! Messages between control machines, and the division of tenant limits.
 
 use drumshore_consensus::{Directory, Envelope, ReplicaId};
 use drumshore_core::{ResourceKey, ResourceKind, TenantLimits, TenantName};
@@ -8,16 +8,16 @@
 use crate::allotment::Demand;
 use crate::subscription::ConnectionId;
 
-/// Rates travel in tenths of a request a second.
+/// Rates are sent in tenths of a request per second.
 const RATE_UNIT: f64 = 10.0;
 
 impl<D: Directory> ControlCore<D> {
-    /// Another control machine said something.
+    /// Handles a message from another control machine.
     pub fn on_control_message(&mut self, from: ReplicaId, message: Message) {
         match message {
             Message::Consensus(blob) => {
                 if let Ok(envelope) = Envelope::decode(&blob.bytes) {
-                    // The connection has proved who speaks; the envelope must say the same.
+                    // The connection authenticates the sender; the envelope must name the same one.
                     if envelope.from == from {
                         self.replica.raft_mut().step(envelope);
                     }
@@ -29,17 +29,17 @@
             }
             Message::Allotment(allotment) => self.divide_among_routers(&allotment),
             Message::RelayedBookings(bookings) => self.on_relayed_bookings(&bookings),
-            // The rest is what routers send and hear.
+            // The other messages are exchanged only with routers.
             _ => {}
         }
     }
 
-    /// A router reported what tenants used of it.
+    /// Records the usage by tenant that a router reported.
     pub(super) fn on_router_usage(&mut self, connection: ConnectionId, usage: &UsageReport) {
         self.router_demands.report(connection, demands(usage));
     }
 
-    /// Tells the leader what this machine's routers ask for together.
+    /// Reports the total demand of this machine's routers to the leader.
     pub(super) fn report_usage(&mut self) {
         let records: Vec<UsageRecord> = self
             .router_demands
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The leader's part: divides the limits of tenants near them among control machines.
+    /// On the leader: divides the limits of tenants that are near one among control machines.
     pub(super) fn divide_limits(&mut self) {
         let members: Vec<ReplicaId> = self
             .replica
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -1,4 +1,4 @@
-//! Commands on their way through the log, from whoever waits for them.
+//! Commands that are proposed to the log, and the callers that wait for their results.
 
 use drumshore_consensus::Directory;
 use drumshore_core::Timestamp;
@@ -11,14 +11,14 @@
 use crate::state::CommandResult;
 use crate::subscription::ConnectionId;
 
-/// Who waits for a command.
+/// The caller that waits for the result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProposalWaiter {
-    /// Nobody.
+    /// The command is internal and its result is not needed.
     Nobody,
-    /// An operator.
+    /// An operator that requested a change.
     Operator(OperatorTicket),
-    /// A router that asked for a claim.
+    /// A router that requested a claim.
     Claim {
         connection: ConnectionId,
         ticket: u64,
@@ -39,8 +39,9 @@
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Sends a command into the log, by way of the leader when this is not it. It is sent again
-    /// until it shows: every command may safely be applied twice.
+    /// Proposes a command to the log, through the leader if this machine is not the leader. The
+    /// command is sent again until it is applied here or times out, which is safe because every
+    /// command is idempotent.
     pub(super) fn propose(&mut self, command: Command, waiter: ProposalWaiter) {
         self.next_proposal += 1;
         let id = ProposalId {
@@ -64,14 +65,15 @@
         self.submit(proposal);
     }
 
-    /// A command that another control machine took in.
+    /// Proposes a command that another control machine forwarded. It is dropped if this machine
+    /// does not lead; its sender sends it again.
     pub(super) fn on_forwarded(&mut self, proposal: Vec<u8>) {
         if self.is_leader() {
             let _ = self.replica.raft_mut().propose(proposal);
         }
     }
 
-    /// Answers whoever waits for a command that was applied.
+    /// Sends the result of an applied command to the caller that waits for it.
     pub(super) fn answer_proposal(&mut self, id: ProposalId, result: CommandResult) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
@@ -91,7 +93,7 @@
         self.effects.push(effect);
     }
 
-    /// Sends again what has not shown, and gives up what nobody waits for any longer.
+    /// Sends commands again that are not applied yet, and gives up those that have timed out.
     pub(super) fn resend_pending(&mut self) {
         let now = self.clock.now;
         let expired: Vec<ProposalId> = self
--- a/crates/control/src/core/reads.rs
+++ b/crates/control/src/core/reads.rs
@@ -1,4 +1,5 @@
-//! Reads that a quorum confirms: what is served is not older than what was accepted.
+//! Linearizable reads: a quorum confirms that the view is current before it is served, so that a
+//! read sees all changes that were accepted before it.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +12,22 @@
 use crate::operator::{OperatorReply, OperatorTicket};
 use crate::subscription::ConnectionId;
 
-/// Who waits for a confirmed view.
+/// The caller of a read, and what it reads.
 #[derive(Clone, Debug)]
 pub(super) enum ReadWaiter {
-    /// The routers here want to know that they are up to date.
+    /// The connected routers, which are notified that their configuration is current.
     Freshness,
-    /// A router that subscribed.
+    /// A router that subscribed and waits for the full configuration.
     Subscriber(ConnectionId),
-    /// A router that met a key it does not know.
+    /// A router that received an API key that it does not know.
     Tenant(ConnectionId, TenantQuery),
-    /// An operator who reads one resource.
+    /// An operator that reads one resource.
     Get(OperatorTicket, ResourceKey),
-    /// An operator who reads all of a kind.
+    /// An operator that reads all resources of a kind.
     List(OperatorTicket, ResourceKind),
 }
 
+/// The reads that one quorum confirmation covers.
 #[derive(Clone, Debug)]
 struct ReadRound {
     waiting: Vec<ReadWaiter>,
@@ -33,7 +35,8 @@
     deadline: Timestamp,
 }
 
-/// Reads on their way.
+/// Reads that are not served yet: `queued` until the next flush, `in_flight` until a quorum
+/// responds, `confirmed` until the state machine has reached the index.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reads {
     next_context: u64,
@@ -43,7 +46,7 @@
 }
 
 impl Reads {
-    /// The quorum's answers.
+    /// Records the confirmations of a quorum.
     pub(super) fn on_confirmed(&mut self, states: Vec<ReadState>) {
         for state in states {
             if let Some(round) = self.in_flight.remove(&state.context) {
@@ -66,7 +69,7 @@
         self.request_read(ReadWaiter::Freshness);
     }
 
-    /// Asks the quorum once for everything that has gathered.
+    /// Starts one quorum confirmation for all queued reads.
     pub(super) fn start_reads(&mut self) {
         if self.reads.queued.is_empty() {
             return;
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Serves what is confirmed and applied here.
+    /// Serves the reads whose confirmed index is applied here.
     pub(super) fn serve_confirmed_reads(&mut self) {
         let applied = self.applied;
         let confirmed = std::mem::take(&mut self.reads.confirmed);
@@ -145,7 +148,9 @@
         }
     }
 
-    /// Operators are told; routers keep what they have and their request is asked again.
+    /// Ends reads that timed out. Operators get [`OperatorReply::Unavailable`]. Routers keep the
+    /// configuration that they have: a subscription is queued again here, and a router sends its
+    /// tenant queries again when it subscribes.
     fn give_up_read(&mut self, context: u64) {
         let Some(round) = self.reads.in_flight.remove(&context) else {
             return;
--- a/crates/control/src/core/routers.rs
+++ b/crates/control/src/core/routers.rs
@@ -1,4 +1,4 @@
-//! What routers say and hear.
+//! Messages from and to routers.
 
 use std::collections::BTreeMap;
 
@@ -16,19 +16,19 @@
 use crate::subscription::{ConnectionId, Subscription};
 
 impl<D: Directory> ControlCore<D> {
-    /// A router connected and proved the cluster key.
+    /// Handles a new connection of a router that has authenticated with the cluster key.
     pub fn on_router_connected(&mut self, connection: ConnectionId, router: String) {
         self.subscriptions
             .insert(connection, Subscription::new(router));
     }
 
-    /// A router's connection ended.
+    /// Handles the end of a router's connection: its subscription and its demands are removed.
     pub fn on_router_disconnected(&mut self, connection: ConnectionId) {
         self.subscriptions.remove(&connection);
         self.router_demands.forget(connection);
     }
 
-    /// A router said something.
+    /// Handles a message from a router.
     pub fn on_router_message(&mut self, connection: ConnectionId, message: Message) {
         match message {
             Message::Subscribe(subscribe) => self.on_subscribe(connection, &subscribe),
@@ -43,12 +43,12 @@
             Message::Usage(usage) => self.on_router_usage(connection, &usage),
             Message::IndexQuestion(question) => self.on_index_question(connection, &question),
             Message::Bookings(bookings) => self.on_bookings(connection, &bookings),
-            // The rest is what control machines send.
+            // The other messages are sent only by control machines.
             _ => {}
         }
     }
 
-    /// Tells every router of changes that concern it.
+    /// Sends every router with a full configuration the changes that are relevant to it.
     pub(super) fn push_changes(&mut self) {
         let connections: Vec<ConnectionId> = self
             .subscriptions
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Tells every router that a quorum confirms what it was told.
+    /// Notifies every router with a full configuration that a quorum confirmed its revision.
     pub(super) fn push_freshness(&mut self) {
         let machines = self.replica.raft().membership().members().len();
         let routers = self.subscriptions.len() * machines;
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Tells every router of engines that changed.
+    /// Sends every router the engines that changed since its last update.
     pub(super) fn push_engines(&mut self) {
         let change = self.fleet.change_count();
         for (connection, subscription) in &mut self.subscriptions {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Tells every router of loads that changed noticeably.
+    /// Sends every router the loads of its region that changed noticeably.
     pub(super) fn push_loads(&mut self) {
         let mut loads: BTreeMap<String, Vec<EngineLoad>> = BTreeMap::new();
         for (connection, subscription) in &mut self.subscriptions {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Sends a router all that concerns it, as of now.
+    /// Sends a router all resources that are relevant to it at the current revision.
     pub(super) fn send_full_config(&mut self, connection: ConnectionId) {
         let revision = self.revision();
         let Some(subscription) = self.subscriptions.get_mut(&connection) else {
@@ -135,7 +135,8 @@
             .push(Effect::ToRouter(connection, Message::Config(update)));
     }
 
-    /// Tells a router who holds a key, and of that tenant's changes from now on.
+    /// Sends a router the tenant that an API key belongs to, and adds the tenant to the router's
+    /// subscription.
     pub(super) fn answer_tenant(&mut self, connection: ConnectionId, query: &TenantQuery) {
         let hash = KeyHash::from_hex(query.key_hash.as_str());
         let tenant = self.state.store.tenant_of_key(&hash);
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -1,8 +1,9 @@
-//! The engines: one state per back end, merged from the platform's lagging list, the engine's own
-//! word, failed probes and operators' orders.
+//! The fleet of engines (back ends). The state of each engine is merged from the platform's
+//! machine list, which lags behind, from the engine's probe responses and probe failures, and from
+//! the drain requests of operators.
 //!
-//! The cautious sign wins: whoever says that an engine leaves is believed at once, and an engine
-//! becomes ready only when nothing speaks against it.
+//! The most conservative source wins: an engine is leaving as soon as one source reports it, and is
+//! ready only if no source reports otherwise.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,88 +17,88 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What the platform says of a machine.
+/// The state of a machine in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// It runs.
+    /// The machine is running.
     Live,
-    /// It will be taken away.
+    /// The platform is going to remove the machine.
     Leaving,
 }
 
-/// One machine of the platform's list.
+/// One entry of the platform's machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// The engine on it.
+    /// The engine that runs on the machine.
     pub name: EngineName,
-    /// IP and port.
+    /// IP address and port of the engine.
     pub address: String,
-    /// Its zone.
+    /// The zone of the machine, named `region/zone` if it belongs to a region.
     pub zone: ZoneName,
-    /// Its pool.
+    /// The pool that the engine belongs to.
     pub pool: PoolName,
-    /// What the platform says.
+    /// The state that the platform reports.
     pub state: MachineState,
 }
 
-/// An engine's answer to a probe.
+/// An engine's response to a probe.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineProbe {
-    /// Its start.
+    /// Identifies the start of the engine; changes when it restarts.
     pub incarnation: Incarnation,
-    /// The model it holds.
+    /// The model that the engine serves.
     pub model: ModelName,
-    /// The weights it holds; 0 while it loads.
+    /// The version of the weights that are loaded; 0 while loading.
     pub weights_version: WeightsVersion,
-    /// True when it wants no new work.
+    /// True if the engine is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// Prompt tokens that wait to be computed.
+    /// Prompt tokens that are queued for computation.
     pub waiting_tokens: u32,
-    /// Sequences that are producing tokens.
+    /// Sequences that are generating tokens.
     pub running: u32,
     /// The age of these figures, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// The engine gave no answer to a probe.
+/// The engine did not respond to a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeFailed;
 
-/// An order of the leader to an engine. The engine refuses one whose epoch and revision, taken
-/// in this order, are older than those of an order that it has obeyed: so a leader that was cut
-/// off harms nothing, and neither does an order that was held up on its way.
+/// An order of the leader to an engine to load weights. An engine refuses an order whose epoch and
+/// revision, compared in this order, are lower than those of an order it has carried out. This
+/// protects it from the orders of a partitioned former leader and from delayed orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The leader's term.
+    /// The term of the leader that sent the order.
     pub epoch: Epoch,
-    /// The revision of the resources from which the order follows.
+    /// The revision of the resources that the order was derived from.
     pub revision: Revision,
     /// The model to load.
     pub model: ModelName,
-    /// Its version.
+    /// The version of the weights to load.
     pub weights_version: WeightsVersion,
 }
 
-/// Failed probes in a row after which an engine is suspect.
+/// Consecutive probe failures after which an engine is suspect.
 const SUSPECT_AFTER: u32 = 2;
 
-/// How long an engine that does not answer and is not on the list is kept.
+/// Time after which an unresponsive engine is removed if the platform does not list it.
 const GONE_AFTER_UNLISTED: Duration = Duration::from_secs(5);
 
-/// How long an engine that does not answer is kept although the list has it.
+/// Time after which an unresponsive engine is removed although the platform still lists it.
 const GONE_AFTER_LISTED: Duration = Duration::from_secs(600);
 
-/// One engine.
+/// An engine as this control machine sees it.
 #[derive(Clone, Debug)]
 pub struct EngineView {
-    /// What the platform says.
+    /// The engine's entry in the platform's list.
     pub record: MachineRecord,
-    /// Its last answer.
+    /// The last successful probe; `None` before the first.
     pub probe: Option<EngineProbe>,
-    /// Its state, from all that is known.
+    /// The state merged from all sources.
     pub state: EngineStateCode,
-    /// What decided the state.
+    /// Which source decided the state, for operators.
     pub reason: &'static str,
     id: EngineId,
     slot: u16,
@@ -109,12 +110,13 @@
 }
 
 impl EngineView {
-    /// Its compact identity.
+    /// The compact identity, the same on every control machine.
     pub fn id(&self) -> EngineId {
         self.id
     }
 
-    /// What stands for it in messages to routers of this machine.
+    /// The number that stands for the engine in messages between this control machine and its
+    /// routers. Slots differ between control machines.
     pub fn slot(&self) -> u16 {
         self.slot
     }
@@ -124,7 +126,7 @@
     }
 }
 
-/// All engines.
+/// All engines that this control machine tracks.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     engines: BTreeMap<EngineName, EngineView>,
@@ -136,35 +138,38 @@
     next_slot: u16,
 }
 
+/// Removed engines that are kept for [`Fleet::entries_after`].
 const MAX_GONE_ENTRIES: usize = 1_024;
 
 impl Fleet {
-    /// Counts the changes; routers are told what changed after the count they have.
+    /// Number of changes so far. A router is sent the engines that changed since the count at its
+    /// last update.
     pub fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// The engines, by name.
+    /// All engines, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (&EngineName, &EngineView)> {
         self.engines.iter()
     }
 
-    /// One engine.
+    /// The engine with this name.
     pub fn get(&self, name: &EngineName) -> Option<&EngineView> {
         self.engines.get(name)
     }
 
-    /// The engine that a slot stands for.
+    /// The engine with this slot.
     pub fn get_by_slot(&self, slot: u16) -> Option<&EngineView> {
         self.get(self.by_slot.get(&slot)?)
     }
 
-    /// The engine of an identity.
+    /// The engine with this compact identity.
     pub fn get_by_id(&self, id: EngineId) -> Option<&EngineView> {
         self.get(self.by_id.get(&id)?)
     }
 
-    /// The engines that take work of the same pool with the same weights, the one given included.
+    /// The ready engines of the same pool and with the same weights as `like`, which is included
+    /// itself if it is ready.
     pub fn peers_of<'f>(&'f self, like: &'f EngineView) -> impl Iterator<Item = EngineId> + 'f {
         let weights_version = like.weights_version();
         self.engines
@@ -177,7 +182,7 @@
             .map(|view| view.id)
     }
 
-    /// Takes in the platform's list.
+    /// Updates the fleet from the platform's machine list.
     pub fn on_machines(&mut self, machines: &[MachineRecord], now: Timestamp) {
         for view in self.engines.values_mut() {
             view.listed = false;
@@ -189,7 +194,7 @@
         self.update_all_states();
     }
 
-    /// Takes in an engine's answer, or that there was none.
+    /// Records the result of a probe of an engine.
     pub fn on_probe(
         &mut self,
         name: &EngineName,
@@ -215,20 +220,21 @@
             self.change_count += 1;
             view.change_count = self.change_count;
         }
-        // Only this engine: with 1,900 engines there are thousands of answers a second.
+        // Only this engine is updated: with 1,900 engines, thousands of probe results arrive per
+        // second.
         update_state(view, &mut self.change_count);
         if view.failing_since.is_some() {
             self.remove_gone(now);
         }
     }
 
-    /// Takes in which engines operators want to be empty.
+    /// Sets the engines that operators are draining.
     pub fn set_draining(&mut self, draining: BTreeSet<EngineName>) {
         self.draining = draining;
         self.update_all_states();
     }
 
-    /// Engines that changed after a count, those that are gone included.
+    /// The engines that changed after this change count, including engines that were removed.
     pub fn entries_after(&self, change_count: u64) -> Vec<EngineEntry> {
         let gone = self
             .gone
@@ -243,12 +249,12 @@
         gone.chain(current).collect()
     }
 
-    /// All engines.
+    /// All engines, as entries for routers.
     pub fn entries(&self) -> Vec<EngineEntry> {
         self.engines.values().map(entry).collect()
     }
 
-    /// How busy the engines of a region said they are; of all regions when it is empty.
+    /// The loads that the engines of a region reported; of all regions if `region` is empty.
     pub fn loads(&self, region: &str) -> Vec<EngineLoad> {
         let of_region =
             |view: &&EngineView| region.is_empty() || view.record.zone.region() == region;
@@ -299,7 +305,8 @@
         }
     }
 
-    /// An engine that does not answer is gone when the list says so too; the list alone lags.
+    /// Removes engines that have been unresponsive for too long. An engine that responds is kept
+    /// even if it is not listed, because the list lags behind.
     fn remove_gone(&mut self, now: Timestamp) {
         let is_gone = |view: &EngineView| {
             let limit = if view.listed {
--- a/crates/control/src/ledger.rs
+++ b/crates/control/src/ledger.rs
@@ -1,56 +1,57 @@
-//! The execution ledger: work that may not be repeated runs at most once.
+//! The execution ledger: a request that must not be repeated is executed at most once.
 //!
-//! A router dispatches such work only under a claim that a quorum holds. A claim is granted once
-//! for a tenant's key; whoever sends the key again, through whichever router, gets the recorded
-//! answer, "still running", or "may have run", and nothing runs a second time. A claim is given
-//! back only by its holder's word that the work did not run. A holder that falls silent loses the
-//! claim to "may have run" after [`CLAIM_TIMEOUT_MS`], never to another execution. Keys are
-//! forgotten after [`KEY_RETENTION_MS`]; a resend later than that runs again, and the operators' page says
-//! so.
+//! A router dispatches such a request only after a quorum has committed a claim for it. A claim is
+//! granted once per tenant and idempotency key. A request that repeats the key, through any router,
+//! gets the recorded answer, "still running" or "may have run", and is not executed again. A claim
+//! is released only when its holder reports that the request was not executed. If the holder does
+//! not report an outcome within [`CLAIM_TIMEOUT_MS`], the claim becomes "may have run" and is not
+//! granted to another request. Keys are removed after [`KEY_RETENTION_MS`]; a request that repeats
+//! the key later than that is executed again, as the documentation for operators states.
 
 use std::collections::BTreeMap;
 
 use drumshore_core::{IdempotencyKey, RequestId, TenantName};
 use serde::{Deserialize, Serialize};
 
-/// How long a claim may run before its holder counts as lost, in milliseconds.
+/// Time after which a claim without an outcome becomes "may have run", in milliseconds: its holder
+/// is considered lost.
 pub const CLAIM_TIMEOUT_MS: u64 = 10 * 60 * 1_000;
 
-/// How long a key is remembered after its claim, in milliseconds.
+/// How long a key is kept after it was claimed, in milliseconds.
 pub const KEY_RETENTION_MS: u64 = 24 * 60 * 60 * 1_000;
 
-/// Names a claim.
+/// Identifies a claim. Tenants choose their keys independently of one another.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// The tenant.
+    /// The tenant that sent the request.
     pub tenant: TenantName,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: IdempotencyKey,
 }
 
-/// The answer to a claim.
+/// The result of an attempt to claim a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimResult {
-    /// The request holds the claim and may run.
+    /// The request holds the claim and may be executed.
     Granted,
-    /// Another request holds it.
+    /// Another request holds the claim and has no outcome yet.
     StillRunning,
-    /// The work ended with this answer.
+    /// The request was executed and returned this answer.
     Completed(Vec<u8>),
-    /// The work may have run and is not repeated.
+    /// The request may have been executed, so it must not be repeated.
     MayHaveRun,
-    /// The key stands for another request.
+    /// The key was claimed for a request with a different fingerprint.
     KeyReused,
 }
 
-/// How claimed work ended.
+/// The outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExecutionOutcome {
-    /// It did not run; the claim is given back.
+    /// The request was not executed; the claim is released.
     NotRun,
-    /// Nobody can say.
+    /// It is unknown whether the request was executed.
     MayHaveRun,
-    /// It ran, with this answer.
+    /// The request was executed and returned this answer.
     Ran(Vec<u8>),
 }
 
@@ -70,7 +71,7 @@
     state: ClaimState,
 }
 
-/// All claims.
+/// All claims that are kept.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(from = "Vec<Claim>", into = "Vec<Claim>")]
 pub struct Ledger {
@@ -95,8 +96,8 @@
 }
 
 impl Ledger {
-    /// Claims the right to run. A holder that asks again is granted again: it asks because the
-    /// answer was lost, and dispatches once.
+    /// Claims the right to execute a request. A repeated claim by the holder is granted again: it
+    /// means that the first response was lost, and the holder dispatches the request only once.
     pub fn claim(
         &mut self,
         key: ClaimKey,
@@ -127,13 +128,14 @@
         }
     }
 
-    /// Records how the holder's work ended. Nothing that others say counts.
+    /// Records the outcome of a claimed request. Reports by requests other than the holder are
+    /// ignored, and so are reports after an answer is recorded.
     pub fn record(&mut self, key: &ClaimKey, request: RequestId, outcome: ExecutionOutcome) {
         let Some(claim) = self.claims.get_mut(key) else {
             return;
         };
-        let settled = matches!(claim.state, ClaimState::Completed(_));
-        if claim.holder != request || settled {
+        let completed = matches!(claim.state, ClaimState::Completed(_));
+        if claim.holder != request || completed {
             return;
         }
         match outcome {
@@ -145,24 +147,25 @@
         }
     }
 
-    /// Ends claims whose holders fell silent and forgets old keys.
+    /// Marks claims without an outcome as "may have run" after [`CLAIM_TIMEOUT_MS`], and removes
+    /// keys after [`KEY_RETENTION_MS`].
     pub fn expire(&mut self, now_ms: u64) {
         self.claims
             .retain(|_, claim| now_ms.saturating_sub(claim.claimed_at_ms) < KEY_RETENTION_MS);
         for claim in self.claims.values_mut() {
-            let silent = now_ms.saturating_sub(claim.claimed_at_ms) >= CLAIM_TIMEOUT_MS;
-            if silent && claim.state == ClaimState::Running {
+            let timed_out = now_ms.saturating_sub(claim.claimed_at_ms) >= CLAIM_TIMEOUT_MS;
+            if timed_out && claim.state == ClaimState::Running {
                 claim.state = ClaimState::MayHaveRun;
             }
         }
     }
 
-    /// Claims kept.
+    /// Number of claims kept, whatever their state.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// True when none is kept.
+    /// True if no claim is kept.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,9 @@
-//! The replicated state of a drumshore cluster and the control machine around it.
+//! The replicated state of a drumshore cluster and the control machine that serves it.
 //!
-//! [`StateMachine`] is what the log replicates: the resource [`store`] and the execution
-//! [`ledger`]. [`ControlCore`] joins it with the log, the routers' subscriptions, the engines'
-//! [`fleet`] and rollouts; it does no I/O and reads no clock, and says what to send as
-//! [`Effect`]s. [`ControlActor`] is the core on `stakker`.
+//! [`StateMachine`] is the state that the log replicates: the resource [`store`] and the execution
+//! [`ledger`]. [`ControlCore`] combines it with the log, the routers' subscriptions, the engine
+//! [`fleet`] and the rollouts. It does no network I/O, reads no clock, and returns everything to
+//! send as [`Effect`]s. [`ControlActor`] runs the core as a `stakker` actor.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a control machine, and what they get.
+//! The requests of operators to a control machine, and the replies.
 
 use std::time::Duration;
 
@@ -10,147 +10,151 @@
 
 use crate::store::{ChangeOutcome, ChangeRecord};
 
-/// Tells the edge which waiting operator an answer belongs to.
+/// Identifies a request, so that the API server can match the reply to the operator that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperatorTicket(pub u64);
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorRequest {
-    /// Write a resource.
+    /// Creates or replaces a resource.
     Put {
-        /// The operator's key for the change.
+        /// Idempotency key that the operator chose for the change.
         change_id: ChangeId,
-        /// Who asks.
+        /// The operator that requests the change.
         operator: OperatorName,
-        /// The version it was written from; 0 when it is to be new.
+        /// The version on which the change is based; 0 to create the resource.
         expected: Revision,
-        /// Its name.
+        /// Name of the resource.
         name: String,
-        /// The document.
+        /// Content of the resource.
         spec: ResourceSpec,
     },
-    /// Remove a resource.
+    /// Removes a resource.
     Delete {
-        /// The operator's key for the change.
+        /// Idempotency key that the operator chose for the change.
         change_id: ChangeId,
-        /// Who asks.
+        /// The operator that requests the change.
         operator: OperatorName,
-        /// The version that is to be removed.
+        /// The version to remove.
         expected: Revision,
-        /// Which.
+        /// The resource to remove.
         key: ResourceKey,
     },
-    /// One resource, as of now.
+    /// Reads one resource from a view that a quorum confirms.
     Get(ResourceKey),
-    /// All resources of a kind, as of now.
+    /// Reads all resources of a kind from a view that a quorum confirms.
     List(ResourceKind),
-    /// Changes after a revision; waits for the next one.
+    /// Reads the changes after a revision; waits for the next change if there is none.
     Watch {
-        /// The last revision seen.
+        /// The last revision that the operator has seen.
         after: Revision,
-        /// How long to wait.
+        /// How long to wait for a change before the reply is empty.
         timeout: Duration,
     },
-    /// The state of the cluster.
+    /// Reads the state of the cluster as this control machine sees it.
     Status,
-    /// One step of a change of the control machines themselves.
+    /// Starts one membership change of the control machines.
     ChangeMembers(Change),
-    /// Hand leadership to another control machine.
+    /// Transfers leadership to another control machine.
     Transfer(ReplicaId),
 }
 
-/// What an operator gets.
+/// The reply to a request of an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorReply {
-    /// How a change ended.
+    /// The outcome of a write or delete.
     Change(ChangeOutcome),
-    /// Nobody confirmed in time. A change may still be accepted: resend it with the same id.
+    /// No quorum confirmed the request in time. A change may still be accepted: the operator can
+    /// safely resend it with the same id.
     Unavailable,
-    /// A resource, when there is one.
+    /// The resource that was read; `None` if it does not exist.
     Resource(Option<Box<Resource>>),
-    /// Resources and the revision of the view they come from.
+    /// The resources of a kind.
     Resources {
-        /// The revision.
+        /// The revision at which the resources were read.
         revision: Revision,
-        /// The resources.
+        /// All resources of the kind.
         resources: Vec<Resource>,
     },
-    /// Changes, oldest first; none when the patience ran out.
+    /// The changes that a watch returns; none if its timeout elapsed.
     Changes {
-        /// The revision up to which they are complete.
+        /// The revision up to which the changes are complete.
         revision: Revision,
-        /// The changes.
+        /// The changes, oldest first.
         changes: Vec<ChangeRecord>,
     },
-    /// The changes asked for are no longer kept; list afresh.
+    /// Some of the requested changes are no longer kept; the operator has to list the resources
+    /// again.
     Compacted {
-        /// The revision to list at.
+        /// The current revision.
         revision: Revision,
     },
-    /// The state of the cluster.
+    /// The state of the cluster as this control machine sees it.
     Status(Box<StatusReport>),
-    /// A change of the control machines was started, or why not.
+    /// Whether a membership change was started, with the error if not. The request for a leadership
+    /// transfer is always acknowledged.
     Members(Result<(), String>),
 }
 
-/// How far one router has come.
+/// The state of one router that is connected to this control machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterStatus {
-    /// The router.
+    /// The name that the router connected with.
     pub name: String,
-    /// The revision it applies.
+    /// The revision that the router reports to have applied.
     pub in_force: Revision,
-    /// Tenants it holds.
+    /// Number of tenants whose changes the router receives.
     pub tenants: usize,
 }
 
-/// One engine as this control machine sees it.
+/// The state of one engine as this control machine sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineStatus {
-    /// Its name.
+    /// The engine's name in the platform's list.
     pub name: String,
-    /// Its pool.
+    /// The pool that the engine belongs to.
     pub pool: String,
-    /// Its zone.
+    /// The zone of the engine's machine.
     pub zone: String,
-    /// Its state.
+    /// The merged state: `joining`, `ready`, `suspect`, `leaving` or `gone`.
     pub state: String,
-    /// Its start.
+    /// Identifies the start of the engine; 0 before the first response to a probe.
     pub incarnation: u64,
-    /// The weights it holds.
+    /// The version of the weights that are loaded; 0 if none.
     pub weights_version: u64,
-    /// Why it is in that state.
+    /// Why the engine is in this state.
     pub reason: String,
 }
 
 /// The state of the cluster, as one control machine sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// This control machine.
+    /// The number of this control machine.
     pub replica: u64,
-    /// What it is in the replicated log.
+    /// Its Raft role: `follower`, `candidate` or `leader`.
     pub role: String,
-    /// The leader, when known.
+    /// The number of the leader, if known.
     pub leader: Option<u64>,
-    /// The term.
+    /// The Raft term.
     pub term: u64,
-    /// The last position applied here.
+    /// Index of the last log entry that is applied here.
     pub applied: u64,
-    /// The revision of the resources here.
+    /// The revision of the resources on this machine.
     pub revision: Revision,
-    /// True when a quorum confirmed this view within the last seconds.
+    /// True if a quorum confirmed this view within the last seconds.
     pub confirmed: bool,
-    /// Control machines that vote.
+    /// Numbers of the control machines that vote.
     pub voters: Vec<u64>,
-    /// Control machines that are being brought up to date.
+    /// Numbers of the control machines that receive the log but do not vote yet.
     pub learners: Vec<u64>,
-    /// Alarm: control machines that came back with another disk under their old number.
+    /// Numbers of the control machines that returned with a different disk under their old number.
+    /// This is an alarm.
     pub foreign_disks: Vec<u64>,
-    /// Claims kept by the ledger.
+    /// Number of claims in the execution ledger.
     pub claims: usize,
-    /// The routers connected here.
+    /// The routers that are connected to this machine.
     pub routers: Vec<RouterStatus>,
-    /// The engines.
+    /// All engines that this machine tracks.
     pub engines: Vec<EngineStatus>,
 }
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -1,5 +1,5 @@
-//! Rollouts: a model's weights change engine by engine, and requests follow when half the pool
-//! has the new version.
+//! Rollouts: the engines of a model load new weights a few at a time, and requests are switched to
+//! the new version once half of the engines have loaded it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,42 +11,43 @@
 
 use crate::fleet::{EngineOrder, EngineView, Fleet};
 
-/// How long to wait for an order to show before it is sent again.
+/// How long to wait for an order to take effect before it is sent again.
 const ORDER_RETRY: Duration = Duration::from_secs(5);
 
-/// What a rollout wants next.
+/// The actions that a rollout requires next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RolloutStep {
-    /// Orders to send.
+    /// Load orders to send, with the engines that they go to.
     pub orders: Vec<(EngineName, EngineOrder)>,
-    /// The version that requests should now be answered with, when it is time to change it.
+    /// The version that is to serve requests from now on, if it must change.
     pub activate: Option<WeightsVersion>,
 }
 
-/// What a rollout works on.
+/// The input of one step of a rollout.
 #[derive(Clone, Debug)]
 pub struct RolloutView<'a> {
-    /// The rollout.
+    /// The rollout's specification.
     pub spec: &'a RolloutSpec,
-    /// The version in force.
+    /// The version that serves requests now.
     pub active_version: WeightsVersion,
     /// The pools that serve the model.
     pub pools: &'a [PoolName],
-    /// The leader's term.
+    /// The leader's term; engines use it to refuse orders of an earlier leader.
     pub epoch: Epoch,
-    /// The revision of the resources that the view comes from.
+    /// The revision of the resources that this input was read at.
     pub revision: Revision,
 }
 
-/// Remembers which orders are under way. Lost with the leader: the next one sends them again,
-/// and engines take an order twice without harm.
+/// Computes the steps of rollouts and tracks the orders that have not taken effect yet. This state
+/// is not replicated: a new leader sends the orders again, which is safe because they are
+/// idempotent.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutDriver {
     order_sent_at: BTreeMap<EngineName, Timestamp>,
 }
 
 impl RolloutDriver {
-    /// Works out the next step.
+    /// Computes the next step. A paused rollout requires none.
     pub fn step(&mut self, view: &RolloutView<'_>, fleet: &Fleet, now: Timestamp) -> RolloutStep {
         let target = match view.spec.state {
             RolloutState::Running => view.spec.to_version,
@@ -74,7 +75,8 @@
         engines: &[(&EngineName, &EngineView)],
         now: Timestamp,
     ) -> Vec<(EngineName, EngineOrder)> {
-        // A failed engine on the new version stops the rollout until somebody looks.
+        // A suspect engine with the target version halts a running rollout, so that an operator can
+        // examine it.
         let failed = engines.iter().any(|(_, engine)| {
             engine.state == EngineStateCode::Suspect && version(engine) == target
         });
@@ -130,7 +132,7 @@
     engine.state == EngineStateCode::Ready && version(engine) == target
 }
 
-/// Engines that serve another version may load.
+/// True if the engine serves another version and can be ordered to load the target.
 fn may_load(engine: &EngineView, target: WeightsVersion) -> bool {
     engine.state == EngineStateCode::Ready && version(engine) != target
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,4 +1,5 @@
-//! What the log replicates: store and ledger, changed by commands alone.
+//! The replicated state machine: the resource store and the execution ledger, which change only by
+//! the commands of the log.
 
 use drumshore_core::{
     ChangeId, IdempotencyKey, OperatorName, RequestId, ResourceKey, ResourceKind, ResourceSpec,
@@ -10,43 +11,43 @@
 use crate::ledger::{ClaimKey, ClaimResult, ExecutionOutcome, Ledger};
 use crate::store::{Author, ChangeOutcome, ResourceStore};
 
-/// What came of a command.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandResult {
-    /// A change of resources.
+    /// The outcome of a write or delete of a resource.
     Change(ChangeOutcome),
-    /// A claim.
+    /// The result of a claim.
     Claim(ClaimResult),
-    /// An outcome, or time that passed.
+    /// The command was an outcome or an expiry, which have no result.
     Done,
 }
 
 /// The replicated state at one position of the log.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StateMachine {
-    /// Resources.
+    /// The resources of the configuration.
     pub store: ResourceStore,
-    /// Claims.
+    /// The claims of requests that must not be repeated.
     pub ledger: Ledger,
     now_ms: u64,
 }
 
 impl StateMachine {
-    /// Applies one committed entry; `None` when its bytes are no command.
+    /// Applies one committed entry; `None` if its data is not a valid proposal.
     pub fn apply(&mut self, entry: &[u8]) -> Option<(ProposalId, CommandResult)> {
         let proposal = Proposal::decode(entry)?;
-        // Proposers' clocks differ; time here never goes back.
+        // The proposers' clocks differ, but the time of the state machine must never go back.
         self.now_ms = self.now_ms.max(proposal.now_ms);
         let result = self.apply_command(proposal.command);
         Some((proposal.id, result))
     }
 
-    /// The state as bytes for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("the state has no maps with structured keys")
     }
 
-    /// Reads a snapshot back.
+    /// Decodes a snapshot and rebuilds the indexes that it does not contain.
     pub fn decode(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         let mut state: Self = serde_json::from_slice(bytes)?;
         state.store.rebuild();
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -1,4 +1,5 @@
-//! The resource store: compare-and-set on versions, changes known by id, history, watches.
+//! The resource store: writes are compare-and-set on versions and idempotent by change id, and a
+//! history of changes serves watches.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,28 +10,28 @@
 use drumshore_guard::{enforced, Guard};
 use serde::{Deserialize, Serialize};
 
-/// Changes kept for watches, histories and the recognition of resent changes.
+/// Changes kept for watches and histories, and outcomes kept to recognize resent changes.
 const HISTORY_ENTRIES: usize = 10_000;
 
-/// How a change ended. The same for the same change id, however often it is sent.
+/// The outcome of a change. A change that is sent again with the same id has the same outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum ChangeOutcome {
-    /// It is accepted and in the store under this revision.
+    /// The change was accepted and stored.
     Accepted {
-        /// The revision.
+        /// The revision that the change created.
         revision: Revision,
     },
-    /// Somebody else changed the resource first; nothing was done.
+    /// The resource does not have the expected version; nothing was changed.
     Conflict {
-        /// The version that the writer had seen.
+        /// The version on which the change was based.
         expected: Revision,
-        /// What is there now; `None` when it is gone.
+        /// The resource as it is now; `None` if it does not exist.
         current: Option<Box<Resource>>,
     },
-    /// The document is not valid; nothing was done.
+    /// The document is not valid; nothing was changed.
     Invalid {
-        /// Why.
+        /// The validation error.
         message: String,
     },
 }
@@ -38,17 +39,17 @@
 /// One accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// The revision it made.
+    /// The revision that the change created.
     pub revision: Revision,
-    /// Its id.
+    /// The id under which the operator sent the change.
     pub change_id: ChangeId,
-    /// Who made it.
+    /// The operator that made the change.
     pub operator: OperatorName,
-    /// When, by the proposer's clock, in milliseconds since the Unix epoch.
+    /// Time of the change by the state machine's clock, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What it changed.
+    /// The resource that changed.
     pub key: ResourceKey,
-    /// The resource after it; `None` when it was removed.
+    /// The resource after the change; `None` if it was removed.
     pub resource: Option<Box<Resource>>,
 }
 
@@ -58,18 +59,18 @@
     outcome: ChangeOutcome,
 }
 
-/// The author of a change and its id.
+/// The author, id and time of a change.
 #[derive(Clone, Debug)]
 pub struct Author {
-    /// The operator's key for the change.
+    /// Idempotency key that the operator chose for the change.
     pub change_id: ChangeId,
-    /// Who asks.
+    /// The operator that requests the change.
     pub operator: OperatorName,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the change, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// All resources at one revision, and the latest changes.
+/// All resources at one revision, and the most recent changes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ResourceStore {
     revision: Revision,
@@ -82,12 +83,13 @@
 }
 
 impl ResourceStore {
-    /// The revision of the last accepted change.
+    /// The revision of the last accepted change; 0 if there was none.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Writes a resource if it still has the version that the writer saw.
+    /// Creates or replaces a resource if it has the expected version. Version 0 means that it must
+    /// not exist yet.
     pub fn put(
         &mut self,
         author: Author,
@@ -109,7 +111,7 @@
         self.remember(author.change_id, outcome)
     }
 
-    /// Removes a resource if it still has the version that the writer saw.
+    /// Removes a resource if it has the expected version.
     pub fn delete(
         &mut self,
         author: Author,
@@ -126,24 +128,24 @@
         self.remember(author.change_id, outcome)
     }
 
-    /// One resource.
+    /// The resource with this key.
     pub fn get(&self, key: &ResourceKey) -> Option<&Resource> {
         self.resources.get(key)
     }
 
-    /// All resources of a kind, by name.
+    /// All resources of a kind, ordered by name.
     pub fn list(&self, kind: ResourceKind) -> impl Iterator<Item = &Resource> {
         self.resources
             .values()
             .filter(move |resource| resource.spec.kind() == kind)
     }
 
-    /// All resources.
+    /// All resources, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = &Resource> {
         self.resources.values()
     }
 
-    /// The tenant that holds a key.
+    /// The tenant that an API key belongs to.
     pub fn tenant_of_key(&self, key_hash: &KeyHash) -> Option<&Resource> {
         let name = self.tenants_by_key.get(key_hash)?;
         let kind = ResourceKind::Tenant;
@@ -153,7 +155,7 @@
         })
     }
 
-    /// The changes after a revision, or `None` when they are no longer all kept.
+    /// The changes after a revision, or `None` if some of them are no longer kept.
     pub fn changes_after(&self, revision: Revision) -> Option<impl Iterator<Item = &ChangeRecord>> {
         let oldest_kept = self
             .history
@@ -169,7 +171,7 @@
         )
     }
 
-    /// Rebuilds what is derived, after the store was read from a snapshot.
+    /// Rebuilds the index of tenants by key, which a snapshot does not contain.
     pub fn rebuild(&mut self) {
         self.tenants_by_key.clear();
         let tenants: Vec<Resource> = self.list(ResourceKind::Tenant).cloned().collect();
@@ -217,7 +219,7 @@
         })
     }
 
-    /// Two tenants with one key could not be told apart.
+    /// Rejects an API key of another tenant: a request's key must identify one tenant.
     fn check_keys_unused(
         &self,
         key: &ResourceKey,
@@ -315,7 +317,8 @@
     }
 }
 
-/// JSON has no maps with structured keys; the resources carry their keys themselves.
+/// Serializes the resources as a list: JSON has no maps with structured keys, and each resource
+/// contains its own key.
 mod as_list {
     use std::collections::BTreeMap;
 
--- a/crates/control/src/subscription.rs
+++ b/crates/control/src/subscription.rs
@@ -1,37 +1,39 @@
-//! What each connected router holds and has been told.
+//! The state of each connected router: what it holds and what it has been sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use drumshore_core::{Resource, ResourceKey, ResourceKind, Revision, TenantName};
 use drumshore_wire::EngineLoad;
 
-/// A connection of a router.
+/// Identifies a connection of a router to this control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
 /// One router's subscription.
 #[derive(Clone, Debug)]
 pub struct Subscription {
-    /// The router's name.
+    /// The name that the router connected with.
     pub router: String,
-    /// Its region; empty for all.
+    /// The region whose engine loads the router receives; empty for all regions.
     pub region: String,
-    /// The tenants it holds. Of 9,000 tenants a router uses few, and 14 KB/s do not carry all.
+    /// The tenants whose changes the router receives. A router uses few of 9,000 tenants, and a
+    /// bandwidth of 14 KB/s is too low to send it all of them.
     pub tenants: BTreeSet<TenantName>,
-    /// True once it has been told everything up to `sent`.
+    /// True once the router has been sent the full configuration.
     pub confirmed: bool,
-    /// The revision it was told last.
+    /// The last revision that the router was sent.
     pub sent: Revision,
-    /// The revision it says it applies.
+    /// The revision that the router reports to have applied.
     pub applied_revision: Revision,
-    /// The fleet's change that it was told last; `None` before the first list.
+    /// The fleet's change count at the last engine update that the router was sent; `None` before
+    /// the first.
     pub engines_sent: Option<u64>,
-    /// The loads it was told last, by slot.
+    /// The last load of each engine that the router was sent, by slot.
     pub loads_sent: BTreeMap<u16, EngineLoad>,
 }
 
 impl Subscription {
-    /// A subscription of a router that has just connected.
+    /// Creates the subscription of a router that has just connected.
     pub fn new(router: String) -> Self {
         Self {
             router,
@@ -45,12 +47,12 @@
         }
     }
 
-    /// True when the router is to hear of the resource: all but tenants it does not use.
+    /// True if the router receives changes of the resource: all but tenants that it does not use.
     pub fn is_relevant(&self, key: &ResourceKey) -> bool {
         key.kind != ResourceKind::Tenant || self.tenants.contains(&TenantName::new(&key.name))
     }
 
-    /// The resources that concern the router.
+    /// The resources whose changes the router receives.
     pub fn relevant_resources<'a>(
         &'a self,
         resources: impl Iterator<Item = &'a Resource> + 'a,
@@ -58,7 +60,7 @@
         resources.filter(|resource| self.is_relevant(&resource.key()))
     }
 
-    /// The loads that differ noticeably from what the router was told, which is noted.
+    /// Returns the loads that differ noticeably from those last sent, and records them as sent.
     pub fn changed_loads(&mut self, loads: &[EngineLoad]) -> Vec<EngineLoad> {
         let mut changed = Vec::new();
         for load in loads {
@@ -72,7 +74,8 @@
     }
 }
 
-/// Waiting by more than an eighth and two units, or running by more than an eighth and one.
+/// True if the queued tokens differ by more than an eighth plus two units, or the running sequences
+/// by more than an eighth plus one.
 fn differs_noticeably(last_sent: &EngineLoad, load: &EngineLoad) -> bool {
     let waiting = last_sent.waiting.abs_diff(load.waiting);
     let running = last_sent.running.abs_diff(load.running);
--- a/crates/control/src/tests.rs
+++ b/crates/control/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts; `crates/testbed` runs them together under failures.
+//! Unit tests of the modules; `crates/testbed` tests them together under injected failures.
 
 use drumshore_core::{
     ChangeId, ModelSpec, OperatorName, ResourceKey, ResourceKind, ResourceSpec, SecretKey,
--- a/crates/control/src/tests/allotment.rs
+++ b/crates/control/src/tests/allotment.rs
@@ -3,7 +3,7 @@
 use crate::allotment::divide;
 
 proptest! {
-    /// Shares add up to the limit, and nobody is short while another has more than it asked for.
+    /// The shares add up to the limit, and no share is larger than one that is below its demand.
     #[test]
     fn limits_are_divided_max_min_fairly(
         total in 1.0..1_000.0_f64,
--- a/crates/control/src/tests/core.rs
+++ b/crates/control/src/tests/core.rs
@@ -33,10 +33,10 @@
 
 impl Cluster {
     fn new() -> Self {
-        Self::with(ControlParams::default())
+        Self::with_params(ControlParams::default())
     }
 
-    fn with(params: ControlParams) -> Self {
+    fn with_params(params: ControlParams) -> Self {
         let ids = [1, 2, 3].map(ReplicaId);
         let cores = ids.map(|replica| {
             let identity = FolderIdentity {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_change_through_a_follower_reaches_routers_of_every_machine() {
+fn a_change_through_a_follower_is_sent_to_routers_of_every_machine() {
     let mut cluster = Cluster::new();
     let (leader, follower) = (cluster.leader(), cluster.follower());
     cluster.connect(leader, 1, &["x"]);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_router_hears_only_of_tenants_it_uses() {
+fn a_router_receives_only_the_tenants_that_it_uses() {
     let mut cluster = Cluster::new();
     let leader = cluster.leader();
     cluster.connect(leader, 1, &[]);
@@ -214,11 +214,15 @@
     assert!(answered);
     cluster.put(leader, 10, 1, tenant("k2"));
     cluster.run(5);
-    assert_eq!(cluster.sent_tenant_versions(1), [2], "it uses it now");
+    assert_eq!(
+        cluster.sent_tenant_versions(1),
+        [2],
+        "the query subscribed the router to the tenant"
+    );
 }
 
 #[test]
-fn a_leader_that_is_cut_off_confirms_nothing() {
+fn an_isolated_leader_confirms_no_reads() {
     let mut cluster = Cluster::new();
     let old = cluster.leader();
     cluster.connect(old, 1, &["x"]);
@@ -237,7 +241,10 @@
         .to_routers
         .iter()
         .any(|(from, _, message)| *from == old && matches!(message, Message::Fresh(_)));
-    assert!(!fresh, "routers of the cut-off machine must look elsewhere");
+    assert!(
+        !fresh,
+        "the isolated machine must not confirm its view to routers"
+    );
     assert!(matches!(
         cluster.reply(10),
         Some(OperatorReply::Unavailable)
@@ -248,7 +255,7 @@
 }
 
 #[test]
-fn claims_through_two_machines_are_granted_once() {
+fn a_claim_through_two_machines_is_granted_once() {
     let mut cluster = Cluster::new();
     let (leader, follower) = (cluster.leader(), cluster.follower());
     for (at, connection) in [(leader, 1), (follower, 2)] {
@@ -313,8 +320,8 @@
     }
 }
 
-/// Two engines on every machine's list; the first one holds block 7.
-fn with_engines(cluster: &mut Cluster) {
+/// Adds two engines to the fleet of every control machine; the first one has block 7 cached.
+fn add_engines(cluster: &mut Cluster) {
     let names = ["a", "b"].map(EngineName::new);
     let machine = |name: &EngineName| MachineRecord {
         name: name.clone(),
@@ -324,7 +331,7 @@
         state: MachineState::Live,
     };
     let machines = names.each_ref().map(machine);
-    let held = CacheReport {
+    let report = CacheReport {
         incarnation: Incarnation(1),
         complete: true,
         first: 1,
@@ -332,12 +339,12 @@
     };
     for core in cluster.cores.values_mut() {
         core.on_machines(&machines);
-        core.on_cache_report(&names[0], &held);
-        let none = CacheReport {
+        core.on_cache_report(&names[0], &report);
+        let empty = CacheReport {
             changes: Vec::new(),
-            ..held.clone()
+            ..report.clone()
         };
-        core.on_cache_report(&names[1], &none);
+        core.on_cache_report(&names[1], &empty);
         for name in &names {
             core.on_probe(name, Ok(probe(0)));
         }
@@ -358,7 +365,7 @@
 }
 
 impl Cluster {
-    /// The engines that a machine's index names for block 7, best first.
+    /// The engines that the index of a control machine returns for block 7, best first.
     fn holdings(&mut self, at: ReplicaId, ticket: u32) -> Vec<HoldingRecord> {
         let core = self.cores.get_mut(&at).expect("a machine");
         let slot = core.fleet().iter().next().expect("an engine").1.slot();
@@ -378,9 +385,9 @@
 }
 
 #[test]
-fn a_booking_at_one_machine_is_known_at_all() {
+fn a_booking_at_one_machine_is_indexed_at_every_machine() {
     let mut cluster = Cluster::new();
-    with_engines(&mut cluster);
+    add_engines(&mut cluster);
     let (here, there) = (cluster.leader(), cluster.follower());
     for at in [here, there] {
         cluster.connect(at, 1, &[]);
@@ -414,8 +421,8 @@
         index_region: "north".to_owned(),
         ..ControlParams::default()
     };
-    let mut cluster = Cluster::with(params);
-    with_engines(&mut cluster);
+    let mut cluster = Cluster::with_params(params);
+    add_engines(&mut cluster);
     let core = cluster.cores.values().next().expect("a machine");
     assert_eq!(core.report_wanted(&EngineName::new("a")), None);
 }
--- a/crates/control/src/tests/fleet.rs
+++ b/crates/control/src/tests/fleet.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_first_sign_of_leaving_counts() {
+fn an_engine_is_leaving_as_soon_as_one_source_reports_it() {
     let mut by_platform = fleet_of(&["e"]);
     by_platform.on_machines(&[machine("e", MachineState::Leaving)], Timestamp(0));
     let mut by_engine = fleet_of(&["e"]);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_engine_that_stops_answering_is_suspect_then_gone_when_unlisted() {
+fn an_unresponsive_engine_is_suspect_then_removed_when_unlisted() {
     let mut fleet = fleet_of(&["e"]);
     let name = EngineName::new("e");
     let change_count = fleet.change_count();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_restart_is_told_to_routers() {
+fn a_restarted_engine_is_sent_to_routers() {
     let mut fleet = fleet_of(&["e"]);
     let change_count = fleet.change_count();
     fleet.on_probe(&EngineName::new("e"), Ok(probe(2, 1)), Timestamp(0));
--- a/crates/control/src/tests/ledger.rs
+++ b/crates/control/src/tests/ledger.rs
@@ -24,7 +24,10 @@
 #[case(ExecutionOutcome::NotRun, ClaimResult::Granted)]
 #[case(ExecutionOutcome::MayHaveRun, ClaimResult::MayHaveRun)]
 #[case(ExecutionOutcome::Ran(b"booked".to_vec()), ClaimResult::Completed(b"booked".to_vec()))]
-fn what_a_resend_gets(#[case] outcome: ExecutionOutcome, #[case] expected: ClaimResult) {
+fn a_resent_key_gets_the_recorded_outcome(
+    #[case] outcome: ExecutionOutcome,
+    #[case] expected: ClaimResult,
+) {
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     let granted = ledger.claim(key.clone(), 1, request(1), 0);
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn only_the_holder_gives_a_claim_back() {
+fn only_the_holder_releases_a_claim() {
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     ledger.claim(key.clone(), 1, request(1), 0);
@@ -44,7 +47,7 @@
 }
 
 #[test]
-fn a_key_for_another_request_is_refused() {
+fn a_key_reused_for_another_request_is_refused() {
     let mut ledger = Ledger::default();
     ledger.claim(claim_key("t", "k"), 1, request(1), 0);
     let other = ledger.claim(claim_key("t", "k"), 2, request(2), 0);
@@ -52,7 +55,7 @@
 }
 
 #[test]
-fn a_silent_holder_loses_the_claim_to_nobody() {
+fn an_expired_claim_is_not_granted_to_another_request() {
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     ledger.claim(key.clone(), 1, request(1), 0);
@@ -83,8 +86,8 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order, a second request is granted only after the first
-    /// holder has said that it did not run.
+    /// In any order of claims, outcomes and expiries, a claim is granted to another request only
+    /// after its holder has reported that it was not executed.
     #[test]
     fn a_claim_is_granted_to_one_request_at_a_time(
         steps in proptest::collection::vec(ledger_step(), 0..40)
--- a/crates/control/src/tests/rollout.rs
+++ b/crates/control/src/tests/rollout.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_rollout_loads_as_many_at_once_as_allowed_and_switches_at_half() {
+fn a_rollout_respects_max_loading_and_switches_requests_at_half() {
     let mut fleet = fleet_of(&["a", "b", "c", "d"]);
     let pools = [PoolName::new("p")];
     let spec = rollout(RolloutState::Running);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_rollout_stops_when_a_loaded_engine_fails() {
+fn a_rollout_halts_when_an_engine_with_the_new_version_fails() {
     let mut fleet = fleet_of(&["a", "b"]);
     let pools = [PoolName::new("p")];
     let spec = rollout(RolloutState::Running);
--- a/crates/control/src/tests/store.rs
+++ b/crates/control/src/tests/store.rs
@@ -6,7 +6,7 @@
 use crate::{ClaimResult, StateMachine};
 
 #[test]
-fn of_two_writers_of_one_version_one_succeeds_and_one_sees_the_difference() {
+fn of_two_writes_based_on_one_version_the_second_conflicts() {
     let mut store = ResourceStore::default();
     store.put(author("a"), Revision(0), "m", model(1));
     let first = store.put(author("b"), Revision(1), "m", model(2));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_resent_change_gives_its_first_outcome() {
+fn a_resent_change_returns_its_first_outcome() {
     let mut store = ResourceStore::default();
     let first = store.put(author("a"), Revision(0), "m", model(1));
     store.put(author("b"), Revision(1), "m", model(2));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn two_tenants_cannot_hold_one_key() {
+fn an_api_key_of_another_tenant_is_rejected() {
     let mut store = ResourceStore::default();
     store.put(author("a"), Revision(0), "x", tenant("k"));
     let refused = store.put(author("b"), Revision(0), "y", tenant("k"));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_deleted_tenants_key_opens_nothing() {
+fn the_key_of_a_deleted_tenant_is_unknown() {
     let mut store = ResourceStore::default();
     store.put(author("a"), Revision(0), "x", tenant("k"));
     let hash = SecretKey::new("k").hash();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_watcher_of_a_compacted_revision_is_told_so() {
+fn changes_after_a_compacted_revision_are_unavailable() {
     let mut store = ResourceStore::default();
     for change in 0..10_050_u64 {
         store.put(
@@ -69,18 +69,18 @@
 }
 
 #[test]
-fn a_snapshot_gives_the_state_back_whole() {
+fn a_decoded_snapshot_equals_the_encoded_state() {
     let mut state = StateMachine::default();
     state.store.put(author("a"), Revision(0), "x", tenant("k"));
     state
         .ledger
         .claim(claim_key("x", "booking"), 7, request(1), 0);
     let bytes = state.encode();
-    let mut read = StateMachine::decode(&bytes).expect("it was just encoded");
-    assert_eq!(read.encode(), bytes);
+    let mut decoded = StateMachine::decode(&bytes).expect("it was just encoded");
+    assert_eq!(decoded.encode(), bytes);
     let hash = SecretKey::new("k").hash();
-    assert!(read.store.tenant_of_key(&hash).is_some());
-    let again = read
+    assert!(decoded.store.tenant_of_key(&hash).is_some());
+    let again = decoded
         .ledger
         .claim(claim_key("x", "booking"), 7, request(2), 0);
     assert_eq!(again, ClaimResult::StillRunning);
