--- a/crates/control/src/core/index.rs
+++ b/crates/control/src/core/index.rs
@@ -1,7 +1,8 @@
-//! The index beside this machine: engines report their caches to it, routers ask it.
+//! The index of cached prompt prefixes: engines report their caches, and routers query the index
+//! to place requests.
 //!
-//! It is a hint and nothing else. It is not replicated, a machine that starts has an empty one
-//! until engines have reported, and fences protect from what is out of date in it.
+//! Its answers are only hints. The index is not replicated and is empty after a start until engines
+//! have reported. Fences protect requests from outdated entries.
 
 use drumshore_consensus::{Directory, ReplicaId};
 use drumshore_core::{EngineId, EngineName, Timestamp};
@@ -18,11 +19,11 @@
 use crate::fleet::EngineProbe;
 use crate::subscription::ConnectionId;
 
-/// Tenths in a weight of 1.
-const WEIGHT_UNIT: f64 = 10.0;
+/// Weights are sent in tenths: a weight of 1 is sent as this number.
+const WEIGHT_SCALE: f64 = 10.0;
 
 impl<D: Directory> ControlCore<D> {
-    /// What to ask an engine about its cache; `None` when this machine does not index it.
+    /// The cache report to request from an engine; `None` if this machine does not index it.
     pub fn report_wanted(&self, engine: &EngineName) -> Option<ReportWanted> {
         let view = self.fleet.get(engine)?;
         let region = &self.params.index_region;
@@ -30,14 +31,14 @@
         indexed.then(|| self.indexer.wanted(view.id(), self.clock.now))
     }
 
-    /// Takes in what an engine's cache publishes.
+    /// Updates the index from a report of an engine's cache.
     pub fn on_cache_report(&mut self, engine: &EngineName, report: &CacheReport) {
         if self.fleet.get(engine).is_some() {
             self.indexer.on_report(engine.id(), report, self.clock.now);
         }
     }
 
-    /// Takes in how busy an engine says it is.
+    /// Updates the load of an engine in the index from a probe response.
     pub(super) fn index_load(&mut self, engine: EngineId, probe: &EngineProbe) {
         let age_us = probe.lag_ms * 1_000;
         self.indexer.on_load(
@@ -50,60 +51,62 @@
         );
     }
 
-    /// Forgets engines that are not in the fleet any more.
+    /// Removes engines from the index that are no longer in the fleet.
     pub(super) fn trim_index(&mut self) {
         let gone: Vec<EngineId> = self
             .indexer
             .engines()
-            .filter(|engine| self.fleet.of_id(*engine).is_none())
+            .filter(|engine| self.fleet.get_by_id(*engine).is_none())
             .collect();
         for engine in gone {
             self.indexer.forget(engine);
         }
     }
 
-    /// A router asks what engines hold of a prompt.
-    pub(super) fn on_index_question(&mut self, connection: ConnectionId, asked: &IndexQuestion) {
-        let Some(like) = self.fleet.of_slot(asked.like) else {
+    /// Answers a router's question which engines hold prefixes of a prompt. A question about an
+    /// unknown slot is dropped.
+    pub(super) fn on_index_question(&mut self, connection: ConnectionId, question: &IndexQuestion) {
+        let Some(like) = self.fleet.get_by_slot(question.like) else {
             return;
         };
-        let question = question(connection, asked);
+        let lookup = to_lookup(connection, question);
         let candidates = self.fleet.peers_of(like);
         let holdings = self
             .indexer
-            .ask(&question, candidates, self.clock.now)
+            .ask(&lookup, candidates, self.clock.now)
             .iter()
             .filter_map(|holding| {
-                let view = self.fleet.of_id(holding.engine)?;
-                Some(record(view.slot(), holding))
+                let view = self.fleet.get_by_id(holding.engine)?;
+                Some(to_holding_record(view.slot(), holding))
             })
             .collect();
         let answer = IndexAnswer {
-            ticket: asked.ticket,
+            ticket: question.ticket,
             holdings: List::new(holdings),
         };
-        self.hints
+        self.immediate_effects
             .push(Effect::ToRouter(connection, Message::IndexAnswer(answer)));
     }
 
-    /// A router placed requests. Other machines' routers are told by way of these machines.
+    /// Records the requests that a router placed, and queues them for the other control machines,
+    /// whose routers must see the bookings as well.
     pub(super) fn on_bookings(&mut self, connection: ConnectionId, bookings: &Bookings) {
         for record in &bookings.records.items {
             let Some(booking) = self.booking(connection, record) else {
                 continue;
             };
             self.indexer.book(&booking, self.clock.now);
-            self.unrelayed.push(relayed(&booking));
+            self.bookings_to_relay.push(to_relayed_booking(&booking));
         }
     }
 
-    /// Tells the other machines what this one's routers placed since the last time.
+    /// Sends the bookings since the last call to the other control machines.
     pub(super) fn relay_bookings(&mut self) {
-        if self.unrelayed.is_empty() {
+        if self.bookings_to_relay.is_empty() {
             return;
         }
         let bookings = RelayedBookings {
-            bookings: List::new(std::mem::take(&mut self.unrelayed)),
+            bookings: List::new(std::mem::take(&mut self.bookings_to_relay)),
         };
         let own = self.id();
         let members = self.replica.raft().membership().members().iter();
@@ -115,9 +118,9 @@
         }
     }
 
-    /// Another machine's routers placed requests.
-    pub(super) fn on_relayed_bookings(&mut self, relayed: &RelayedBookings) {
-        for booking in &relayed.bookings.items {
+    /// Records the requests that routers of another control machine placed.
+    pub(super) fn on_relayed_bookings(&mut self, message: &RelayedBookings) {
+        for booking in &message.bookings.items {
             let prefixes = booking.prefixes.items.iter().copied();
             let booking = Booking {
                 engine: EngineId(booking.engine),
@@ -129,39 +132,39 @@
     }
 
     fn booking(&mut self, connection: ConnectionId, record: &BookingRecord) -> Option<Booking> {
-        let engine = self.fleet.of_slot(record.slot)?.id();
-        let question = LookupId {
+        let engine = self.fleet.get_by_slot(record.slot)?.id();
+        let lookup_id = LookupId {
             requester: connection.0,
             ticket: record.ticket,
         };
         let missing_tokens = u32::from(record.missing) * WAITING_UNIT_TOKENS;
         Some(
             self.indexer
-                .booking_for_lookup(question, engine, missing_tokens),
+                .booking_for_lookup(lookup_id, engine, missing_tokens),
         )
     }
 }
 
-fn question(connection: ConnectionId, asked: &IndexQuestion) -> IndexLookup {
-    let hashes = asked.prefixes.items.iter().zip(1u32..);
+fn to_lookup(connection: ConnectionId, question: &IndexQuestion) -> IndexLookup {
+    let hashes = question.prefixes.items.iter().zip(1u32..);
     let prefixes = hashes.map(|(hash, number)| LookupPrefix {
         hash: SequenceHash(*hash),
-        blocks: number * u32::from(asked.step),
+        blocks: number * u32::from(question.step),
     });
     IndexLookup {
         id: LookupId {
             requester: connection.0,
-            ticket: asked.ticket,
+            ticket: question.ticket,
         },
         prefixes: prefixes.collect(),
-        block_tokens: asked.block_tokens,
-        prompt_tokens: asked.prompt_tokens,
-        recompute_weight: f64::from(asked.recompute_weight) / WEIGHT_UNIT,
-        limit: usize::from(asked.limit),
+        block_tokens: question.block_tokens,
+        prompt_tokens: question.prompt_tokens,
+        recompute_weight: f64::from(question.recompute_weight) / WEIGHT_SCALE,
+        limit: usize::from(question.limit),
     }
 }
 
-fn record(slot: u16, holding: &Holding) -> HoldingRecord {
+fn to_holding_record(slot: u16, holding: &Holding) -> HoldingRecord {
     let waiting = holding.waiting_tokens.div_ceil(WAITING_UNIT_TOKENS);
     HoldingRecord {
         slot,
@@ -171,7 +174,7 @@
     }
 }
 
-fn relayed(booking: &Booking) -> RelayedBooking {
+fn to_relayed_booking(booking: &Booking) -> RelayedBooking {
     let prefixes = booking.prefixes.iter().map(|prefix| prefix.0);
     RelayedBooking {
         engine: booking.engine.0,
--- a/crates/control/src/core/mod.rs
+++ b/crates/control/src/core/mod.rs
@@ -1,4 +1,5 @@
-//! A control machine without I/O: the replicated log, what it replicates, and everybody who asks.
+//! A control machine without network I/O: the replicated log, the state machine, and the requests
+//! of routers, operators and other control machines.
 
 mod index;
 mod operators;
@@ -21,39 +22,39 @@
 use drumshore_routing::{Indexer, IndexerParams};
 use drumshore_wire::{Blob, Message, RelayedBooking};
 
-use crate::allotment::DemandBook;
+use crate::allotment::DemandTable;
 use crate::command::{Command, ProposalId};
 use crate::fleet::{EngineOrder, EngineProbe, Fleet, MachineRecord, ProbeFailed};
 use crate::operator::{OperatorReply, OperatorTicket};
 use crate::rollout::{RolloutDriver, RolloutView};
-use crate::state::{Applied, StateMachine};
+use crate::state::{CommandResult, StateMachine};
 use crate::store::ChangeOutcome;
 use crate::subscription::{ConnectionId, Subscription};
 
 use operators::Watcher;
-use proposals::{Origin, Pending};
+use proposals::{PendingProposal, ProposalWaiter};
 use reads::Reads;
 
-/// Bounds and periods of a control machine.
+/// Timeouts, intervals and limits of a control machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlParams {
-    /// Of the replicated log.
+    /// Parameters of the replicated log.
     pub consensus: Params,
-    /// Entries applied between two snapshots.
+    /// Number of entries applied between two snapshots.
     pub snapshot_entries: u64,
-    /// How long a caller waits for a quorum.
-    pub patience: Duration,
-    /// How long until a command or a read that was not confirmed is sent again.
-    pub resend_after: Duration,
-    /// How often this machine confirms its view and tells routers so.
+    /// How long a command or read waits for a quorum before it fails.
+    pub quorum_timeout: Duration,
+    /// Interval at which a command or read that is not confirmed is sent again.
+    pub resend_interval: Duration,
+    /// Interval at which this machine has its view confirmed by a quorum and notifies its routers.
     pub freshness_interval: Duration,
-    /// How often routers hear how busy engines are.
+    /// Interval at which routers are sent the loads of engines.
     pub load_interval: Duration,
-    /// How often the leader looks after rollouts, claims and limits.
-    pub upkeep_interval: Duration,
-    /// The region whose engines' caches are indexed here; empty for all.
+    /// Interval at which usage is reported and the leader advances limits, claims and rollouts.
+    pub maintenance_interval: Duration,
+    /// The region whose engines' caches this machine indexes; empty for all regions.
     pub index_region: String,
-    /// Of the index.
+    /// Parameters of the index.
     pub indexer: IndexerParams,
 }
 
@@ -62,47 +63,47 @@
         Self {
             consensus: Params::default(),
             snapshot_entries: 5_000,
-            patience: Duration::from_secs(5),
-            resend_after: Duration::from_secs(1),
+            quorum_timeout: Duration::from_secs(5),
+            resend_interval: Duration::from_secs(1),
             freshness_interval: Duration::from_secs(1),
             load_interval: Duration::from_millis(500),
-            upkeep_interval: Duration::from_secs(1),
+            maintenance_interval: Duration::from_secs(1),
             index_region: String::new(),
             indexer: IndexerParams::default(),
         }
     }
 }
 
-/// What is to be sent, and to whom.
+/// A message, reply or order to send.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// A message to another control machine.
+    /// Sends a message to another control machine.
     ToControl(ReplicaId, Message),
-    /// A message to a router.
+    /// Sends a message to a router.
     ToRouter(ConnectionId, Message),
-    /// An answer to an operator.
+    /// Replies to an operator's request.
     Reply(OperatorTicket, OperatorReply),
-    /// An order to an engine.
+    /// Sends an order to an engine.
     Order {
-        /// The engine.
+        /// The engine's name in the fleet.
         engine: EngineName,
-        /// Where it listens.
+        /// IP address and port of the engine.
         address: String,
-        /// The order.
+        /// The order, with the fence of its leader.
         order: EngineOrder,
     },
 }
 
-/// The time, as the machine's loop sees it.
+/// The current time, read by the caller.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
-    /// Monotonic.
+    /// Monotonic time, for timeouts and intervals.
     pub now: Timestamp,
-    /// Milliseconds since the Unix epoch, for histories and claims.
+    /// Wall clock in milliseconds since the Unix epoch, for histories and claims.
     pub unix_ms: u64,
 }
 
-/// A control machine.
+/// The state of a control machine.
 pub struct ControlCore<D> {
     params: ControlParams,
     replica: Replica<D>,
@@ -111,34 +112,35 @@
     snapshot_at: LogIndex,
     fleet: Fleet,
     indexer: Indexer,
-    unrelayed: Vec<RelayedBooking>,
+    bookings_to_relay: Vec<RelayedBooking>,
     rollouts: RolloutDriver,
     subscriptions: BTreeMap<ConnectionId, Subscription>,
-    router_demands: DemandBook<ConnectionId>,
-    replica_demands: DemandBook<ReplicaId>,
+    router_demands: DemandTable<ConnectionId>,
+    replica_demands: DemandTable<ReplicaId>,
     watchers: Vec<Watcher>,
     origin: u64,
     next_proposal: u64,
-    pending: BTreeMap<ProposalId, Pending>,
+    pending: BTreeMap<ProposalId, PendingProposal>,
     reads: Reads,
     last_confirmed: Option<Timestamp>,
     clock: Clock,
-    due: Due,
-    /// Answers that promise nothing, and so need not wait for the disk.
-    hints: Vec<Effect>,
+    schedule: Schedule,
+    /// Effects that acknowledge nothing durable, and so are sent before the disk is synced.
+    immediate_effects: Vec<Effect>,
     effects: Vec<Effect>,
 }
 
+/// The next time of each periodic task.
 #[derive(Clone, Copy, Debug, Default)]
-struct Due {
+struct Schedule {
     freshness: Timestamp,
     loads: Timestamp,
-    upkeep: Timestamp,
+    maintenance: Timestamp,
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Opens a control machine. `first_membership` counts only in a new folder; `seed` has to
-    /// differ at each start.
+    /// Opens a control machine and recovers its log. `first_membership` is used only in a new
+    /// folder. `seed` must differ at each start: it is also the origin of the proposals.
     pub fn open(
         directory: D,
         identity: &FolderIdentity,
@@ -150,7 +152,7 @@
         let replica = Replica::open(directory, identity, first_membership, consensus, seed)?;
         Ok(Self {
             indexer: Indexer::new(params.indexer.clone()),
-            unrelayed: Vec::new(),
+            bookings_to_relay: Vec::new(),
             params,
             replica,
             state: StateMachine::default(),
@@ -159,8 +161,8 @@
             fleet: Fleet::default(),
             rollouts: RolloutDriver::default(),
             subscriptions: BTreeMap::new(),
-            router_demands: DemandBook::default(),
-            replica_demands: DemandBook::default(),
+            router_demands: DemandTable::default(),
+            replica_demands: DemandTable::default(),
             watchers: Vec::new(),
             origin: seed,
             next_proposal: 0,
@@ -168,38 +170,39 @@
             reads: Reads::default(),
             last_confirmed: None,
             clock: Clock::default(),
-            due: Due::default(),
-            hints: Vec::new(),
+            schedule: Schedule::default(),
+            immediate_effects: Vec::new(),
             effects: Vec::new(),
         })
     }
 
-    /// This machine's number.
+    /// The number of this control machine.
     pub fn id(&self) -> ReplicaId {
         self.replica.raft().id()
     }
 
-    /// What it is in the replicated log.
+    /// The role of this machine in the replicated log.
     pub fn role(&self) -> Role {
         self.replica.raft().role()
     }
 
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state, up to the last entry applied here.
     pub fn state(&self) -> &StateMachine {
         &self.state
     }
 
-    /// The index beside this machine.
+    /// The index of the engines' caches, which is local to this machine.
     pub fn indexer(&self) -> &Indexer {
         &self.indexer
     }
 
-    /// The engines as this machine sees them.
+    /// The engines, as this machine sees them.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Lets one tick of the replication clock pass. [`ControlCore::flush`] must follow.
+    /// Advances the replication clock by one tick and runs the periodic tasks that are due.
+    /// [`ControlCore::flush`] must follow.
     pub fn on_tick(&mut self, clock: Clock) {
         self.clock = clock;
         self.replica.raft_mut().tick();
@@ -207,28 +210,36 @@
         self.resend_reads();
         self.expire_watchers();
         self.relay_bookings();
-        if is_due(
-            &mut self.due.freshness,
+        if advance_if_due(
+            &mut self.schedule.freshness,
             clock.now,
             self.params.freshness_interval,
         ) {
             self.request_freshness();
         }
-        if is_due(&mut self.due.loads, clock.now, self.params.load_interval) {
+        if advance_if_due(
+            &mut self.schedule.loads,
+            clock.now,
+            self.params.load_interval,
+        ) {
             self.push_loads();
         }
-        if is_due(&mut self.due.upkeep, clock.now, self.params.upkeep_interval) {
-            self.upkeep();
+        if advance_if_due(
+            &mut self.schedule.maintenance,
+            clock.now,
+            self.params.maintenance_interval,
+        ) {
+            self.run_maintenance();
         }
     }
 
-    /// Takes in the platform's list.
+    /// Updates the fleet from the platform's machine list.
     pub fn on_machines(&mut self, machines: &[MachineRecord]) {
         self.fleet.on_machines(machines, self.clock.now);
         self.trim_index();
     }
 
-    /// Takes in an engine's answer to a probe, or that there was none.
+    /// Records the result of a probe of an engine.
     pub fn on_probe(&mut self, engine: &EngineName, result: Result<EngineProbe, ProbeFailed>) {
         if let Ok(probe) = &result {
             self.index_load(engine.id(), probe);
@@ -236,10 +247,11 @@
         self.fleet.on_probe(engine, result, self.clock.now);
     }
 
-    /// Does all that is due and hands out what to send, in order. Must run after each batch of
-    /// calls; everything that gathered in between shares one sync of the disk.
+    /// Stores and applies pending log entries and passes the effects to `sink` in order. It must be
+    /// called after each batch of calls; all calls since the last flush share one disk sync. An
+    /// error means that the disk failed.
     pub fn flush(&mut self, sink: &mut dyn FnMut(Effect)) -> Result<(), ReplicaError> {
-        self.hints.drain(..).for_each(&mut *sink);
+        self.immediate_effects.drain(..).for_each(&mut *sink);
         self.start_reads();
         let mut send = |envelope: drumshore_consensus::Envelope| {
             let message = Message::Consensus(Blob::new(envelope.encode()));
@@ -267,8 +279,8 @@
             if entry.kind != EntryKind::Command {
                 continue;
             }
-            if let Some((proposal, applied)) = self.state.apply(&entry.data) {
-                self.answer_proposal(proposal, applied);
+            if let Some((proposal, result)) = self.state.apply(&entry.data) {
+                self.answer_proposal(proposal, result);
             }
         }
         self.reads.on_confirmed(output.reads);
@@ -300,7 +312,7 @@
         self.role() == Role::Leader
     }
 
-    /// The fence of this leader's orders.
+    /// The fence that engines compare to refuse outdated orders: the term and the revision.
     fn order_fence(&self) -> (Epoch, Revision) {
         if !enforced(Guard::OrderEpoch) {
             return (Epoch(u64::MAX), Revision(u64::MAX));
@@ -312,15 +324,16 @@
         Epoch(self.replica.raft().term().0)
     }
 
-    /// The leader's housekeeping, and every machine's share of the limits.
-    fn upkeep(&mut self) {
-        self.share_usage();
+    /// Reports usage to the leader; on the leader, also divides limits, expires claims and advances
+    /// rollouts.
+    fn run_maintenance(&mut self) {
+        self.report_usage();
         if !self.is_leader() {
             return;
         }
         self.divide_limits();
         if !self.state.ledger.is_empty() {
-            self.propose(Command::Expire, Origin::Nobody);
+            self.propose(Command::Expire, ProposalWaiter::Nobody);
         }
         self.drive_rollouts();
     }
@@ -350,11 +363,11 @@
                 .filter(|(_, pool)| pool.model == spec.model)
                 .map(|(name, _)| name)
                 .collect();
-            let in_force = model_spec.weights_version;
+            let active_version = model_spec.weights_version;
             let (epoch, revision) = self.order_fence();
             let view = RolloutView {
                 spec,
-                in_force,
+                active_version,
                 pools: &pools,
                 epoch,
                 revision,
@@ -363,8 +376,8 @@
             for (engine, order) in step.orders {
                 self.send_order(engine, order);
             }
-            if let Some(version) = step.put_in_force {
-                self.put_version_in_force(&resource.name, &model, version);
+            if let Some(version) = step.activate {
+                self.activate_version(&resource.name, &model, version);
             }
         }
     }
@@ -389,7 +402,7 @@
         });
     }
 
-    fn put_version_in_force(
+    fn activate_version(
         &mut self,
         rollout: &str,
         model: &drumshore_core::Resource,
@@ -415,7 +428,7 @@
             name: model.name.as_str().into(),
             spec: Blob::new(bytes),
         };
-        self.propose(command, Origin::Nobody);
+        self.propose(command, ProposalWaiter::Nobody);
     }
 
     fn revision(&self) -> Revision {
@@ -423,7 +436,8 @@
     }
 }
 
-fn is_due(next: &mut Timestamp, now: Timestamp, interval: Duration) -> bool {
+/// Returns true if the time has come, and then sets `next` to one interval from now.
+fn advance_if_due(next: &mut Timestamp, now: Timestamp, interval: Duration) -> bool {
     if now < *next {
         return false;
     }
@@ -431,12 +445,14 @@
     true
 }
 
-/// An answer for an operator from what a command came to.
-fn change_reply(applied: Applied) -> OperatorReply {
-    match applied {
-        Applied::Change(outcome) => OperatorReply::Change(outcome),
-        Applied::Claim(_) | Applied::Done => OperatorReply::Change(ChangeOutcome::Invalid {
-            message: "the command was not a change".to_owned(),
-        }),
+/// The reply to an operator for the result of a command.
+fn change_reply(result: CommandResult) -> OperatorReply {
+    match result {
+        CommandResult::Change(outcome) => OperatorReply::Change(outcome),
+        CommandResult::Claim(_) | CommandResult::Done => {
+            OperatorReply::Change(ChangeOutcome::Invalid {
+                message: "the command was not a change".to_owned(),
+            })
+        }
     }
 }
--- a/crates/control/src/core/proposals.rs
+++ b/crates/control/src/core/proposals.rs
@@ -1,4 +1,4 @@
-//! Commands on their way through the log, from whoever waits for them.
+//! Commands that are proposed to the log, and the callers that wait for their results.
 
 use drumshore_consensus::Directory;
 use drumshore_core::Timestamp;
@@ -8,17 +8,17 @@
 use crate::command::{Command, Proposal, ProposalId};
 use crate::ledger::ClaimResult;
 use crate::operator::{OperatorReply, OperatorTicket};
-use crate::state::Applied;
+use crate::state::CommandResult;
 use crate::subscription::ConnectionId;
 
-/// Who waits for a command.
+/// The caller that waits for the result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Origin {
-    /// Nobody.
+pub(super) enum ProposalWaiter {
+    /// The command is internal and its result is not needed.
     Nobody,
-    /// An operator.
+    /// An operator that requested a change.
     Operator(OperatorTicket),
-    /// A router that asked for a claim.
+    /// A router that requested a claim.
     Claim {
         connection: ConnectionId,
         ticket: u64,
@@ -31,17 +31,18 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingProposal {
     proposal: Vec<u8>,
-    origin: Origin,
+    waiter: ProposalWaiter,
     deadline: Timestamp,
     resend_at: Timestamp,
 }
 
 impl<D: Directory> ControlCore<D> {
-    /// Sends a command into the log, by way of the leader when this is not it. It is sent again
-    /// until it shows: every command may safely be applied twice.
-    pub(super) fn propose(&mut self, command: Command, origin: Origin) {
+    /// Proposes a command to the log, through the leader if this machine is not the leader. The
+    /// command is sent again until it is applied here or times out, which is safe because every
+    /// command is idempotent.
+    pub(super) fn propose(&mut self, command: Command, waiter: ProposalWaiter) {
         self.next_proposal += 1;
         let id = ProposalId {
             origin: self.origin,
@@ -54,44 +55,45 @@
         }
         .encode();
         let now = self.clock.now;
-        let pending = Pending {
+        let pending = PendingProposal {
             proposal: proposal.clone(),
-            origin,
-            deadline: now.plus(self.params.patience),
-            resend_at: now.plus(self.params.resend_after),
+            waiter,
+            deadline: now.plus(self.params.quorum_timeout),
+            resend_at: now.plus(self.params.resend_interval),
         };
         self.pending.insert(id, pending);
         self.submit(proposal);
     }
 
-    /// A command that another control machine took in.
+    /// Proposes a command that another control machine forwarded. It is dropped if this machine
+    /// does not lead; its sender sends it again.
     pub(super) fn on_forwarded(&mut self, proposal: Vec<u8>) {
         if self.is_leader() {
             let _ = self.replica.raft_mut().propose(proposal);
         }
     }
 
-    /// Answers whoever waits for a command that was applied.
-    pub(super) fn answer_proposal(&mut self, id: ProposalId, applied: Applied) {
+    /// Sends the result of an applied command to the caller that waits for it.
+    pub(super) fn answer_proposal(&mut self, id: ProposalId, result: CommandResult) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        let effect = match pending.origin {
-            Origin::Nobody => return,
-            Origin::Operator(ticket) => Effect::Reply(ticket, change_reply(applied)),
-            Origin::Claim { connection, ticket } => {
-                let grant = claim_grant(applied);
+        let effect = match pending.waiter {
+            ProposalWaiter::Nobody => return,
+            ProposalWaiter::Operator(ticket) => Effect::Reply(ticket, change_reply(result)),
+            ProposalWaiter::Claim { connection, ticket } => {
+                let grant = claim_grant(result);
                 let response = Message::ClaimResponse(ClaimResponse { ticket, grant });
                 Effect::ToRouter(connection, response)
             }
-            Origin::Outcome { connection, ticket } => {
+            ProposalWaiter::Outcome { connection, ticket } => {
                 Effect::ToRouter(connection, Message::OutcomeStored(ticket))
             }
         };
         self.effects.push(effect);
     }
 
-    /// Sends again what has not shown, and gives up what nobody waits for any longer.
+    /// Sends commands again that are not applied yet, and gives up those that have timed out.
     pub(super) fn resend_pending(&mut self) {
         let now = self.clock.now;
         let expired: Vec<ProposalId> = self
@@ -103,7 +105,7 @@
         for id in expired {
             self.give_up(id);
         }
-        let resend_at = now.plus(self.params.resend_after);
+        let resend_at = now.plus(self.params.resend_interval);
         let mut due = Vec::new();
         for pending in self
             .pending
@@ -132,13 +134,13 @@
         let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        match pending.origin {
-            Origin::Nobody | Origin::Outcome { .. } => {}
-            Origin::Operator(ticket) => {
+        match pending.waiter {
+            ProposalWaiter::Nobody | ProposalWaiter::Outcome { .. } => {}
+            ProposalWaiter::Operator(ticket) => {
                 self.effects
                     .push(Effect::Reply(ticket, OperatorReply::Unavailable));
             }
-            Origin::Claim { connection, ticket } => {
+            ProposalWaiter::Claim { connection, ticket } => {
                 let grant = ClaimGrant::Unavailable;
                 let response = Message::ClaimResponse(ClaimResponse { ticket, grant });
                 self.effects.push(Effect::ToRouter(connection, response));
@@ -147,13 +149,15 @@
     }
 }
 
-fn claim_grant(applied: Applied) -> ClaimGrant {
-    match applied {
-        Applied::Claim(ClaimResult::Granted) => ClaimGrant::Granted,
-        Applied::Claim(ClaimResult::StillRunning) => ClaimGrant::StillRunning,
-        Applied::Claim(ClaimResult::Completed(answer)) => ClaimGrant::Completed(Blob::new(answer)),
-        Applied::Claim(ClaimResult::MayHaveRun) => ClaimGrant::MayHaveRun,
-        Applied::Claim(ClaimResult::KeyReused) => ClaimGrant::KeyReused,
-        Applied::Change(_) | Applied::Done => ClaimGrant::Unavailable,
+fn claim_grant(result: CommandResult) -> ClaimGrant {
+    match result {
+        CommandResult::Claim(ClaimResult::Granted) => ClaimGrant::Granted,
+        CommandResult::Claim(ClaimResult::StillRunning) => ClaimGrant::StillRunning,
+        CommandResult::Claim(ClaimResult::Completed(answer)) => {
+            ClaimGrant::Completed(Blob::new(answer))
+        }
+        CommandResult::Claim(ClaimResult::MayHaveRun) => ClaimGrant::MayHaveRun,
+        CommandResult::Claim(ClaimResult::KeyReused) => ClaimGrant::KeyReused,
+        CommandResult::Change(_) | CommandResult::Done => ClaimGrant::Unavailable,
     }
 }
--- a/crates/control/src/core/routers.rs
+++ b/crates/control/src/core/routers.rs
@@ -1,4 +1,4 @@
-//! What routers say and hear.
+//! Messages from and to routers.
 
 use std::collections::BTreeMap;
 
@@ -9,46 +9,46 @@
     Message, OutcomeReport, Subscribe, TenantAnswer, TenantQuery,
 };
 
-use super::proposals::Origin;
-use super::reads::Waiting;
+use super::proposals::ProposalWaiter;
+use super::reads::ReadWaiter;
 use super::{ControlCore, Effect};
 use crate::command::Command;
 use crate::subscription::{ConnectionId, Subscription};
 
 impl<D: Directory> ControlCore<D> {
-    /// A router connected and proved the cluster key.
+    /// Handles a new connection of a router that has authenticated with the cluster key.
     pub fn on_router_connected(&mut self, connection: ConnectionId, router: String) {
         self.subscriptions
             .insert(connection, Subscription::new(router));
     }
 
-    /// A router's connection ended.
-    pub fn on_router_gone(&mut self, connection: ConnectionId) {
+    /// Handles the end of a router's connection: its subscription and its demands are removed.
+    pub fn on_router_disconnected(&mut self, connection: ConnectionId) {
         self.subscriptions.remove(&connection);
         self.router_demands.forget(connection);
     }
 
-    /// A router said something.
+    /// Handles a message from a router.
     pub fn on_router_message(&mut self, connection: ConnectionId, message: Message) {
         match message {
             Message::Subscribe(subscribe) => self.on_subscribe(connection, &subscribe),
             Message::AppliedRevision(revision) => {
                 if let Some(subscription) = self.subscriptions.get_mut(&connection) {
-                    subscription.in_force = Revision(revision);
+                    subscription.applied_revision = Revision(revision);
                 }
             }
-            Message::TenantQuery(query) => self.request_read(Waiting::Tenant(connection, query)),
+            Message::TenantQuery(query) => self.request_read(ReadWaiter::Tenant(connection, query)),
             Message::Claim(claim) => self.on_claim(connection, claim),
             Message::Outcome(report) => self.on_outcome(connection, report),
             Message::Usage(usage) => self.on_router_usage(connection, &usage),
             Message::IndexQuestion(question) => self.on_index_question(connection, &question),
             Message::Bookings(bookings) => self.on_bookings(connection, &bookings),
-            // The rest is what control machines send.
+            // The other messages are sent only by control machines.
             _ => {}
         }
     }
 
-    /// Tells every router of changes that concern it.
+    /// Sends every router with a full configuration the changes that are relevant to it.
     pub(super) fn push_changes(&mut self) {
         let connections: Vec<ConnectionId> = self
             .subscriptions
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Tells every router that a quorum confirms what it was told.
+    /// Notifies every router with a full configuration that a quorum confirmed its revision.
     pub(super) fn push_freshness(&mut self) {
         let machines = self.replica.raft().membership().members().len();
         let routers = self.subscriptions.len() * machines;
@@ -78,9 +78,9 @@
         }
     }
 
-    /// Tells every router of engines that changed.
+    /// Sends every router the engines that changed since its last update.
     pub(super) fn push_engines(&mut self) {
-        let change = self.fleet.change();
+        let change = self.fleet.change_count();
         for (connection, subscription) in &mut self.subscriptions {
             let (full, engines) = match subscription.engines_sent {
                 Some(sent) if sent == change => continue,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Tells every router of loads that changed noticeably.
+    /// Sends every router the loads of its region that changed noticeably.
     pub(super) fn push_loads(&mut self) {
         let mut loads: BTreeMap<String, Vec<EngineLoad>> = BTreeMap::new();
         for (connection, subscription) in &mut self.subscriptions {
@@ -119,13 +119,15 @@
         }
     }
 
-    /// Sends a router all that concerns it, as of now.
+    /// Sends a router all resources that are relevant to it at the current revision.
     pub(super) fn send_full_config(&mut self, connection: ConnectionId) {
         let revision = self.revision();
         let Some(subscription) = self.subscriptions.get_mut(&connection) else {
             return;
         };
-        let resources: Vec<&Resource> = subscription.concerned(self.state.store.iter()).collect();
+        let resources: Vec<&Resource> = subscription
+            .relevant_resources(self.state.store.iter())
+            .collect();
         let update = config_update(revision, true, &resources, &[]);
         subscription.confirmed = true;
         subscription.sent = revision;
@@ -133,7 +135,8 @@
             .push(Effect::ToRouter(connection, Message::Config(update)));
     }
 
-    /// Tells a router who holds a key, and of that tenant's changes from now on.
+    /// Sends a router the tenant that an API key belongs to, and adds the tenant to the router's
+    /// subscription.
     pub(super) fn answer_tenant(&mut self, connection: ConnectionId, query: &TenantQuery) {
         let hash = KeyHash::from_hex(query.key_hash.as_str());
         let tenant = self.state.store.tenant_of_key(&hash);
@@ -158,13 +161,13 @@
         };
         let tenants = subscribe.tenants.items.iter();
         subscription.tenants = tenants.map(|name| TenantName::new(name.as_str())).collect();
-        subscription.in_force = Revision(subscribe.floor);
+        subscription.applied_revision = Revision(subscribe.floor);
         subscription.region = subscribe.region.as_str().to_owned();
-        self.request_read(Waiting::Subscriber(connection));
+        self.request_read(ReadWaiter::Subscriber(connection));
     }
 
     fn on_claim(&mut self, connection: ConnectionId, claim: ClaimRequest) {
-        let origin = Origin::Claim {
+        let waiter = ProposalWaiter::Claim {
             connection,
             ticket: claim.ticket,
         };
@@ -175,11 +178,11 @@
             request_router: claim.request_router,
             request_sequence: claim.request_sequence,
         };
-        self.propose(command, origin);
+        self.propose(command, waiter);
     }
 
     fn on_outcome(&mut self, connection: ConnectionId, report: OutcomeReport) {
-        let origin = Origin::Outcome {
+        let waiter = ProposalWaiter::Outcome {
             connection,
             ticket: report.ticket,
         };
@@ -191,7 +194,7 @@
             execution: report.execution,
             answer: report.answer,
         };
-        self.propose(command, origin);
+        self.propose(command, waiter);
     }
 
     fn push_changes_to(&mut self, connection: ConnectionId) {
@@ -205,7 +208,7 @@
         };
         let mut resources: Vec<&Resource> = Vec::new();
         let mut deleted: Vec<ResourceKey> = Vec::new();
-        for change in changes.filter(|change| subscription.concerns(&change.key)) {
+        for change in changes.filter(|change| subscription.is_relevant(&change.key)) {
             resources.retain(|resource| resource.key() != change.key);
             deleted.retain(|key| *key != change.key);
             match &change.resource {
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,4 +1,5 @@
-//! What the log replicates: store and ledger, changed by commands alone.
+//! The replicated state machine: the resource store and the execution ledger, which change only by
+//! the commands of the log.
 
 use drumshore_core::{
     ChangeId, IdempotencyKey, OperatorName, RequestId, ResourceKey, ResourceKind, ResourceSpec,
@@ -7,53 +8,53 @@
 use serde::{Deserialize, Serialize};
 
 use crate::command::{Command, Proposal, ProposalId};
-use crate::ledger::{ClaimKey, ClaimResult, Ledger, WorkOutcome};
+use crate::ledger::{ClaimKey, ClaimResult, ExecutionOutcome, Ledger};
 use crate::store::{Author, ChangeOutcome, ResourceStore};
 
-/// What came of a command.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
-    /// A change of resources.
+pub enum CommandResult {
+    /// The outcome of a write or delete of a resource.
     Change(ChangeOutcome),
-    /// A claim.
+    /// The result of a claim.
     Claim(ClaimResult),
-    /// An outcome, or time that passed.
+    /// The command was an outcome or an expiry, which have no result.
     Done,
 }
 
 /// The replicated state at one position of the log.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StateMachine {
-    /// Resources.
+    /// The resources of the configuration.
     pub store: ResourceStore,
-    /// Claims.
+    /// The claims of requests that must not be repeated.
     pub ledger: Ledger,
     now_ms: u64,
 }
 
 impl StateMachine {
-    /// Applies one committed entry; `None` when its bytes are no command.
-    pub fn apply(&mut self, entry: &[u8]) -> Option<(ProposalId, Applied)> {
+    /// Applies one committed entry; `None` if its data is not a valid proposal.
+    pub fn apply(&mut self, entry: &[u8]) -> Option<(ProposalId, CommandResult)> {
         let proposal = Proposal::decode(entry)?;
-        // Proposers' clocks differ; time here never goes back.
+        // The proposers' clocks differ, but the time of the state machine must never go back.
         self.now_ms = self.now_ms.max(proposal.now_ms);
-        let applied = self.apply_command(proposal.command);
-        Some((proposal.id, applied))
+        let result = self.apply_command(proposal.command);
+        Some((proposal.id, result))
     }
 
-    /// The state as bytes for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("the state has no maps with structured keys")
     }
 
-    /// Reads a snapshot back.
+    /// Decodes a snapshot and rebuilds the indexes that it does not contain.
     pub fn decode(bytes: &[u8]) -> Result<Self, serde_json::Error> {
         let mut state: Self = serde_json::from_slice(bytes)?;
         state.store.rebuild();
         Ok(state)
     }
 
-    fn apply_command(&mut self, command: Command) -> Applied {
+    fn apply_command(&mut self, command: Command) -> CommandResult {
         match command {
             Command::Put {
                 change_id,
@@ -71,7 +72,7 @@
                         message: error.to_string(),
                     },
                 };
-                Applied::Change(outcome)
+                CommandResult::Change(outcome)
             }
             Command::Delete {
                 change_id,
@@ -93,7 +94,7 @@
                         message: "no such kind".to_owned(),
                     },
                 };
-                Applied::Change(outcome)
+                CommandResult::Change(outcome)
             }
             Command::Claim {
                 tenant,
@@ -107,7 +108,7 @@
                     router: request_router,
                     sequence: request_sequence,
                 };
-                Applied::Claim(self.ledger.claim(key, fingerprint, request, self.now_ms))
+                CommandResult::Claim(self.ledger.claim(key, fingerprint, request, self.now_ms))
             }
             Command::Outcome {
                 tenant,
@@ -123,16 +124,16 @@
                     sequence: request_sequence,
                 };
                 let outcome = match execution {
-                    0 => WorkOutcome::NotRun,
-                    2 => WorkOutcome::Ran(answer.bytes),
-                    _ => WorkOutcome::MayHaveRun,
+                    0 => ExecutionOutcome::NotRun,
+                    2 => ExecutionOutcome::Ran(answer.bytes),
+                    _ => ExecutionOutcome::MayHaveRun,
                 };
                 self.ledger.record(&key, request, outcome);
-                Applied::Done
+                CommandResult::Done
             }
             Command::Expire => {
                 self.ledger.expire(self.now_ms);
-                Applied::Done
+                CommandResult::Done
             }
         }
     }
--- a/crates/control/src/tests/ledger.rs
+++ b/crates/control/src/tests/ledger.rs
@@ -2,7 +2,9 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::ledger::{ClaimKey, ClaimResult, Ledger, WorkOutcome, KEPT_MS, RUNNING_LIMIT_MS};
+use crate::ledger::{
+    ClaimKey, ClaimResult, ExecutionOutcome, Ledger, CLAIM_TIMEOUT_MS, KEY_RETENTION_MS,
+};
 
 pub(super) fn claim_key(tenant: &str, key: &str) -> ClaimKey {
     ClaimKey {
@@ -19,10 +21,13 @@
 }
 
 #[rstest]
-#[case(WorkOutcome::NotRun, ClaimResult::Granted)]
-#[case(WorkOutcome::MayHaveRun, ClaimResult::MayHaveRun)]
-#[case(WorkOutcome::Ran(b"booked".to_vec()), ClaimResult::Completed(b"booked".to_vec()))]
-fn what_a_resend_gets(#[case] outcome: WorkOutcome, #[case] expected: ClaimResult) {
+#[case(ExecutionOutcome::NotRun, ClaimResult::Granted)]
+#[case(ExecutionOutcome::MayHaveRun, ClaimResult::MayHaveRun)]
+#[case(ExecutionOutcome::Ran(b"booked".to_vec()), ClaimResult::Completed(b"booked".to_vec()))]
+fn a_resent_key_gets_the_recorded_outcome(
+    #[case] outcome: ExecutionOutcome,
+    #[case] expected: ClaimResult,
+) {
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     let granted = ledger.claim(key.clone(), 1, request(1), 0);
@@ -32,17 +37,17 @@
 }
 
 #[test]
-fn only_the_holder_gives_a_claim_back() {
+fn only_the_holder_releases_a_claim() {
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     ledger.claim(key.clone(), 1, request(1), 0);
-    ledger.record(&key, request(2), WorkOutcome::NotRun);
+    ledger.record(&key, request(2), ExecutionOutcome::NotRun);
     let resent = ledger.claim(key, 1, request(3), 0);
     assert_eq!(resent, ClaimResult::StillRunning);
 }
 
 #[test]
-fn a_key_for_another_request_is_refused() {
+fn a_key_reused_for_another_request_is_refused() {
     let mut ledger = Ledger::default();
     ledger.claim(claim_key("t", "k"), 1, request(1), 0);
     let other = ledger.claim(claim_key("t", "k"), 2, request(2), 0);
@@ -50,14 +55,14 @@
 }
 
 #[test]
-fn a_silent_holder_loses_the_claim_to_nobody() {
+fn an_expired_claim_is_not_granted_to_another_request() {
     let mut ledger = Ledger::default();
     let key = claim_key("t", "k");
     ledger.claim(key.clone(), 1, request(1), 0);
-    ledger.expire(RUNNING_LIMIT_MS);
-    let resent = ledger.claim(key.clone(), 1, request(2), RUNNING_LIMIT_MS);
+    ledger.expire(CLAIM_TIMEOUT_MS);
+    let resent = ledger.claim(key.clone(), 1, request(2), CLAIM_TIMEOUT_MS);
     assert_eq!(resent, ClaimResult::MayHaveRun);
-    ledger.expire(KEPT_MS);
+    ledger.expire(KEY_RETENTION_MS);
     assert!(ledger.is_empty());
 }
 
@@ -76,13 +81,13 @@
         (1..5_u64).prop_map(LedgerStep::NotRun),
         (1..5_u64).prop_map(LedgerStep::MayHaveRun),
         (1..5_u64).prop_map(LedgerStep::Ran),
-        (0..KEPT_MS).prop_map(LedgerStep::Expire),
+        (0..KEY_RETENTION_MS).prop_map(LedgerStep::Expire),
     ]
 }
 
 proptest! {
-    /// Whatever happens in whatever order, a second request is granted only after the first
-    /// holder has said that it did not run.
+    /// In any order of claims, outcomes and expiries, a claim is granted to another request only
+    /// after its holder has reported that it was not executed.
     #[test]
     fn a_claim_is_granted_to_one_request_at_a_time(
         steps in proptest::collection::vec(ledger_step(), 0..40)
@@ -99,16 +104,16 @@
                     }
                 }
                 LedgerStep::NotRun(id) => {
-                    ledger.record(&key, request(id), WorkOutcome::NotRun);
+                    ledger.record(&key, request(id), ExecutionOutcome::NotRun);
                     if holder == Some(id) && ledger.is_empty() {
                         holder = None;
                     }
                 }
                 LedgerStep::MayHaveRun(id) => {
-                    ledger.record(&key, request(id), WorkOutcome::MayHaveRun);
+                    ledger.record(&key, request(id), ExecutionOutcome::MayHaveRun);
                 }
                 LedgerStep::Ran(id) => {
-                    ledger.record(&key, request(id), WorkOutcome::Ran(Vec::new()));
+                    ledger.record(&key, request(id), ExecutionOutcome::Ran(Vec::new()));
                 }
                 LedgerStep::Expire(at) => ledger.expire(at),
             }
--- a/crates/control/src/tests/rollout.rs
+++ b/crates/control/src/tests/rollout.rs
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn a_rollout_loads_as_many_at_once_as_allowed_and_switches_at_half() {
+fn a_rollout_respects_max_loading_and_switches_requests_at_half() {
     let mut fleet = fleet_of(&["a", "b", "c", "d"]);
     let pools = [PoolName::new("p")];
     let spec = rollout(RolloutState::Running);
     let view = RolloutView {
         spec: &spec,
-        in_force: WeightsVersion(1),
+        active_version: WeightsVersion(1),
         pools: &pools,
         epoch: Epoch(3),
         revision: Revision(7),
@@ -33,7 +33,7 @@
     let mut switched_after = None;
     for loaded in 0..4 {
         let step = driver.step(&view, &fleet, Timestamp(0));
-        if step.put_in_force.is_some() && switched_after.is_none() {
+        if step.activate.is_some() && switched_after.is_none() {
             switched_after = Some(loaded);
         }
         assert_eq!(step.orders.len(), 1, "after {loaded} engines");
@@ -45,13 +45,13 @@
 }
 
 #[test]
-fn a_rollout_stops_when_a_loaded_engine_fails() {
+fn a_rollout_halts_when_an_engine_with_the_new_version_fails() {
     let mut fleet = fleet_of(&["a", "b"]);
     let pools = [PoolName::new("p")];
     let spec = rollout(RolloutState::Running);
     let view = RolloutView {
         spec: &spec,
-        in_force: WeightsVersion(1),
+        active_version: WeightsVersion(1),
         pools: &pools,
         epoch: Epoch(1),
         revision: Revision(7),
