--- a/crates/node/src/operator/apply.rs
+++ b/crates/node/src/operator/apply.rs
@@ -1,4 +1,4 @@
-//! `drumshore apply`: writes the resources of a file.
+//! `drumshore apply`: writes the resources in a file.
 
 use std::io::Read;
 
@@ -8,18 +8,18 @@
 use super::client::{resource_path, Client, ClientError};
 use super::{print_outcome, ExitStatus};
 
-/// A resource as operators write it.
+/// A resource in an operator's file.
 #[derive(Debug, Deserialize)]
 struct Document {
     name: String,
     #[serde(flatten)]
     spec: ResourceSpec,
-    /// The version that the document was made from. Without it the version found now counts.
+    /// The resource version that the document is based on. Defaults to the current version.
     #[serde(default)]
     version: Option<Revision>,
 }
 
-/// Several resources, as `[[resource]]` tables or a JSON object with a list of that name.
+/// The content of a file: `[[resource]]` tables in TOML, or a JSON object with a list `resource`.
 #[derive(Debug, Deserialize)]
 struct DocumentFile {
     resource: Vec<Document>,
@@ -30,14 +30,14 @@
         read_text(file).map_err(|error| ClientError::Unreadable(format!("{file}: {error}")))?;
     let documents =
         parse(&text).map_err(|error| ClientError::Unreadable(format!("{file}: {error}")))?;
-    let mut worst = ExitStatus::Done;
+    let mut exit_status = ExitStatus::Done;
     for document in documents {
         let status = apply(client, &document)?;
         if status != ExitStatus::Done {
-            worst = status;
+            exit_status = status;
         }
     }
-    Ok(worst)
+    Ok(exit_status)
 }
 
 fn read_text(file: &str) -> std::io::Result<String> {
--- a/crates/node/src/operator/client.rs
+++ b/crates/node/src/operator/client.rs
@@ -1,4 +1,4 @@
-//! Asks control machines, one after the other until one answers.
+//! HTTP client of the operators' API. Tries the control machines in turn until one answers.
 
 use std::time::Duration;
 
@@ -13,29 +13,29 @@
 use super::ExitStatus;
 use crate::control::{MemberChange, CHANGE_ID_HEADER, EXPECTED_VERSION_HEADER};
 
-const PATIENCE: Duration = Duration::from_secs(45);
-const CONNECT_PATIENCE: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(45);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Times that an unconfirmed change is sent again, with the same id.
-const ATTEMPTS: u32 = 5;
-const PAUSE: Duration = Duration::from_millis(300);
+/// Maximum number of times that a change is sent until it is confirmed, with the same change id.
+const MAX_ATTEMPTS: u32 = 5;
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Why there is no result.
+/// Why a request to the operators' API has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// A control machine refused.
+    /// The server answered with an error status.
     #[error("{message}")]
     Refused {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Its words.
+        /// The error message or reason in the response.
         message: String,
     },
-    /// None could be reached.
+    /// No server answered.
     #[error("no control machine answered: {0}")]
     Unreachable(String),
-    /// A document or an answer is not readable.
-    #[error("unreadable: {0}")]
+    /// A document cannot be read, parsed or encoded, or a response cannot be parsed.
+    #[error("cannot read a document or response: {0}")]
     Unreadable(String),
 }
 
@@ -69,14 +69,14 @@
     message: String,
 }
 
-/// A client of the operators' API.
+/// A client of the operators' API, and of a router's `/v1/explain`.
 pub(super) struct Client {
     agent: Agent,
     urls: Vec<String>,
     key: String,
 }
 
-/// The path of a resource.
+/// Returns the URL path of a resource.
 pub(super) fn resource_path(key: &ResourceKey) -> String {
     format!("/v1/resources/{}/{}", key.kind.as_str(), key.name)
 }
@@ -85,8 +85,8 @@
     pub(super) fn new(urls: Vec<String>, key: String) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(CONNECT_PATIENCE))
-            .timeout_global(Some(PATIENCE))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(REQUEST_TIMEOUT))
             .build();
         Self {
             agent: Agent::new_with_config(config),
@@ -96,14 +96,15 @@
     }
 
     pub(super) fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
-        let mut response = self.first_answer(|url| {
+        let mut response = self.first_response(|url| {
             let call = self.agent.get(format!("{url}{path}"));
             call.header("authorization", self.bearer()).call()
         })?;
         read(&mut response)
     }
 
-    /// Writes a resource. The change id is chosen once, so a resend is not a second change.
+    /// Writes a resource. All attempts send the same change id, so a resend is not a second
+    /// change.
     pub(super) fn put(
         &self,
         key: &ResourceKey,
@@ -113,7 +114,7 @@
         let body =
             serde_json::to_vec(spec).map_err(|error| ClientError::Unreadable(error.to_string()))?;
         let change_id = new_change_id();
-        self.until_confirmed(|url| {
+        self.send_until_confirmed(|url| {
             self.agent
                 .put(format!("{url}{}", resource_path(key)))
                 .header("authorization", self.bearer())
@@ -123,14 +124,14 @@
         })
     }
 
-    /// Removes a resource.
+    /// Removes a resource, with one change id for all attempts.
     pub(super) fn delete(
         &self,
         key: &ResourceKey,
         expected: Revision,
     ) -> Result<ChangeOutcome, ClientError> {
         let change_id = new_change_id();
-        self.until_confirmed(|url| {
+        self.send_until_confirmed(|url| {
             self.agent
                 .delete(format!("{url}{}", resource_path(key)))
                 .header("authorization", self.bearer())
@@ -140,55 +141,60 @@
         })
     }
 
-    /// Changes the control machines. Only the leader does that, so every machine is asked.
+    /// Takes a step of a membership change. Only the leader accepts it, so the machines are tried
+    /// in turn until one does.
     pub(super) fn change_members(&self, change: MemberChange) -> Result<(), ClientError> {
         let body = serde_json::to_vec(&change)
             .map_err(|error| ClientError::Unreadable(error.to_string()))?;
-        let mut last = ClientError::Unreachable("no control machine is named".to_owned());
+        let mut last_error = ClientError::Unreachable("no control machine is named".to_owned());
         for url in &self.urls {
             let call = self.agent.post(format!("{url}/v1/members"));
             match call.header("authorization", self.bearer()).send(&body[..]) {
                 Ok(response) if response.status() == 200 => return Ok(()),
-                Ok(mut response) => last = refusal(&mut response),
-                Err(error) => last = ClientError::Unreachable(error.to_string()),
+                Ok(mut response) => last_error = refusal(&mut response),
+                Err(error) => last_error = ClientError::Unreachable(error.to_string()),
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    fn until_confirmed(
+    /// Sends a change up to [`MAX_ATTEMPTS`] times, until a control machine gives a definite
+    /// answer.
+    fn send_until_confirmed(
         &self,
         send: impl Fn(&str) -> Result<Response<Body>, ureq::Error>,
     ) -> Result<ChangeOutcome, ClientError> {
-        let mut last = ClientError::Unreachable(String::new());
-        for _ in 0..ATTEMPTS {
-            match self.first_answer(&send) {
+        let mut last_error = ClientError::Unreachable(String::new());
+        for _ in 0..MAX_ATTEMPTS {
+            match self.first_response(&send) {
                 Ok(mut response) => match response.status().as_u16() {
                     200 | 409 | 422 => return read_body(&mut response),
-                    503 => last = refusal(&mut response),
+                    503 => last_error = refusal(&mut response),
                     _ => return Err(refusal(&mut response)),
                 },
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_DELAY);
         }
-        Err(last)
+        Err(last_error)
     }
 
-    fn first_answer(
+    /// Tries the control machines in turn. Returns the first response whose status is not 503, or
+    /// else the last 503 response.
+    fn first_response(
         &self,
         send: impl Fn(&str) -> Result<Response<Body>, ureq::Error>,
     ) -> Result<Response<Body>, ClientError> {
-        let mut last = "no control machine is named".to_owned();
+        let mut last_error = "no control machine is named".to_owned();
         let mut unconfirmed = None;
         for url in &self.urls {
             match send(url) {
                 Ok(response) if response.status() == 503 => unconfirmed = Some(response),
                 Ok(response) => return Ok(response),
-                Err(error) => last = format!("{url}: {error}"),
+                Err(error) => last_error = format!("{url}: {error}"),
             }
         }
-        unconfirmed.ok_or(ClientError::Unreachable(last))
+        unconfirmed.ok_or(ClientError::Unreachable(last_error))
     }
 
     fn bearer(&self) -> String {
--- a/crates/node/src/operator/mod.rs
+++ b/crates/node/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' commands.
+//! The operators' command-line commands.
 
 mod apply;
 mod client;
@@ -16,24 +16,25 @@
 use crate::control::{MemberChange, MemberStep};
 use client::{Client, ClientError};
 
-/// How a command ended, as the process's exit code.
+/// Outcome of a command, used as the exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// It did what was asked.
+    /// The command succeeded.
     Done = 0,
-    /// It failed.
+    /// The command failed for a reason without a code of its own.
     Failed = 1,
     /// The command line is wrong.
     Usage = 2,
-    /// Somebody else changed the resource first.
+    /// The resource was changed since the version that the change is based on, or a control machine
+    /// rejected a membership change.
     Conflict = 3,
     /// A document or settings file is not valid.
     Invalid = 4,
-    /// No control machine answered with a quorum behind it.
+    /// No control machine answered, or no quorum confirmed in time.
     Unavailable = 5,
     /// There is no such resource or request.
     NotFound = 6,
-    /// The key was missing or wrong.
+    /// The operator key is missing or wrong.
     Unauthorized = 7,
 }
 
@@ -43,55 +44,55 @@
     }
 }
 
-/// What an operator asks for.
+/// An operator's command.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Write the resources of a file.
+    /// Write the resources in a file.
     Apply {
-        /// The file; `-` for standard input.
+        /// Path of the file; `-` for standard input.
         file: String,
     },
     /// Read resources.
     Get {
-        /// Their kind.
+        /// Kind of the resources.
         kind: ResourceKind,
-        /// One of them.
+        /// Name of one resource; `None` for all of the kind.
         name: Option<String>,
     },
     /// Remove a resource.
     Delete(ResourceKey),
-    /// Print changes.
+    /// Print changes as they are accepted, until the command fails.
     Watch {
-        /// The last revision seen.
+        /// Only changes after this revision are printed.
         after: Revision,
     },
-    /// Show the cluster.
+    /// Show the control machines, routers and engines.
     Status,
-    /// Change the control machines.
-    Members(u64, MembersStep),
-    /// Tell the story of a request.
+    /// Take one step of a membership change, for the control machine of this number.
+    Members(u64, MembersCommand),
+    /// Show how a request was placed and how it ended.
     Explain {
-        /// The request.
+        /// Id of the request.
         request: String,
-        /// The router that served it.
+        /// URL of the router that served it.
         router: String,
     },
 }
 
-/// A step of a change of the control machines.
+/// A membership command for one control machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MembersStep {
-    /// A machine starts to receive the log.
+pub enum MembersCommand {
+    /// The machine becomes a learner, which receives the log.
     Add,
-    /// A machine starts to vote.
+    /// The learner becomes a voter.
     Promote,
-    /// A machine leaves.
+    /// The machine is removed from the cluster.
     Remove,
-    /// A machine leads.
+    /// The machine becomes the leader.
     Transfer,
 }
 
-/// Options of all operators' commands.
+/// Options common to all operators' commands.
 #[derive(Clone, Debug)]
 pub struct Options {
     controls: Vec<String>,
@@ -100,7 +101,7 @@
 }
 
 impl Options {
-    /// Reads the options, with the environment as a fallback.
+    /// Parses the options. The environment provides those that are not on the command line.
     pub fn parse(arguments: &mut Arguments) -> Result<Self, pico_args::Error> {
         let from_environment = |name: &str| std::env::var(name).ok();
         let controls: Option<String> = arguments.opt_value_from_str("--control")?;
@@ -118,7 +119,7 @@
         })
     }
 
-    /// Options for a caller that embeds the commands.
+    /// Creates options for a program that runs the commands itself; output is printed as tables.
     pub fn new(controls: Vec<String>, key: impl Into<String>) -> Self {
         Self {
             controls,
@@ -129,18 +130,18 @@
 }
 
 impl Command {
-    /// Reads a command; `None` when the word is none.
+    /// Parses the arguments of the command named `word`; `None` if there is no such command.
     pub fn parse(word: &str, arguments: &mut Arguments) -> Result<Option<Self>, pico_args::Error> {
         let command = match word {
             "apply" => Command::Apply {
                 file: arguments.value_from_str("-f")?,
             },
             "get" => Command::Get {
-                kind: arguments.free_from_fn(kind_of)?,
+                kind: arguments.free_from_fn(parse_kind)?,
                 name: arguments.opt_free_from_str()?,
             },
             "delete" => Command::Delete(ResourceKey {
-                kind: arguments.free_from_fn(kind_of)?,
+                kind: arguments.free_from_fn(parse_kind)?,
                 name: arguments.free_from_str()?,
             }),
             "watch" => Command::Watch {
@@ -148,10 +149,10 @@
             },
             "status" => Command::Status,
             "members" => {
-                let step = arguments.free_from_fn(step_of)?;
+                let step = arguments.free_from_fn(parse_step)?;
                 Command::Members(arguments.free_from_str()?, step)
             }
-            "transfer" => Command::Members(arguments.free_from_str()?, MembersStep::Transfer),
+            "transfer" => Command::Members(arguments.free_from_str()?, MembersCommand::Transfer),
             "explain" => Command::Explain {
                 router: arguments.value_from_str("--router")?,
                 request: arguments.free_from_str()?,
@@ -162,29 +163,35 @@
     }
 }
 
-fn kind_of(word: &str) -> Result<ResourceKind, String> {
+fn parse_kind(word: &str) -> Result<ResourceKind, String> {
     ResourceKind::from_word(word).ok_or_else(|| {
         let kinds: Vec<&str> = ResourceKind::ALL.iter().map(|kind| kind.as_str()).collect();
-        format!("no kind is named {word:?}; kinds are {}", kinds.join(", "))
+        format!(
+            "unknown kind {word:?}; expected one of {}",
+            kinds.join(", ")
+        )
     })
 }
 
-fn step_of(word: &str) -> Result<MembersStep, String> {
+fn parse_step(word: &str) -> Result<MembersCommand, String> {
     match word {
-        "add" => Ok(MembersStep::Add),
-        "promote" => Ok(MembersStep::Promote),
-        "remove" => Ok(MembersStep::Remove),
-        _ => Err(format!("{word:?} is none of add, promote, remove")),
+        "add" => Ok(MembersCommand::Add),
+        "promote" => Ok(MembersCommand::Promote),
+        "remove" => Ok(MembersCommand::Remove),
+        _ => Err(format!(
+            "unknown step {word:?}; expected one of add, promote, remove"
+        )),
     }
 }
 
-/// The resources of one kind.
+/// Response that lists the resources of one kind.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ResourceList {
     pub(crate) resources: Vec<Resource>,
 }
 
-/// Changes after a revision.
+/// Response to a watch: the changes after a revision. `compacted` means that they are no longer
+/// kept.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ChangeList {
     pub(crate) revision: Revision,
@@ -194,10 +201,10 @@
     pub(crate) compacted: bool,
 }
 
-/// Carries a command out and prints what came of it.
+/// Executes a command and prints its result, or the error on standard error.
 pub fn run(command: &Command, options: &Options) -> ExitStatus {
     let client = Client::new(options.controls.clone(), options.key.clone());
-    match carry_out(command, options, &client) {
+    match execute(command, options, &client) {
         Ok(status) => status,
         Err(error) => {
             eprintln!("drumshore: {error}");
@@ -206,7 +213,7 @@
     }
 }
 
-fn carry_out(
+fn execute(
     command: &Command,
     options: &Options,
     client: &Client,
@@ -231,10 +238,10 @@
         }
         Command::Members(id, step) => {
             let step = match step {
-                MembersStep::Add => MemberStep::Add,
-                MembersStep::Promote => MemberStep::Promote,
-                MembersStep::Remove => MemberStep::Remove,
-                MembersStep::Transfer => MemberStep::Transfer,
+                MembersCommand::Add => MemberStep::Add,
+                MembersCommand::Promote => MemberStep::Promote,
+                MembersCommand::Remove => MemberStep::Remove,
+                MembersCommand::Transfer => MemberStep::Transfer,
             };
             client.change_members(MemberChange { step, id: *id })?;
             println!("started");
--- a/crates/node/src/operator/tables.rs
+++ b/crates/node/src/operator/tables.rs
@@ -1,10 +1,10 @@
-//! Tables for people.
+//! Human-readable output of the operators' commands.
 
 use drumshore_control::{ChangeRecord, StatusReport};
 use drumshore_core::Resource;
 use drumshore_routing::{CandidateRecord, DecisionRecord};
 
-/// Lays rows out in columns, two spaces apart.
+/// Formats rows as left-aligned columns, two spaces apart.
 fn table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = header.iter().map(|title| title.len()).collect();
     for row in rows {
