--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -40,7 +40,7 @@
 7 unauthorized.
 ";
 
-/// Why a command line is refused.
+/// Why a command line is rejected.
 #[derive(Debug, thiserror::Error)]
 enum UsageError {
     #[error(transparent)]
@@ -51,7 +51,7 @@
     Unexpected(OsString),
 }
 
-/// Runs the program with arguments that follow its name.
+/// Runs the program. `arguments` does not contain the program's name.
 pub fn main(arguments: Vec<OsString>) -> ExitCode {
     logs::start();
     let mut arguments = Arguments::from_vec(arguments);
@@ -134,8 +134,8 @@
     }
 }
 
-/// Tries the file as settings of either daemon; the one that it has a key of its own for decides
-/// which error is shown.
+/// Checks the file as settings of either daemon. If it is valid for neither, `internal_listen`,
+/// which only control machines have, decides whose error is printed.
 fn check_config(file: &std::path::Path) -> ExitStatus {
     let router = load::<RouterSettings>(file);
     let control = load::<ControlSettings>(file);
@@ -156,7 +156,7 @@
     ExitStatus::Done
 }
 
-fn failed(part: &str, error: &dyn std::error::Error, status: ExitStatus) -> ExitStatus {
-    eprintln!("{part}: {error}");
+fn failed(command: &str, error: &dyn std::error::Error, status: ExitStatus) -> ExitStatus {
+    eprintln!("{command}: {error}");
     status
 }
--- a/crates/node/src/control/api.rs
+++ b/crates/node/src/control/api.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface.
+//! The operators' HTTP API of a control machine.
 
 use std::time::Duration;
 
@@ -21,39 +21,42 @@
 use crate::links::TRAFFIC;
 use crate::metrics::{Scrape, CONTENT_TYPE};
 
-/// Header with the version that a change was made from; 0 for a new resource.
+/// Header with the resource version that a change is based on; 0 for a new resource.
 pub(crate) const EXPECTED_VERSION_HEADER: &str = "x-drumshore-expected-version";
 
-/// Header with the operator's own id of a change; a resend with it gives the first result.
+/// Header with the change id that the operator chose. A change resent with the same id returns the
+/// first result.
 pub(crate) const CHANGE_ID_HEADER: &str = "x-drumshore-change-id";
 
 const RESOURCES_PATH: &str = "/v1/resources/";
 const MAX_BODY_BYTES: u64 = 1 << 20;
-const MAX_WATCH: Duration = Duration::from_secs(30);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(30);
+/// How long an operator's request waits for the control actor's reply, in addition to the wait of a
+/// watch.
 const REPLY_MARGIN: Duration = Duration::from_secs(10);
 
-/// One step of a change of the control machines.
+/// One step of a membership change of the control machines.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum MemberStep {
-    /// Starts to receive the log.
+    /// The machine becomes a learner, which receives the log.
     Add,
-    /// Starts to vote.
+    /// The learner becomes a voter.
     Promote,
-    /// Leaves.
+    /// The machine is removed from the cluster.
     Remove,
-    /// Leads.
+    /// The machine becomes the leader.
     Transfer,
 }
 
-/// A step and the machine it is about.
+/// Body of `POST /v1/members`: a step and the number of the machine.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct MemberChange {
     pub(crate) step: MemberStep,
     pub(crate) id: u64,
 }
 
-/// Answers operators.
+/// Serves operators' requests and metrics scrapes.
 pub(super) struct Api {
     operators: Vec<OperatorAccount>,
     registry: SharedRegistry,
@@ -73,7 +76,7 @@
         }
     }
 
-    fn operator(&self, request: &Request<'_>) -> Result<OperatorName, RequestError> {
+    fn authenticate(&self, request: &Request<'_>) -> Result<OperatorName, RequestError> {
         let presented = request.bearer_key().map(|key| key.hash());
         self.operators
             .iter()
@@ -85,16 +88,16 @@
     }
 
     fn answer(&self, request: &mut Request<'_>) -> Result<OperatorReply, RequestError> {
-        let operator = self.operator(request)?;
-        let asked = parse(request, operator)?;
-        let patience = match &asked {
+        let operator = self.authenticate(request)?;
+        let operator_request = parse(request, operator)?;
+        let patience = match &operator_request {
             OperatorRequest::Watch { patience, .. } => *patience + REPLY_MARGIN,
             _ => REPLY_MARGIN,
         };
-        self.ask(asked, patience)
+        self.submit(operator_request, patience)
     }
 
-    fn ask(
+    fn submit(
         &self,
         request: OperatorRequest,
         patience: Duration,
@@ -116,7 +119,7 @@
     }
 
     fn metrics(&self, responder: Responder<'_>) {
-        match self.ask(OperatorRequest::Status, REPLY_MARGIN) {
+        match self.submit(OperatorRequest::Status, REPLY_MARGIN) {
             Ok(OperatorReply::Status(status)) => {
                 let text = metrics_text(&status);
                 responder.send(200, CONTENT_TYPE, text.as_bytes());
@@ -140,8 +143,8 @@
         }
         match self.answer(request) {
             Ok(reply) => send(reply, responder),
-            Err(verdict) => {
-                responder.refuse(&verdict);
+            Err(error) => {
+                responder.refuse(&error);
             }
         }
     }
@@ -165,10 +168,10 @@
 
 fn parse_watch(request: &Request<'_>) -> OperatorRequest {
     let number = |name: &str| request.query(name).and_then(|value| value.parse().ok());
-    let patience = number("patience_ms").map_or(MAX_WATCH, Duration::from_millis);
+    let patience = number("patience_ms").map_or(MAX_WATCH_WAIT, Duration::from_millis);
     OperatorRequest::Watch {
         after: Revision(number("after").unwrap_or(0)),
-        patience: patience.min(MAX_WATCH),
+        patience: patience.min(MAX_WATCH_WAIT),
     }
 }
 
@@ -244,7 +247,8 @@
     RequestError::not_run(ErrorCode::BadRequest, reason.to_string())
 }
 
-/// A change that was not confirmed may still be accepted, so this is not "not run".
+/// The error when no quorum confirmed in time. An unconfirmed change may still be accepted, so the
+/// error says "may have run" instead of "not run".
 fn unavailable() -> RequestError {
     let message = "no quorum confirmed in time; send a change again with the same id";
     RequestError::may_have_run(ErrorCode::ConfigUnavailable, message)
@@ -254,7 +258,7 @@
 fn send(reply: OperatorReply, responder: Responder<'_>) {
     match reply {
         OperatorReply::Change(outcome) => {
-            responder.send_json(change_status(&outcome), &outcome);
+            responder.send_json(http_status(&outcome), &outcome);
         }
         OperatorReply::Unavailable => {
             responder.refuse(&unavailable());
@@ -292,7 +296,7 @@
     }
 }
 
-fn change_status(outcome: &ChangeOutcome) -> u16 {
+fn http_status(outcome: &ChangeOutcome) -> u16 {
     match outcome {
         ChangeOutcome::Accepted { .. } => 200,
         ChangeOutcome::Conflict { .. } => 409,
--- a/crates/node/src/control/effects.rs
+++ b/crates/node/src/control/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what the control actor decides.
+//! Executes the effects of the control actor.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 
 use super::SharedRegistry;
 
-const ORDER_PATIENCE: Duration = Duration::from_secs(2);
-const QUEUED_ORDERS: usize = 256;
+const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_QUEUED_ORDERS: usize = 256;
 
 struct QueuedOrder {
     engine: EngineName,
@@ -19,25 +19,27 @@
     order: EngineOrder,
 }
 
-/// Where effects go.
-pub(super) struct Outlets {
+/// Sends messages and replies to their links and operators, and queues orders to engines.
+pub(super) struct EffectExecutor {
     registry: SharedRegistry,
     orders: Sender<QueuedOrder>,
 }
 
-impl Outlets {
+impl EffectExecutor {
     pub(super) fn new(registry: SharedRegistry) -> Self {
-        let (orders, queued) = bounded(QUEUED_ORDERS);
+        let (orders, queued) = bounded(MAX_QUEUED_ORDERS);
         let spawned = std::thread::Builder::new()
             .name("engine-orders".to_owned())
             .spawn(move || send_orders(&queued));
         if let Err(error) = spawned {
-            tracing::error!("control: no thread for orders: {error}");
+            tracing::error!(
+                "control: cannot spawn the thread that sends orders to engines: {error}"
+            );
         }
         Self { registry, orders }
     }
 
-    pub(super) fn carry_out(&self, effect: Effect) {
+    pub(super) fn execute(&self, effect: Effect) {
         match effect {
             Effect::ToControl(replica, message) => {
                 if let Some(sender) = self.registry.lock().controls.get(&replica) {
@@ -59,7 +61,7 @@
                 address,
                 order,
             } => {
-                // A full queue loses the order; the leader sends it again.
+                // If the queue is full, the order is dropped; the leader sends it again.
                 let _ = self.orders.try_send(QueuedOrder {
                     engine,
                     address,
@@ -72,7 +74,7 @@
 
 fn send_orders(queued: &Receiver<QueuedOrder>) {
     let config = Agent::config_builder()
-        .timeout_global(Some(ORDER_PATIENCE))
+        .timeout_global(Some(ORDER_TIMEOUT))
         .build();
     let agent = Agent::new_with_config(config);
     while let Ok(queued) = queued.recv() {
@@ -82,12 +84,15 @@
         };
         match agent.post(url).send(&body[..]) {
             Ok(_) => tracing::info!(
-                "control: ordered {} to load {} version {}",
+                "control: sent engine {} an order to load model {} version {}",
                 queued.engine,
                 queued.order.model,
                 queued.order.weights_version
             ),
-            Err(error) => tracing::warn!("control: order to {} failed: {error}", queued.engine),
+            Err(error) => tracing::warn!(
+                "control: cannot send an order to engine {}: {error}",
+                queued.engine
+            ),
         }
     }
 }
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Links among control machines, and from routers.
+//! Links between control machines, and from routers to this machine.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -13,9 +13,9 @@
 use super::{ControlHandle, SharedRegistry};
 use crate::links::{Credentials, Link};
 
-const REDIAL_PAUSE: Duration = Duration::from_millis(200);
+const REDIAL_DELAY: Duration = Duration::from_millis(200);
 
-/// Serves links that others opened.
+/// Serves links that other processes opened.
 pub(super) struct Acceptor {
     registry: SharedRegistry,
     handle: ControlHandle,
@@ -26,7 +26,7 @@
         Self { registry, handle }
     }
 
-    /// Reads a link until it ends.
+    /// Handles the messages of a link until it is closed.
     pub(super) fn serve(&self, link: Link) {
         match link.peer.clone() {
             Identity::Router(name) => self.serve_router(link, name.as_str().to_owned()),
@@ -44,7 +44,7 @@
             registry.routers.insert(connection, link.sender.clone());
             connection
         };
-        tracing::info!("control: router {name} linked");
+        tracing::info!("control: router {name} connected");
         self.handle.post(move |_, context| {
             call!([context.actor], router_connected(connection, name));
         });
@@ -60,8 +60,8 @@
     }
 }
 
-/// Keeps a link open to every other control machine of the settings. A machine that was added
-/// later dials in, and is answered over its own link.
+/// Keeps a link open to every other control machine in the settings. A machine that is not listed
+/// there, because it was added later, connects to this machine, which replies over that link.
 pub(super) fn dial_peers(
     settings: &ControlSettings,
     credentials: &Credentials,
@@ -77,10 +77,12 @@
             .name("control-dial".to_owned())
             .spawn(move || loop {
                 dial(id, address, &credentials, &registry, &handle);
-                thread::sleep(REDIAL_PAUSE);
+                thread::sleep(REDIAL_DELAY);
             });
         if let Err(error) = spawned {
-            tracing::error!("control: no thread to dial replica {id}: {error}");
+            tracing::error!(
+                "control: cannot spawn the thread that connects to replica {id}: {error}"
+            );
         }
     }
 }
@@ -96,13 +98,14 @@
         return;
     };
     if link.peer != Identity::Control(id.0) {
-        tracing::warn!("control: {address} is not replica {id}");
+        tracing::warn!("control: closing the link to {address}: not replica {id}");
         return;
     }
     serve_control(link, id, registry, handle);
 }
 
-/// Messages to the machine go over the newest link; all links are heard.
+/// Handles the messages of a link to a control machine. Messages to the machine are sent over its
+/// newest link; those it sends are accepted on all its links.
 fn serve_control(link: Link, id: ReplicaId, registry: &SharedRegistry, handle: &ControlHandle) {
     let sender = link.sender.clone();
     registry.lock().controls.insert(id, sender);
--- a/crates/node/src/control/mod.rs
+++ b/crates/node/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! `drumshore control`: the actor, its links to routers and other control machines, its probes
-//! of engines and platform, and the operators' API.
+//! `drumshore control`: runs the control actor, the links to routers and other control machines,
+//! the probes of engines and the platform, and the operators' API.
 
 mod api;
 mod effects;
@@ -27,27 +27,28 @@
 
 use api::Api;
 pub(crate) use api::{MemberChange, MemberStep, CHANGE_ID_HEADER, EXPECTED_VERSION_HEADER};
-use effects::Outlets;
+use effects::EffectExecutor;
 
-/// Why the daemon ends.
+/// Why the daemon fails.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// A socket or the data folder failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The replicated log cannot be used.
+    /// The replicated log cannot be opened or written.
     #[error(transparent)]
     Replica(#[from] ReplicaError),
 }
 
-/// What tasks on the loop's thread reach.
+/// State that tasks on the event loop's thread can access.
 pub struct ControlContext {
     actor: ActorOwn<ControlActor<FileDirectory>>,
 }
 
 type ControlHandle = LoopHandle<ControlContext>;
 
-/// Open links and waiting operators, shared by the loop and the links' threads.
+/// Open links and operators that wait for a reply, shared by the event loop, the links' threads
+/// and the HTTP threads.
 #[derive(Default)]
 struct Registry {
     next_connection: u64,
@@ -66,9 +67,11 @@
     }
 }
 
-/// Runs a control machine until it is told to stop, or until its disk fails. `bootstrap` makes
-/// an empty data folder the first of a new cluster; without it an empty folder waits to be
-/// added by a leader, which is how a machine that lost its disk returns.
+/// Runs a control machine until it receives a stop signal or its disk fails.
+///
+/// With `bootstrap`, a machine with an empty data folder starts a new cluster whose voters are the
+/// peers in the settings. Without it, such a machine waits until a leader adds it; a machine that
+/// lost its disk rejoins this way.
 pub fn run(
     settings: &ControlSettings,
     bootstrap: bool,
@@ -78,14 +81,14 @@
     let core = open_core(settings, bootstrap)?;
     let registry = SharedRegistry::default();
     let failure = Arc::new(Mutex::new(None));
-    let outlets = Outlets::new(registry.clone());
-    let over = event_loop.over();
+    let executor = EffectExecutor::new(registry.clone());
+    let stop_flag = event_loop.stop_flag();
     let failed = Arc::clone(&failure);
     let outputs = ControlOutputs {
-        effect: Fwd::new(move |effect| outlets.carry_out(effect)),
+        effect: Fwd::new(move |effect| executor.execute(effect)),
         disk_failed: Fwd::new(move |error: ReplicaError| {
             *failed.lock().unwrap_or_else(PoisonError::into_inner) = Some(error);
-            over.store(true, std::sync::atomic::Ordering::SeqCst);
+            stop_flag.store(true, std::sync::atomic::Ordering::SeqCst);
         }),
         unix_ms: Box::new(unix_ms),
     };
@@ -97,9 +100,9 @@
     );
     let context = ControlContext { actor };
     let server = serve(settings, &registry, &handle)?;
-    let over = event_loop.over();
+    let stop_flag = event_loop.stop_flag();
     event_loop.run(&context, signals, move |_, _| {
-        over.store(true, std::sync::atomic::Ordering::SeqCst);
+        stop_flag.store(true, std::sync::atomic::Ordering::SeqCst);
     });
     server.close_after_answers();
     let failure = failure
@@ -149,9 +152,9 @@
         identity: Identity::Control(settings.id),
         key: settings.cluster_key.clone(),
     };
-    let accepting = members::Acceptor::new(registry.clone(), handle.clone());
+    let acceptor = members::Acceptor::new(registry.clone(), handle.clone());
     let internal = links::listen(settings.internal_listen, credentials.clone(), move |link| {
-        accepting.serve(link);
+        acceptor.serve(link);
     })?;
     members::dial_peers(settings, &credentials, registry, handle);
     probes::start(settings, handle)?;
--- a/crates/node/src/control/probes.rs
+++ b/crates/node/src/control/probes.rs
@@ -1,4 +1,4 @@
-//! Asks the platform for its list and the engines for their state.
+//! Polls the platform's list of machines, and the state and cache reports of the engines.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -18,34 +18,35 @@
 
 use super::ControlHandle;
 
-const PROBE_PATIENCE: Duration = Duration::from_secs(1);
-const PROBERS: usize = 8;
-const QUEUED_PROBES: usize = 4_096;
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+const PROBE_THREADS: usize = 8;
+const MAX_QUEUED_PROBES: usize = 4_096;
 const BUFFER_BYTES: usize = 8 * 1024;
 
 /// Path of the platform's list of machines.
 const MACHINES_PATH: &str = "/v1/machines";
 
+/// An engine to probe.
 #[derive(Clone, Debug)]
-struct Target {
+struct ProbeTarget {
     name: EngineName,
     address: String,
-    /// What to ask about its cache; `None` when this machine does not index it.
+    /// Which cache report to request; `None` if this machine does not index the engine's cache.
     report: Option<ReportWanted>,
 }
 
-/// Engines whose probe is under way; each is asked once at a time.
-type UnderWay = Arc<Mutex<BTreeSet<EngineName>>>;
+/// Engines with a queued or running probe; each engine has at most one.
+type PendingProbes = Arc<Mutex<BTreeSet<EngineName>>>;
 
 pub(super) fn start(settings: &ControlSettings, handle: &ControlHandle) -> io::Result<()> {
-    let (queue, queued) = bounded(QUEUED_PROBES);
-    let under_way = UnderWay::default();
-    for _ in 0..PROBERS {
+    let (queue, queued) = bounded(MAX_QUEUED_PROBES);
+    let pending = PendingProbes::default();
+    for _ in 0..PROBE_THREADS {
         let (queued, handle) = (queued.clone(), handle.clone());
-        let under_way = Arc::clone(&under_way);
+        let pending = Arc::clone(&pending);
         thread::Builder::new()
             .name("engine-probe".to_owned())
-            .spawn(move || probe_all(&queued, &under_way, &handle))?;
+            .spawn(move || run_prober(&queued, &pending, &handle))?;
     }
     let url = format!("{}{MACHINES_PATH}", settings.platform_url);
     let interval = Duration::from_millis(settings.poll_interval_ms);
@@ -55,7 +56,7 @@
         .spawn(move || {
             let agent = agent();
             loop {
-                poll(&agent, &url, &queue, &under_way, &handle);
+                poll(&agent, &url, &queue, &pending, &handle);
                 thread::sleep(interval);
             }
         })?;
@@ -65,31 +66,31 @@
 fn poll(
     agent: &Agent,
     url: &str,
-    queue: &Sender<Target>,
-    under_way: &UnderWay,
+    queue: &Sender<ProbeTarget>,
+    pending: &PendingProbes,
     handle: &ControlHandle,
 ) {
     match fetch::<Vec<MachineRecord>>(agent, url) {
         Some(machines) => handle.post(move |_, context| {
             call!([context.actor], machines(machines));
         }),
-        None => tracing::warn!("control: the platform's list was not received"),
+        None => tracing::warn!("control: cannot fetch the list of machines from the platform"),
     }
-    for target in targets(handle) {
-        let mut under_way = under_way.lock().unwrap_or_else(PoisonError::into_inner);
-        if under_way.insert(target.name.clone()) && queue.try_send(target.clone()).is_err() {
-            under_way.remove(&target.name);
+    for target in probe_targets(handle) {
+        let mut pending = pending.lock().unwrap_or_else(PoisonError::into_inner);
+        if pending.insert(target.name.clone()) && queue.try_send(target.clone()).is_err() {
+            pending.remove(&target.name);
         }
     }
 }
 
-/// The engines known, those that the list no longer has included.
-fn targets(handle: &ControlHandle) -> Vec<Target> {
-    let known = handle.ask(|stakker, context, sender| {
+/// Returns all known engines, including those that are no longer in the platform's list.
+fn probe_targets(handle: &ControlHandle) -> Vec<ProbeTarget> {
+    let known = handle.post_and_wait(|stakker, context, sender| {
         let targets = context.actor.query(stakker, |actor, _| {
             let engines = actor.core().fleet().iter();
             engines
-                .map(|(name, view)| Target {
+                .map(|(name, view)| ProbeTarget {
                     name: name.clone(),
                     address: view.record.address.clone(),
                     report: actor.core().report_wanted(name),
@@ -101,16 +102,16 @@
     known.unwrap_or_default()
 }
 
-fn probe_all(queued: &Receiver<Target>, under_way: &UnderWay, handle: &ControlHandle) {
+fn run_prober(queued: &Receiver<ProbeTarget>, pending: &PendingProbes, handle: &ControlHandle) {
     let agent = agent();
     while let Ok(target) = queued.recv() {
         let url = format!("http://{}{}", target.address, engine_api::PROBE_PATH);
         let result = fetch::<EngineProbe>(&agent, &url).ok_or(ProbeFailed);
-        // The report comes after the load: what was booked in between counts twice rather than
-        // not at all.
+        // The cache report is fetched after the load, so a booking made between the two is counted
+        // twice rather than not at all.
         let wanted = target.report.filter(|_| result.is_ok());
         let report = wanted.and_then(|wanted| fetch_report(&agent, &target.address, wanted));
-        under_way
+        pending
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&target.name);
@@ -137,10 +138,10 @@
 
 fn agent() -> Agent {
     let config = Agent::config_builder()
-        .timeout_global(Some(PROBE_PATIENCE))
+        .timeout_global(Some(PROBE_TIMEOUT))
         .input_buffer_size(BUFFER_BYTES)
         .output_buffer_size(BUFFER_BYTES)
-        .max_idle_connections(QUEUED_PROBES)
+        .max_idle_connections(MAX_QUEUED_PROBES)
         .max_idle_connections_per_host(1)
         .build();
     Agent::new_with_config(config)
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! The thread that runs a daemon's actors, and how other threads reach it.
+//! The event loop that runs a daemon's actors, and the handle through which other threads post
+//! tasks to it.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -8,15 +9,16 @@
 use signal_hook::consts::{SIGINT, SIGTERM};
 use stakker::Stakker;
 
-/// Tasks taken in before the actors run, so that what arrives together shares one sync.
-const BATCH: usize = 256;
+/// After one task, up to this many queued tasks run before the actors do, so that changes that
+/// arrive together share one disk sync.
+const MAX_BATCH: usize = 256;
 
-/// The loop wakes at least this often, to look for signals.
-const LONGEST_WAIT: Duration = Duration::from_millis(50);
+/// Longest wait for a task, so that the loop checks for signals at least this often.
+const MAX_WAIT: Duration = Duration::from_millis(50);
 
 type Task<C> = Box<dyn FnOnce(&mut Stakker, &C) + Send>;
 
-/// Reaches the loop from other threads.
+/// Posts tasks to the loop from other threads.
 pub struct LoopHandle<C> {
     sender: Sender<Task<C>>,
 }
@@ -30,14 +32,14 @@
 }
 
 impl<C: 'static> LoopHandle<C> {
-    /// Runs a task on the loop's thread. Nothing happens when the loop has ended.
+    /// Runs a task on the loop's thread. The task is dropped if the loop has ended.
     pub fn post(&self, task: impl FnOnce(&mut Stakker, &C) + Send + 'static) {
         let _ = self.sender.send(Box::new(task));
     }
 
-    /// Runs a task on the loop's thread that hands its result to a sender, and waits for it;
-    /// `None` when the loop has ended.
-    pub fn ask<T: Send + 'static>(
+    /// Runs a task on the loop's thread and waits until a result is sent to the sender that the
+    /// task receives. Returns `None` if the sender is dropped first, as when the loop has ended.
+    pub fn post_and_wait<T: Send + 'static>(
         &self,
         task: impl FnOnce(&mut Stakker, &C, Sender<T>) + Send + 'static,
     ) -> Option<T> {
@@ -47,46 +49,45 @@
     }
 }
 
-/// The loop of one daemon.
+/// The event loop of one daemon.
 pub struct EventLoop<C> {
     stakker: Stakker,
     receiver: Receiver<Task<C>>,
-    over: Arc<AtomicBool>,
+    stop_flag: Arc<AtomicBool>,
 }
 
 impl<C: 'static> EventLoop<C> {
-    /// A loop and the handle that reaches it.
+    /// Creates a loop and a handle to it.
     pub fn new() -> (Self, LoopHandle<C>) {
         let (sender, receiver) = unbounded();
         let event_loop = Self {
             stakker: Stakker::new(Instant::now()),
             receiver,
-            over: Arc::new(AtomicBool::new(false)),
+            stop_flag: Arc::new(AtomicBool::new(false)),
         };
         (event_loop, LoopHandle { sender })
     }
 
-    /// The actor runtime, to create actors before the loop runs.
+    /// Returns the actor runtime, to create actors before the loop runs.
     pub fn stakker(&mut self) -> &mut Stakker {
         &mut self.stakker
     }
 
-    /// Ends the loop when set.
-    pub fn over(&self) -> Arc<AtomicBool> {
-        Arc::clone(&self.over)
+    /// Returns the flag that ends the loop when set.
+    pub fn stop_flag(&self) -> Arc<AtomicBool> {
+        Arc::clone(&self.stop_flag)
     }
 
-    /// Runs until it is over. `on_signal` is called once, when the process is told to stop.
+    /// Runs until the stop flag is set or all handles are dropped. `on_signal` is called once,
+    /// after the first stop signal.
     pub fn run(mut self, context: &C, signals: &Signals, on_signal: impl FnOnce(&mut Stakker, &C)) {
         let mut on_signal = Some(on_signal);
-        while !self.over.load(Ordering::SeqCst) {
-            let wait = self
-                .stakker
-                .next_wait_max(Instant::now(), LONGEST_WAIT, false);
+        while !self.stop_flag.load(Ordering::SeqCst) {
+            let wait = self.stakker.next_wait_max(Instant::now(), MAX_WAIT, false);
             match self.receiver.recv_timeout(wait) {
                 Ok(task) => {
                     task(&mut self.stakker, context);
-                    self.take_in_more(context);
+                    self.run_queued_tasks(context);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
@@ -100,8 +101,8 @@
         }
     }
 
-    fn take_in_more(&mut self, context: &C) {
-        for _ in 0..BATCH {
+    fn run_queued_tasks(&mut self, context: &C) {
+        for _ in 0..MAX_BATCH {
             match self.receiver.try_recv() {
                 Ok(task) => task(&mut self.stakker, context),
                 Err(_) => return,
@@ -110,14 +111,14 @@
     }
 }
 
-/// Tells whether the process was asked to stop.
+/// Records whether the process has received a stop signal.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
     stop: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Listens for SIGTERM and SIGINT.
+    /// Installs handlers for SIGTERM and SIGINT.
     pub fn install() -> std::io::Result<Self> {
         let signals = Self::default();
         for signal in [SIGTERM, SIGINT] {
@@ -126,7 +127,7 @@
         Ok(signals)
     }
 
-    /// True once the process was asked to stop.
+    /// Returns true once a stop signal was received.
     pub fn stop_requested(&self) -> bool {
         self.stop.load(Ordering::SeqCst)
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,8 @@
 //! The drumshore daemons and the operators' commands.
 //!
-//! A daemon is one thread that runs the actors ([`event_loop`]), links to other processes
-//! ([`links`]), and an HTTP edge whose threads ask the actors and carry the bytes.
+//! A daemon runs its actor on one thread ([`event_loop`]). Other threads serve the links to other
+//! processes ([`links`]) and the HTTP connections; they post tasks to the actor's thread, and
+//! transfer request and response bodies themselves.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -1,4 +1,5 @@
-//! Links to other drumshore processes: proved, framed, one reading and one writing thread each.
+//! Authenticated, framed connections to other drumshore processes (links). Each link has one
+//! reader thread and one writer thread.
 
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -14,16 +15,16 @@
 
 use crate::metrics::Scrape;
 
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
-const HANDSHAKE_PATIENCE: Duration = Duration::from_secs(3);
-const WRITE_PATIENCE: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 const STACK_BYTES: usize = 256 * 1024;
 
-/// Messages that may wait on a link; a peer that falls further behind is dropped and starts
-/// afresh.
-const QUEUED_MESSAGES: usize = 8_192;
+/// Capacity of a link's send queue, in messages. If a slow peer lets it overflow, the link is
+/// closed; a new link starts with an empty queue.
+const MAX_QUEUED_MESSAGES: usize = 8_192;
 
-/// What this process has sent and received over links, in frames and bytes.
+/// Frames and bytes that a process has sent and received over links.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent_frames: AtomicU64,
@@ -32,7 +33,7 @@
     received_bytes: AtomicU64,
 }
 
-/// The process's own counts.
+/// Traffic of this process over all its links.
 pub static TRAFFIC: Traffic = Traffic {
     sent_frames: AtomicU64::new(0),
     sent_bytes: AtomicU64::new(0),
@@ -41,7 +42,7 @@
 };
 
 impl Traffic {
-    /// Adds the counts to a scrape.
+    /// Adds the counters to a scrape.
     pub fn add_to(&self, scrape: &mut Scrape) {
         let counts = [
             (
@@ -77,13 +78,13 @@
     }
 }
 
-/// Counts what is read through it.
-struct Counting<R> {
+/// A reader that counts the bytes read through it.
+struct CountingReader<R> {
     inner: R,
     bytes: u64,
 }
 
-impl<R: Read> Read for Counting<R> {
+impl<R: Read> Read for CountingReader<R> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let count = self.inner.read(buffer)?;
         self.bytes += count as u64;
@@ -91,12 +92,12 @@
     }
 }
 
-/// Who a process is, and how it proves that it belongs.
+/// What a process presents in the handshake of a link.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// What it says it is.
+    /// The identity that it claims.
     pub identity: Identity,
-    /// The cluster's key.
+    /// The cluster key, with which it proves that it belongs to the cluster.
     pub key: SecretKey,
 }
 
@@ -108,57 +109,57 @@
 }
 
 impl LinkSender {
-    /// Queues a message. A link whose queue is full is closed.
+    /// Queues a message. Drops it and closes the link if the queue is full.
     pub fn send(&self, message: Message) {
         if self.queue.try_send(message).is_err() {
             self.close();
         }
     }
 
-    /// Ends the link in both directions.
+    /// Closes the link in both directions.
     pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// An open link.
+/// An open link, after its handshake.
 pub struct Link {
-    /// Who the peer proved to be.
+    /// The identity that the peer claimed; the peer has proved that it holds the cluster key.
     pub peer: Identity,
-    /// Sends to it.
+    /// Sends messages to the peer.
     pub sender: LinkSender,
     stream: Arc<TcpStream>,
 }
 
 impl Link {
-    /// Opens a link.
+    /// Connects to a process and performs the handshake.
     pub fn connect(address: SocketAddr, credentials: &Credentials) -> Result<Self, HandshakeError> {
-        let stream = TcpStream::connect_timeout(&address, CONNECT_PATIENCE)?;
+        let stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         Self::establish(stream, credentials)
     }
 
-    /// Proves and is proved to over a new connection.
+    /// Performs the mutual handshake on a new connection and starts the writer thread.
     pub fn establish(
         mut stream: TcpStream,
         credentials: &Credentials,
     ) -> Result<Self, HandshakeError> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(HANDSHAKE_PATIENCE))?;
-        stream.set_write_timeout(Some(WRITE_PATIENCE))?;
+        stream.set_read_timeout(Some(HANDSHAKE_TIMEOUT))?;
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let identity = credentials.identity.clone();
         let peer = handshake(&mut stream, &credentials.key, identity, &mut rand::rng())?;
         stream.set_read_timeout(None)?;
         let stream = Arc::new(stream);
-        let (queue, queued) = bounded(QUEUED_MESSAGES);
+        let (queue, queued) = bounded(MAX_QUEUED_MESSAGES);
         let sender = LinkSender {
             queue,
             stream: Arc::clone(&stream),
         };
-        let writing = Arc::clone(&stream);
+        let writer_stream = Arc::clone(&stream);
         thread::Builder::new()
             .name("link-writer".to_owned())
             .stack_size(STACK_BYTES)
-            .spawn(move || write_all(&writing, &queued))?;
+            .spawn(move || run_writer(&writer_stream, &queued))?;
         Ok(Self {
             peer,
             sender,
@@ -166,9 +167,9 @@
         })
     }
 
-    /// Reads until the link ends.
+    /// Reads messages until the link is closed or fails.
     pub fn read(self, mut on_message: impl FnMut(Message)) {
-        let mut reader = Counting {
+        let mut reader = CountingReader {
             inner: BufReader::new(&*self.stream),
             bytes: 0,
         };
@@ -179,7 +180,7 @@
                     on_message(message);
                 }
                 Err(error) => {
-                    tracing::debug!("link: ended: {error}");
+                    tracing::debug!("link: closed while reading: {error}");
                     break;
                 }
             }
@@ -188,7 +189,7 @@
     }
 }
 
-fn write_all(stream: &TcpStream, queued: &Receiver<Message>) {
+fn run_writer(stream: &TcpStream, queued: &Receiver<Message>) {
     let mut writer = BufWriter::new(stream);
     while let Ok(message) = queued.recv() {
         if write_batch(&mut writer, message, queued).is_err() {
@@ -198,7 +199,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Everything that waits leaves with one flush.
+/// Writes the first message and all others that are queued, then flushes once.
 fn write_batch(
     writer: &mut BufWriter<&TcpStream>,
     first: Message,
@@ -222,7 +223,8 @@
     Ok(())
 }
 
-/// Accepts links, each on a thread of its own.
+/// Accepts links in the background; `on_link` runs on a separate thread for each link. Returns the
+/// bound address.
 pub fn listen(
     address: SocketAddr,
     credentials: Credentials,
@@ -254,10 +256,12 @@
             .stack_size(STACK_BYTES)
             .spawn(move || match Link::establish(stream, &credentials) {
                 Ok(link) => on_link(link),
-                Err(error) => tracing::warn!("link: refused: {error}"),
+                Err(error) => tracing::warn!(
+                    "link: rejected an incoming connection in the handshake: {error}"
+                ),
             });
         if let Err(error) = spawned {
-            tracing::warn!("link: no thread: {error}");
+            tracing::warn!("link: cannot spawn a thread for an incoming connection: {error}");
         }
     }
 }
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -2,10 +2,10 @@
 
 use tracing_subscriber::EnvFilter;
 
-/// Variable that selects what is logged, as in `debug` or `drumshore_router=debug,info`.
+/// Environment variable that filters the log, for example `debug` or `drumshore_router=debug,info`.
 const FILTER_VARIABLE: &str = "DRUMSHORE_LOG";
 
-/// Starts logging; once per process, later calls change nothing.
+/// Installs the log subscriber. Later calls in the same process have no effect.
 pub(crate) fn start() {
     let filter =
         EnvFilter::try_from_env(FILTER_VARIABLE).unwrap_or_else(|_| EnvFilter::new("info"));
--- a/crates/node/src/router/completions.rs
+++ b/crates/node/src/router/completions.rs
@@ -1,4 +1,5 @@
-//! One completion: the thread between a caller and the engines.
+//! Handles one completion request on its connection's thread: calls engines and sends the answer to
+//! the caller.
 
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -15,11 +16,11 @@
 use super::RouterHandle;
 
 const READ_BYTES: usize = 8 * 1024;
-/// Standard header (W3C Server Timing) with the time spent before an engine was called.
+/// Header of the W3C Server Timing standard, with the time spent before an engine was called.
 const SERVER_TIMING_HEADER: &str = "server-timing";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// What a completion needs of its edge.
+/// The state of one completion request.
 pub(super) struct Completion<'e, 'c> {
     handle: &'e RouterHandle,
     upstream: &'e Upstream,
@@ -31,13 +32,14 @@
     started: Instant,
 }
 
-/// The caller's side: nothing is sent before it is known what.
+/// The connection to the caller. The response head is sent only with the first bytes of a stream,
+/// with the complete answer or with the error.
 struct Caller<'c> {
     responder: Option<Responder<'c>>,
     stream: Option<StreamBody<'c>>,
     id: RequestId,
-    gone: bool,
-    /// What this router spent before it called an engine for the first time.
+    disconnected: bool,
+    /// Time from the start of the request until the first call to an engine.
     router_time: Option<Duration>,
 }
 
@@ -62,7 +64,7 @@
                 responder: Some(responder),
                 stream: None,
                 id: RequestId::default(),
-                gone: false,
+                disconnected: false,
                 router_time: None,
             },
             id: RequestId::default(),
@@ -72,17 +74,17 @@
         }
     }
 
-    /// Carries the request to its end.
-    pub(super) fn run(mut self, ask: AdmitRequest) {
-        let admitted = self.handle.ask(move |_, context, sender| {
+    /// Runs the request until it ends.
+    pub(super) fn run(mut self, admit_request: AdmitRequest) {
+        let admitted = self.handle.post_and_wait(move |_, context, sender| {
             let ret = Ret::new(move |admitted| {
                 let _ = sender.send(admitted);
             });
-            call!([context.actor], admit(ask, ret));
+            call!([context.actor], admit(admit_request, ret));
         });
         let Some((id, outcome)) = admitted.flatten() else {
-            let verdict = RequestError::not_run(ErrorCode::Internal, "the router is ending");
-            return self.caller.refuse(&verdict);
+            let error = RequestError::not_run(ErrorCode::Internal, "the router is ending");
+            return self.caller.refuse(&error);
         };
         self.id = id;
         self.caller.id = id;
@@ -132,7 +134,7 @@
         let streams = self.request.stream;
         let next = self.exchange.on_bytes(bytes, &mut |event| {
             if streams {
-                caller.pass_on(event.raw);
+                caller.write_stream(event.raw);
             }
         });
         caller.flush();
@@ -141,7 +143,7 @@
             self.handle
                 .post(move |_, context| call!([context.actor], first_token(id, first)));
         }
-        if self.caller.gone && next == Next::Read {
+        if self.caller.disconnected && next == Next::Read {
             return self.exchange.on_caller_gone();
         }
         next
@@ -150,7 +152,7 @@
     fn report(&mut self, failure: AttemptFailure) -> Next {
         self.body = None;
         let id = self.id;
-        let answered = self.handle.ask(move |_, context, sender| {
+        let answered = self.handle.post_and_wait(move |_, context, sender| {
             let ret = Ret::new(move |outcome| {
                 let _ = sender.send(outcome);
             });
@@ -160,26 +162,29 @@
             Some((_, outcome)) => self.exchange.on_outcome(outcome),
             None => {
                 let message = "the router is ending";
-                let verdict = RequestError::may_have_run(ErrorCode::Internal, message);
-                Next::Finish(Conclusion::Failed(verdict))
+                let error = RequestError::may_have_run(ErrorCode::Internal, message);
+                Next::Finish(Conclusion::Failed(error))
             }
         }
     }
 
-    /// The router's actor learns of the end before the caller does: whoever has the answer and asks
-    /// how it came about finds it recorded.
+    /// Reports the end to the router's actor before the caller receives it, so that `/v1/explain`
+    /// shows the outcome as soon as the caller has the answer.
     fn finish(mut self, conclusion: Conclusion) {
         let answer = self.exchange.answer().clone();
         let id = self.id;
-        let (told, recorded) = (conclusion.clone(), answer.clone());
+        let (posted_conclusion, posted_answer) = (conclusion.clone(), answer.clone());
         self.handle.post(move |_, context| {
-            call!([context.actor], finished(id, told, recorded));
+            call!(
+                [context.actor],
+                finished(id, posted_conclusion, posted_answer)
+            );
         });
         match &conclusion {
             Conclusion::Answered if self.request.stream => self.caller.end_stream(),
             Conclusion::Answered => self.send_answer(&answer),
             Conclusion::Recorded(recorded) => self.send_answer(recorded),
-            Conclusion::Failed(verdict) => self.caller.refuse(verdict),
+            Conclusion::Failed(error) => self.caller.refuse(error),
             Conclusion::CallerGone => {
                 self.body = None;
                 if let Some(assignment) = self.exchange.assignment() {
@@ -195,7 +200,7 @@
     fn send_answer(&mut self, answer: &RecordedAnswer) {
         if self.request.stream {
             let events = answer.to_stream(self.request.kind, self.id);
-            self.caller.pass_on(events.as_bytes());
+            self.caller.write_stream(events.as_bytes());
             self.caller.flush();
             self.caller.end_stream();
             return;
@@ -208,22 +213,22 @@
 }
 
 impl<'c> Caller<'c> {
-    /// Adds bytes of the stream; they leave with [`Caller::flush`].
-    fn pass_on(&mut self, bytes: &[u8]) {
-        if self.gone {
+    /// Writes bytes to the stream's buffer; [`Caller::flush`] sends them.
+    fn write_stream(&mut self, bytes: &[u8]) {
+        if self.disconnected {
             return;
         }
         if self.stream.is_none() {
             self.start_stream();
         }
         if let Some(stream) = &mut self.stream {
-            self.gone = stream.write_all(bytes).is_err();
+            self.disconnected = stream.write_all(bytes).is_err();
         }
     }
 
     fn flush(&mut self) {
         if let Some(stream) = &mut self.stream {
-            self.gone |= stream.flush().is_err();
+            self.disconnected |= stream.flush().is_err();
         }
     }
 
@@ -233,7 +238,7 @@
         };
         match responder.start_stream(200, EVENT_STREAM) {
             Ok(stream) => self.stream = Some(stream),
-            Err(_) => self.gone = true,
+            Err(_) => self.disconnected = true,
         }
     }
 
@@ -241,19 +246,19 @@
         self.stream = None;
     }
 
-    /// Before the answer began, a refusal is an answer of its own; after, it is the last event,
-    /// of a type that no completion has.
-    fn refuse(&mut self, verdict: &RequestError) {
+    /// Sends an error: as the response if none has begun, otherwise as the last event of the
+    /// stream, with type `error`, which no event of a completion has.
+    fn refuse(&mut self, error: &RequestError) {
         if let Some(responder) = self.take_responder() {
-            responder.refuse(verdict);
+            responder.refuse(error);
             return;
         }
-        let code = verdict.code.as_str();
-        let execution = verdict.execution.as_str();
+        let code = error.code.as_str();
+        let execution = error.execution.as_str();
         let document = serde_json::json!({"error": {
-            "code": code, "message": verdict.message, "execution": execution,
+            "code": code, "message": error.message, "execution": execution,
         }});
-        self.pass_on(format!("event: error\ndata: {document}\n\n").as_bytes());
+        self.write_stream(format!("event: error\ndata: {document}\n\n").as_bytes());
         self.flush();
         self.end_stream();
     }
--- a/crates/node/src/router/edge.rs
+++ b/crates/node/src/router/edge.rs
@@ -1,4 +1,4 @@
-//! The router's HTTP interface.
+//! The router's HTTP API for callers, operators and metrics scrapes.
 
 use std::time::{Duration, Instant};
 
@@ -21,15 +21,15 @@
 use crate::links::TRAFFIC;
 use crate::metrics::{duration_histogram, Scrape, CONTENT_TYPE};
 
-/// Header that names a priority class.
+/// Header with the name of the request's priority class.
 const PRIORITY_CLASS_HEADER: &str = "x-drumshore-priority-class";
 
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
 
 const EXPLAIN_PATH: &str = "/v1/explain/";
 
-/// Answers callers and operators.
+/// Handles the HTTP requests of callers and operators.
 pub(super) struct Edge {
     handle: RouterHandle,
     upstream: Upstream,
@@ -40,10 +40,10 @@
 
 impl Edge {
     pub(super) fn new(settings: &RouterSettings, handle: RouterHandle) -> Self {
-        let stall = Duration::from_millis(settings.limits.engine_stall_ms);
+        let stall_timeout = Duration::from_millis(settings.limits.engine_stall_ms);
         Self {
             handle,
-            upstream: Upstream::new(stall),
+            upstream: Upstream::new(stall_timeout),
             max_body_bytes: settings.limits.max_body_bytes,
             operator_key_hashes: settings.operator_key_hashes.clone(),
             request_seconds: duration_histogram(),
@@ -55,15 +55,23 @@
         let parsed = request
             .read_body(self.max_body_bytes)
             .and_then(|body| CompletionRequest::parse(kind, &body))
-            .and_then(|completion| Ok((ask_of(request, &completion)?, completion)));
+            .and_then(|completion| Ok((parse_admit_request(request, &completion)?, completion)));
         match parsed {
-            Ok((ask, completion)) => {
-                let once = ask.idempotency_key.is_some();
+            Ok((admit_request, completion)) => {
+                let outlives_caller = admit_request.idempotency_key.is_some();
                 let (handle, upstream) = (&self.handle, &self.upstream);
-                Completion::new(handle, upstream, completion, responder, once, started).run(ask);
+                Completion::new(
+                    handle,
+                    upstream,
+                    completion,
+                    responder,
+                    outlives_caller,
+                    started,
+                )
+                .run(admit_request);
             }
-            Err(verdict) => {
-                responder.refuse(&verdict);
+            Err(error) => {
+                responder.refuse(&error);
             }
         }
         self.request_seconds
@@ -71,23 +79,23 @@
     }
 
     fn models(&self, request: &Request<'_>, responder: Responder<'_>) {
-        let ask = AdmitRequest {
+        let admit_request = AdmitRequest {
             key_hash: request.bearer_key().map(|key| key.hash()),
             purpose: Purpose::ListModels,
             ..AdmitRequest::default()
         };
-        let admitted = self.handle.ask(move |_, context, sender| {
+        let admitted = self.handle.post_and_wait(move |_, context, sender| {
             let ret = Ret::new(move |admitted| {
                 let _ = sender.send(admitted);
             });
-            call!([context.actor], admit(ask, ret));
+            call!([context.actor], admit(admit_request, ret));
         });
         match admitted.flatten() {
             Some((_, AdmitOutcome::Models(models))) => {
                 responder.send_json(200, &model_list(&models));
             }
-            Some((_, AdmitOutcome::Refused(verdict))) => {
-                responder.refuse(&verdict);
+            Some((_, AdmitOutcome::Refused(error))) => {
+                responder.refuse(&error);
             }
             _ => {
                 responder.refuse(&RequestError::not_run(
@@ -146,9 +154,9 @@
         &self,
         read: impl FnOnce(&RouterCore) -> T + Send + 'static,
     ) -> Option<T> {
-        self.handle.ask(move |_, context, sender| {
+        self.handle.post_and_wait(move |_, context, sender| {
             let read: Box<dyn FnOnce(&RouterCore)> = Box::new(move |core| {
-                // The edge may have stopped to wait when the router ends.
+                // The waiting thread may have ended when the router stops.
                 let _ = sender.send(read(core));
             });
             call!([context.actor], inspect(read));
@@ -181,7 +189,7 @@
     }
 }
 
-fn ask_of(
+fn parse_admit_request(
     request: &Request<'_>,
     completion: &CompletionRequest,
 ) -> Result<AdmitRequest, RequestError> {
--- a/crates/node/src/router/link.rs
+++ b/crates/node/src/router/link.rs
@@ -11,7 +11,7 @@
 use super::{RouterHandle, Senders};
 use crate::links::{Credentials, Link, LinkSender};
 
-/// Opens, uses and closes links on behalf of the actor.
+/// Opens, closes and sends over links on behalf of the router's actor.
 pub(super) struct ControlLinks {
     addresses: Vec<SocketAddr>,
     credentials: Credentials,
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Opens a link on a thread of its own, which then reads from it.
+    /// Opens a link to control machine number `peer` of the settings on a new thread, which then
+    /// reads from the link.
     pub(super) fn connect(&self, id: LinkId, peer: usize) {
         let Some(address) = self.addresses.get(peer).copied() else {
             return;
@@ -48,7 +49,9 @@
                 handle.post(move |_, context| call!([context.actor], closed(id)));
             });
         if let Err(error) = spawned {
-            tracing::warn!("router: no thread for a link: {error}");
+            tracing::warn!(
+                "router: cannot spawn a thread for a link to a control machine: {error}"
+            );
         }
     }
 
@@ -83,17 +86,17 @@
     let link = match Link::connect(address, credentials) {
         Ok(link) => link,
         Err(error) => {
-            tracing::info!("router: control machine {address} not reached: {error}");
+            tracing::info!("router: cannot connect to control machine {address}: {error}");
             return;
         }
     };
     if !matches!(link.peer, Identity::Control(_)) {
-        tracing::warn!("router: {address} is no control machine");
+        tracing::warn!("router: closing the link to {address}: not a control machine");
         return;
     }
     let sender: LinkSender = link.sender.clone();
     lock(senders).insert(id, sender);
-    tracing::info!("router: linked to control machine {address}");
+    tracing::info!("router: connected to control machine {address}");
     handle.post(move |_, context| call!([context.actor], connected(id)));
     link.read(|message| {
         handle.post(move |_, context| call!([context.actor], control_message(id, message)));
--- a/crates/node/src/router/mod.rs
+++ b/crates/node/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! `drumshore router`: the actor, its link to a control machine, its HTTP edge.
+//! `drumshore router`: runs the router's actor, its links to control machines and its HTTP API.
 
 mod completions;
 mod edge;
@@ -30,28 +30,28 @@
 use edge::Edge;
 use link::ControlLinks;
 
-/// Why the daemon ends.
+/// Why the daemon fails.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// The data folder or a socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The stored configuration is unreadable.
-    #[error("stored configuration: {0}")]
+    /// The configuration in the data folder cannot be decoded.
+    #[error("cannot load the stored configuration: {0}")]
     Config(#[from] ConfigError),
 }
 
-/// What tasks on the loop's thread reach.
+/// State that tasks on the event loop's thread can access.
 pub struct RouterContext {
     actor: ActorOwn<RouterActor>,
 }
 
 type RouterHandle = LoopHandle<RouterContext>;
 
-/// How often the end of a stop looks for answers that are still being sent.
+/// Interval at which a stopping router checks whether requests are still being answered.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
-/// Runs a router until it is told to stop and has finished what is in flight.
+/// Runs a router until it has received a stop signal and all requests in flight have ended.
 pub fn run(settings: RouterSettings, signals: &Signals) -> Result<(), DaemonError> {
     let (mut event_loop, handle) = EventLoop::<RouterContext>::new();
     let directory = FileDirectory::open(&settings.data_dir)?;
@@ -75,12 +75,16 @@
     );
     let context = RouterContext { actor };
     let server = start_edge(&settings, handle)?;
-    tracing::info!("router: {} serves at {}", settings.name, server.address());
-    let over = event_loop.over();
+    tracing::info!(
+        "router: {} serves requests at {}",
+        settings.name,
+        server.address()
+    );
+    let stop_flag = event_loop.stop_flag();
     event_loop.run(&context, signals, move |_, context| {
-        tracing::info!("router: stopping, finishing what is in flight");
+        tracing::info!("router: stopping; waiting for the requests in flight");
         let drained = Ret::new(move |drained: Option<()>| {
-            over.fetch_or(drained.is_some(), Ordering::SeqCst);
+            stop_flag.fetch_or(drained.is_some(), Ordering::SeqCst);
         });
         call!([context.actor], stop(drained));
     });
@@ -119,7 +123,7 @@
     RouterOutputs {
         persist: Box::new(move |file, bytes| {
             if let Err(error) = directory.replace(file.file_name(), &bytes) {
-                tracing::error!("router: {} was not stored: {error}", file.file_name());
+                tracing::error!("router: cannot store {}: {error}", file.file_name());
             }
         }),
         connect: Fwd::new(move |(link, peer)| connecting.connect(link, peer)),
@@ -131,7 +135,7 @@
 fn start_edge(settings: &RouterSettings, handle: RouterHandle) -> io::Result<Server> {
     let limits = &settings.limits;
     let params = ServerParams {
-        // Refusals need connections too.
+        // Twice the limit on open requests: requests that are refused need connections too.
         max_connections: limits.max_open_requests as usize * 2,
         max_head_bytes: limits.max_header_bytes as usize,
         read_patience: Duration::from_millis(limits.read_timeout_ms),
@@ -142,5 +146,5 @@
     Server::start(listen, params, Edge::new(settings, handle))
 }
 
-/// Senders by link, shared by the loop and the connecting threads.
+/// Senders by link, shared by the event loop and the links' threads.
 type Senders = BTreeMap<drumshore_router::LinkId, crate::links::LinkSender>;
--- a/crates/node/src/router/upstream.rs
+++ b/crates/node/src/router/upstream.rs
@@ -1,4 +1,4 @@
-//! Calls to engines.
+//! HTTP calls to engines.
 
 use std::io::Read;
 use std::time::Duration;
@@ -11,26 +11,27 @@
 use ureq::http::{HeaderMap, Response};
 use ureq::{Agent, Body, BodyReader};
 
-/// `ureq`'s default buffers are 128 KiB each way, which does not fit 1,200 streams in 128 MB.
+/// Size of a connection's input and output buffers. With `ureq`'s default of 128 KiB each, 1,200
+/// streams do not fit in 128 MB of memory.
 const BUFFER_BYTES: usize = 8 * 1024;
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
-const CANCEL_PATIENCE: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 const IDLE_CONNECTIONS_PER_ENGINE: usize = 64;
 
-/// Makes calls to engines; cheap to clone, with one pool of connections.
+/// HTTP client for engines. Clones are cheap and share one connection pool.
 #[derive(Clone, Debug)]
 pub(super) struct Upstream {
     agent: Agent,
 }
 
-/// An engine's answer that is being read.
+/// The body of an engine's answer, read as it arrives.
 pub(super) struct UpstreamBody {
     reader: BodyReader<'static>,
 }
 
 impl Upstream {
-    /// `stall` is how long an engine may be silent.
-    pub(super) fn new(stall: Duration) -> Self {
+    /// `stall_timeout` bounds each read and write; an engine that exceeds it counts as stalled.
+    pub(super) fn new(stall_timeout: Duration) -> Self {
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .max_redirects(0)
@@ -38,16 +39,16 @@
             .output_buffer_size(BUFFER_BYTES)
             .max_idle_connections(IDLE_CONNECTIONS_PER_ENGINE * 16)
             .max_idle_connections_per_host(IDLE_CONNECTIONS_PER_ENGINE)
-            .timeout_connect(Some(CONNECT_PATIENCE))
-            .timeout_per_read(Some(stall))
-            .timeout_per_write(Some(stall))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_per_read(Some(stall_timeout))
+            .timeout_per_write(Some(stall_timeout))
             .build();
         Self {
             agent: Agent::new_with_config(config),
         }
     }
 
-    /// Sends a request with its fences.
+    /// Sends a request with the incarnation and weights version that the engine must match.
     pub(super) fn start(
         &self,
         assignment: &Assignment,
@@ -68,15 +69,15 @@
                 engine_api::CACHE_SALT,
                 format!("{:016x}", assignment.cache_salt.as_u64()),
             )
-            .header(engine_api::PRIORITY, priority_word(assignment.priority));
+            .header(engine_api::PRIORITY, priority_name(assignment.priority));
         let call = match &assignment.idempotency_key {
             Some(key) => call.header(engine_api::IDEMPOTENCY_KEY, key.as_str()),
             None => call,
         };
-        answer(call.send(&request.upstream_body[..]))
+        into_head_and_body(call.send(&request.upstream_body[..]))
     }
 
-    /// Takes a stream up behind the last event received.
+    /// Resumes a stream after the last event received.
     pub(super) fn resume(
         &self,
         assignment: &Assignment,
@@ -89,29 +90,34 @@
         if let Some(event) = last_event {
             call = call.header(engine_api::LAST_EVENT_ID, event.to_string());
         }
-        answer(call.call())
+        into_head_and_body(call.call())
     }
 
-    /// Tells an engine that nobody waits for a request any more.
+    /// Cancels a request at its engine after the caller has disconnected. A failure is only logged.
     pub(super) fn cancel(&self, assignment: &Assignment) {
         let call = self.agent.delete(stream_url(assignment));
-        let call = call.config().timeout_global(Some(CANCEL_PATIENCE)).build();
+        let call = call.config().timeout_global(Some(CANCEL_TIMEOUT)).build();
         if let Err(error) = call.call() {
-            tracing::debug!("router: cancel of {} failed: {error}", assignment.request);
+            tracing::debug!(
+                "router: cannot cancel request {} at its engine: {error}",
+                assignment.request
+            );
         }
     }
 }
 
 impl UpstreamBody {
-    /// Reads past the last event to the end of the answer, so that the connection can carry
+    /// Reads from the last event to the end of the answer, so that the connection can be reused for
     /// another request.
     pub(super) fn finish(mut self) {
         let mut end = [0; 16];
-        // Anything but the end costs the connection, not the answer.
+        // If the read fails or finds more bytes, only the reuse of the connection is lost: the
+        // answer is already complete.
         let _ = self.reader.read(&mut end);
     }
 
-    /// Reads what has arrived; an empty slice at the end.
+    /// Reads the bytes that have arrived, waiting for some if there are none; returns an empty
+    /// slice at the end of the answer.
     pub(super) fn read<'b>(&mut self, buffer: &'b mut [u8]) -> Result<&'b [u8], UpstreamEnd> {
         match self.reader.read(buffer) {
             Ok(count) => Ok(&buffer[..count]),
@@ -126,17 +132,17 @@
     format!("http://{}{path}/{}", assignment.address, assignment.request)
 }
 
-fn answer(
+fn into_head_and_body(
     result: Result<Response<Body>, ureq::Error>,
 ) -> Result<(UpstreamHead, UpstreamBody), UpstreamEnd> {
-    let response = result.map_err(|error| end_of(&error))?;
-    let head = head_of(response.status().as_u16(), response.headers());
+    let response = result.map_err(|error| upstream_end(&error))?;
+    let head = upstream_head(response.status().as_u16(), response.headers());
     let reader = response.into_body().into_reader();
     Ok((head, UpstreamBody { reader }))
 }
 
-/// Only a connection that was never there proves that nothing was sent.
-fn end_of(error: &ureq::Error) -> UpstreamEnd {
+/// Classifies a failed call. Only a failure to connect proves that nothing was sent.
+fn upstream_end(error: &ureq::Error) -> UpstreamEnd {
     match error {
         ureq::Error::Timeout(ureq::Timeout::Connect) | ureq::Error::ConnectionFailed => {
             UpstreamEnd::NotConnected
@@ -149,7 +155,7 @@
     }
 }
 
-fn head_of(status: u16, headers: &HeaderMap) -> UpstreamHead {
+fn upstream_head(status: u16, headers: &HeaderMap) -> UpstreamHead {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let number = |name: &str| text(name).and_then(|count| count.parse().ok());
     UpstreamHead {
@@ -166,7 +172,7 @@
     }
 }
 
-fn priority_word(priority: Priority) -> &'static str {
+fn priority_name(priority: Priority) -> &'static str {
     match priority {
         Priority::Interactive => "interactive",
         Priority::Standard => "standard",
--- a/crates/node/src/settings_file.rs
+++ b/crates/node/src/settings_file.rs
@@ -1,31 +1,31 @@
-//! Reads settings files.
+//! Loads settings files.
 
 use std::path::{Path, PathBuf};
 
 use drumshore_core::settings::{parse, Settings, SettingsError};
 
-/// Why a settings file cannot be used.
+/// Why a settings file cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{path}: {source}", path = path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is not valid.
+    /// The file is not valid.
     #[error("{path}: {source}", path = path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The key, the line, what was found and what is allowed.
+        /// Names the key and line, the value found and the values allowed.
         source: SettingsError,
     },
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 pub fn load<S: Settings>(path: &Path) -> Result<S, LoadError> {
     let text = std::fs::read_to_string(path).map_err(|source| LoadError::Unreadable {
         path: path.to_owned(),
