--- a/crates/testbed/src/engine/core.rs
+++ b/crates/testbed/src/engine/core.rs
@@ -185,7 +185,7 @@
             .incarnation
             .is_some_and(|meant| meant != self.incarnation)
         {
-            self.violations.push(Violation::OtherStart(request.id));
+            self.violations.push(Violation::OtherIncarnation(request.id));
         }
         self.cancel(request.id);
         let position = self
@@ -260,7 +260,7 @@
     }
 
     /// True when loading waits to begin: what was running has ended.
-    pub fn wants_to_load(&self) -> bool {
+    pub fn ready_to_load_weights(&self) -> bool {
         self.ordered.is_some() && self.load_ends_at.is_none() && self.open() == 0
     }
 
--- a/crates/testbed/src/engine/http.rs
+++ b/crates/testbed/src/engine/http.rs
@@ -139,7 +139,7 @@
                 state.hand_out(output);
             }
             state.testify();
-            if state.core.wants_to_load() {
+            if state.core.ready_to_load_weights() {
                 drop(state);
                 let takes = self.load_time();
                 state = self.lock();
--- a/crates/testbed/src/engine/types.rs
+++ b/crates/testbed/src/engine/types.rs
@@ -125,7 +125,7 @@
     /// It was served from a block computed with other weights.
     OtherWeights(RequestId),
     /// It was meant for another start, whose cache it relied on.
-    OtherStart(RequestId),
+    OtherIncarnation(RequestId),
 }
 
 /// What is known of a stream, to resume it.
--- a/crates/testbed/src/sim/engines.rs
+++ b/crates/testbed/src/sim/engines.rs
@@ -398,7 +398,7 @@
         };
         let executions = core.take_executions();
         let violations = core.take_violations();
-        if core.wants_to_load() {
+        if core.ready_to_load_weights() {
             let loading = self.platform.begin_load(Duration::from_micros(now.0));
             let takes = core.params().timing.weight_load(loading);
             core.begin_load(takes, now);
@@ -412,7 +412,7 @@
             let detail = match violation {
                 Violation::OtherTenant(id) => format!("{id} used another tenant's block"),
                 Violation::OtherWeights(id) => format!("{id} used a block of other weights"),
-                Violation::OtherStart(id) => format!("{id} was meant for another start"),
+                Violation::OtherIncarnation(id) => format!("{id} was meant for another start"),
             };
             self.fail(Promise::CacheTrust, detail);
         }
