--- a/crates/testbed/src/bench/log.rs
+++ b/crates/testbed/src/bench/log.rs
@@ -61,8 +61,8 @@
     let syncs_per_second = raw_syncs(folder, seconds)?;
     let mut commits = Vec::new();
     for batch in BATCHES {
-        let part = folder.join(format!("batch-{batch}"));
-        let report = commit_batches(&part, batch, seconds, syncs_per_second)?;
+        let batch_folder = folder.join(format!("batch-{batch}"));
+        let report = commit_batches(&batch_folder, batch, seconds, syncs_per_second)?;
         commits.push(report);
     }
     let recovery_ms = [500, 100_000]
@@ -188,11 +188,11 @@
 
 /// Writes a log of so many entries, and gives the time to open it again, in milliseconds.
 fn recover(folder: &Path, entries: u64) -> Result<f64, LogError> {
-    const AT_ONCE: usize = 500;
+    const PROPOSALS_PER_COMMIT: usize = 500;
     let folder = folder.join(format!("recover-{entries}"));
     let mut cluster = Cluster::open(&folder, 1)?;
-    for _ in 0..entries / AT_ONCE as u64 {
-        cluster.commit(AT_ONCE)?;
+    for _ in 0..entries / PROPOSALS_PER_COMMIT as u64 {
+        cluster.commit(PROPOSALS_PER_COMMIT)?;
     }
     drop(cluster);
     let identity = FolderIdentity {
--- a/crates/testbed/src/bench/routing/control.rs
+++ b/crates/testbed/src/bench/routing/control.rs
@@ -15,17 +15,17 @@
     LoadUpdate, Message, AGE_UNIT_MS, WAITING_UNIT_TOKENS,
 };
 
-use super::run::{zone, Bench, POOL, RECORDED, WEIGHTS};
+use super::run::{zone, Bench, POOL, RECORDED_ROUTER, WEIGHTS};
 
 /// How often control machines ask engines, and how old the answers are when they arrive.
-pub(super) const POLL_EVERY: Duration = Duration::from_millis(500);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(500);
 const REPORT_AGE: Duration = Duration::from_millis(350);
 
 /// From a router to its control machine.
-const ONE_WAY: Duration = Duration::from_millis(1);
+const ONE_WAY_LATENCY: Duration = Duration::from_millis(1);
 
 /// Until a booking has reached the other control machines: they relay with their clock's tick.
-const RELAYED_AFTER: Duration = Duration::from_millis(50);
+const RELAY_DELAY: Duration = Duration::from_millis(50);
 
 /// What routers or control machines will be told.
 pub(super) enum Report {
@@ -67,17 +67,17 @@
         self.control_bytes += frame_bytes(&update);
     }
 
-    pub(super) fn take_reports(&mut self) {
+    pub(super) fn deliver_reports(&mut self) {
         let now = self.now;
         let (due, later) = self.reports.drain(..).partition(|(at, _)| *at <= now);
         self.reports = later;
         let due: Vec<(drumshore_core::Timestamp, Report)> = due;
         for (_, report) in due {
-            self.take_report(report);
+            self.deliver_report(report);
         }
     }
 
-    fn take_report(&mut self, report: Report) {
+    fn deliver_report(&mut self, report: Report) {
         match report {
             Report::Load(position, load) => {
                 let engine = self.ids[position];
@@ -90,10 +90,10 @@
                     indexer.on_load(engine, load);
                 }
                 let report = load;
-                self.record(RECORDED, TraceEvent::Load { engine, report });
+                self.record(RECORDED_ROUTER, TraceEvent::Load { engine, report });
             }
             Report::Start(position, incarnation, state) => {
-                self.tell(position, incarnation, state);
+                self.observe_engine(position, incarnation, state);
             }
             Report::Cache(position, report) => {
                 for indexer in &mut self.indexers {
@@ -106,7 +106,12 @@
         }
     }
 
-    pub(super) fn tell(&mut self, engine: usize, incarnation: Incarnation, state: EngineState) {
+    pub(super) fn observe_engine(
+        &mut self,
+        engine: usize,
+        incarnation: Incarnation,
+        state: EngineState,
+    ) {
         let observation = EngineObservation {
             name: EngineName::new(format!("engine-{engine}")),
             address: String::new(),
@@ -120,17 +125,17 @@
             placer.engines_mut().observe(observation.clone());
         }
         self.states[engine] = state;
-        self.record(RECORDED, TraceEvent::Engine { observation });
+        self.record(RECORDED_ROUTER, TraceEvent::Engine { observation });
     }
 
     /// The index beside the router's control machine answers by what it knows now.
-    pub(super) fn ask_index(&mut self, number: u64) {
+    pub(super) fn query_index(&mut self, number: u64) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
         let scheduler = self.placers[job.router].scheduler().params();
-        let question = IndexLookup {
-            id: question_id(job.router, number),
+        let lookup = IndexLookup {
+            id: lookup_id(job.router, number),
             prefixes: job.chain.lookup_prefixes(),
             block_tokens: job.chain.block_tokens(),
             prompt_tokens: job.chain.prompt_tokens(),
@@ -140,44 +145,45 @@
         let ready = self.ids.iter().zip(&self.states);
         let ready = ready.filter(|(_, state)| **state == EngineState::Ready);
         let machine = job.router % self.indexers.len();
-        let holdings = self.indexers[machine].ask(&question, ready.map(|(id, _)| *id), self.now);
-        self.index_bytes += question_bytes(&question) + answer_bytes(holdings.len());
-        let block_tokens = question.block_tokens;
+        let holdings = self.indexers[machine].ask(&lookup, ready.map(|(id, _)| *id), self.now);
+        self.index_traffic_bytes += lookup_bytes(&lookup) + answer_bytes(holdings.len());
+        let block_tokens = lookup.block_tokens;
         let answers = holdings.iter().map(|holding| answer(holding, block_tokens));
         job.answers = Some(answers.collect());
-        job.asked = true;
-        self.retries.push((self.now.plus(ONE_WAY * 2), number));
+        job.lookup_pending = true;
+        self.retries
+            .push((self.now.plus(ONE_WAY_LATENCY * 2), number));
     }
 
     /// A router tells its control machine what it placed, and this one the others.
     pub(super) fn book_at_index(&mut self, number: u64, placement: &Placement) {
-        let asks = self.asks();
+        let uses_index = self.uses_index();
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        let asked = std::mem::take(&mut job.asked);
+        let lookup_pending = std::mem::take(&mut job.lookup_pending);
         let missing = placement.missing_tokens();
-        if !asks || (!asked && missing < MIN_BOOKED_TOKENS) {
+        if !uses_index || (!lookup_pending && missing < MIN_BOOKED_TOKENS) {
             return;
         }
-        self.index_bytes += booking_bytes();
+        self.index_traffic_bytes += booking_bytes();
         let own = job.router % self.indexers.len();
-        let question = question_id(job.router, number);
-        let booking = self.indexers[own].booking_for_lookup(question, placement.engine, missing);
+        let lookup = lookup_id(job.router, number);
+        let booking = self.indexers[own].booking_for_lookup(lookup, placement.engine, missing);
         for machine in 0..self.indexers.len() {
-            let relayed = if machine == own {
+            let relay_delay = if machine == own {
                 Duration::ZERO
             } else {
-                RELAYED_AFTER
+                RELAY_DELAY
             };
             let booking = booking.clone();
-            let at = self.now.plus(ONE_WAY + relayed);
+            let at = self.now.plus(ONE_WAY_LATENCY + relay_delay);
             self.reports.push((at, Report::Booked { machine, booking }));
         }
     }
 }
 
-fn question_id(router: usize, number: u64) -> LookupId {
+fn lookup_id(router: usize, number: u64) -> LookupId {
     LookupId {
         requester: router as u64,
         ticket: number as u32,
@@ -199,13 +205,13 @@
     encode_frame(message).map_or(0, |frame| frame.len() as u64)
 }
 
-fn question_bytes(question: &IndexLookup) -> u64 {
-    let hashes = question.prefixes.iter().map(|prefix| prefix.hash.0);
+fn lookup_bytes(lookup: &IndexLookup) -> u64 {
+    let hashes = lookup.prefixes.iter().map(|prefix| prefix.hash.0);
     frame_bytes(&Message::IndexQuestion(IndexQuestion {
-        ticket: question.id.ticket,
+        ticket: lookup.id.ticket,
         like: 0,
-        block_tokens: question.block_tokens,
-        prompt_tokens: question.prompt_tokens,
+        block_tokens: lookup.block_tokens,
+        prompt_tokens: lookup.prompt_tokens,
         recompute_weight: 0,
         limit: 0,
         step: 1,
--- a/crates/testbed/src/bench/routing/run.rs
+++ b/crates/testbed/src/bench/routing/run.rs
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
-use super::control::{ids, Report, POLL_EVERY};
+use super::control::{ids, Report, POLL_INTERVAL};
 use super::{name, PolicyReport, RoutingBench};
 use crate::engine::{EngineCore, EngineOutput, EngineParams, EngineRequest, Submission};
 use crate::load::{histogram, Percentiles};
@@ -27,16 +27,16 @@
 pub(super) const WEIGHTS: WeightsVersion = WeightsVersion(1);
 
 /// How long routers do not know of an engine's new start.
-const RESTART_UNKNOWN: Duration = Duration::from_millis(700);
+const RESTART_DETECTION_DELAY: Duration = Duration::from_millis(700);
 
 /// How long an engine that crashed is away.
-const AWAY: Duration = Duration::from_secs(3);
+const ENGINE_DOWNTIME: Duration = Duration::from_secs(3);
 
 /// The oracle's own weight, whatever the product's: the one at which its tail is shortest.
 const ORACLE_RECOMPUTE_WEIGHT: f64 = 1.5;
 
 /// A request that was refused is placed again after this long.
-const REPLACE_AFTER: Duration = Duration::from_millis(2);
+const RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// Requests before this time warm the caches and are not counted.
 const WARM_UP: Duration = Duration::from_secs(40);
@@ -50,7 +50,7 @@
     /// What the index answered, until the request is placed.
     pub(super) answers: Option<Vec<LookupAnswer>>,
     /// The index was asked, and is owed a booking.
-    pub(super) asked: bool,
+    pub(super) lookup_pending: bool,
     placement: Option<Placement>,
 }
 
@@ -71,13 +71,13 @@
     pub(super) retries: Vec<(Timestamp, u64)>,
     pub(super) reports: Vec<(Timestamp, Report)>,
     next_job: u64,
-    next_start: u64,
+    next_incarnation: u64,
     first_token: Histogram<u64>,
     requests: u64,
     prompt_tokens: u64,
     cached_tokens: u64,
     pub(super) control_bytes: u64,
-    pub(super) index_bytes: u64,
+    pub(super) index_traffic_bytes: u64,
     decisions: u64,
     deciding: Duration,
     /// What the first router's placer is told, when that is wanted.
@@ -85,7 +85,7 @@
 }
 
 /// The router that is recorded.
-pub(super) const RECORDED: usize = 0;
+pub(super) const RECORDED_ROUTER: usize = 0;
 
 impl Bench {
     pub(super) fn new(
@@ -127,35 +127,35 @@
             retries: Vec::new(),
             reports: Vec::new(),
             next_job: 0,
-            next_start: 0,
+            next_incarnation: 0,
             first_token: histogram(),
             requests: 0,
             prompt_tokens: 0,
             cached_tokens: 0,
             control_bytes: 0,
-            index_bytes: 0,
+            index_traffic_bytes: 0,
             decisions: 0,
             deciding: Duration::ZERO,
             trace,
             params,
         };
         bench.record(
-            RECORDED,
+            RECORDED_ROUTER,
             TraceEvent::Start {
                 params: scheduler,
-                seed: router_seed(seed, RECORDED),
+                seed: router_seed(seed, RECORDED_ROUTER),
             },
         );
         for engine in 0..bench.params.engines {
             let incarnation = bench.start_engine(engine);
-            bench.tell(engine, incarnation, EngineState::Ready);
+            bench.observe_engine(engine, incarnation, EngineState::Ready);
         }
         bench
     }
 
     pub(super) fn record(&mut self, router: usize, event: TraceEvent) {
         let at = self.now;
-        if let Some(trace) = self.trace.as_mut().filter(|_| router == RECORDED) {
+        if let Some(trace) = self.trace.as_mut().filter(|_| router == RECORDED_ROUTER) {
             trace.push(TraceLine { at, event });
         }
     }
@@ -166,63 +166,64 @@
         let rate = self.params.requests_per_second;
         let seconds = |at: Timestamp| at.0 as f64 / 1e6;
         let after = |at: Timestamp, gap: f64| at.plus(Duration::from_secs_f64(gap));
-        let mut next_ask = after(self.now, generator.next_gap(rate));
-        let mut next_poll = self.now.plus(POLL_EVERY);
+        let mut next_request_at = after(self.now, generator.next_gap(rate));
+        let mut next_poll = self.now.plus(POLL_INTERVAL);
         let mut next_crash = self.now.plus(self.params.crash_every);
-        let mut returns: Option<(Timestamp, usize)> = None;
+        let mut restart: Option<(Timestamp, usize)> = None;
         loop {
-            let at = self.next_at(&[next_ask, next_poll, next_crash], returns);
+            let at = self.next_at(&[next_request_at, next_poll, next_crash], restart);
             if at > end {
                 let trace = self.trace.take().unwrap_or_default();
                 return (self.report(), trace);
             }
             self.now = at;
             self.advance_engines();
-            self.take_reports();
-            self.place_again();
-            if next_ask <= at {
+            self.deliver_reports();
+            self.place_retries();
+            if next_request_at <= at {
                 let request = generator.next_request(seconds(at));
-                self.ask(request);
-                next_ask = after(at, generator.next_gap(rate));
+                self.start_request(request);
+                next_request_at = after(at, generator.next_gap(rate));
             }
             if next_poll <= at {
                 self.poll_engines();
-                next_poll = at.plus(POLL_EVERY);
+                next_poll = at.plus(POLL_INTERVAL);
             }
             if next_crash <= at {
                 let engine = self.random.random_range(0..self.params.engines);
                 self.crash(engine);
-                returns = Some((at.plus(AWAY), engine));
+                restart = Some((at.plus(ENGINE_DOWNTIME), engine));
                 next_crash = at.plus(self.params.crash_every);
             }
-            if let Some((_, engine)) = returns.take_if(|(due, _)| *due <= at) {
+            if let Some((_, engine)) = restart.take_if(|(due, _)| *due <= at) {
                 let incarnation = self.start_engine(engine);
                 let report = Report::Start(engine, incarnation, EngineState::Ready);
-                self.reports.push((at.plus(RESTART_UNKNOWN), report));
+                self.reports
+                    .push((at.plus(RESTART_DETECTION_DELAY), report));
             }
         }
     }
 
-    fn next_at(&self, due: &[Timestamp], returns: Option<(Timestamp, usize)>) -> Timestamp {
+    fn next_at(&self, due: &[Timestamp], restart: Option<(Timestamp, usize)>) -> Timestamp {
         let engines = self.engines.iter().flatten();
         let engines = engines.filter_map(EngineCore::next_event_at);
         let reports = self.reports.iter().map(|(at, _)| *at);
         let retries = self.retries.iter().map(|(at, _)| *at);
-        let returns = returns.map(|(at, _)| at);
+        let restart = restart.map(|(at, _)| at);
         let next = due
             .iter()
             .copied()
             .chain(engines)
             .chain(reports)
             .chain(retries)
-            .chain(returns)
+            .chain(restart)
             .min();
         next.unwrap_or(Timestamp(u64::MAX)).max(self.now)
     }
 
     fn start_engine(&mut self, engine: usize) -> Incarnation {
-        self.next_start += 1;
-        let incarnation = Incarnation(self.next_start);
+        self.next_incarnation += 1;
+        let incarnation = Incarnation(self.next_incarnation);
         let params = EngineParams {
             name: EngineName::new(format!("engine-{engine}")),
             model: ModelName::new(MODEL),
@@ -251,17 +252,18 @@
             self.fail(number);
         }
         let report = Report::Start(engine, Incarnation(0), EngineState::Suspect);
-        self.reports.push((self.now.plus(RESTART_UNKNOWN), report));
+        self.reports
+            .push((self.now.plus(RESTART_DETECTION_DELAY), report));
     }
 
     fn fail(&mut self, number: u64) {
-        const AVOIDED: Duration = Duration::from_secs(2);
+        const AVOID_DURATION: Duration = Duration::from_secs(2);
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
         if let Some(placement) = job.placement.take() {
             job.excluded.push(placement.engine);
-            let until = self.now.plus(AVOIDED);
+            let until = self.now.plus(AVOID_DURATION);
             let router = job.router;
             self.placers[router].on_failed(&placement, Some(until));
             let event = TraceEvent::Failed {
@@ -270,10 +272,10 @@
             };
             self.record(router, event);
         }
-        self.retries.push((self.now.plus(REPLACE_AFTER), number));
+        self.retries.push((self.now.plus(RETRY_DELAY), number));
     }
 
-    fn place_again(&mut self) {
+    fn place_retries(&mut self) {
         let now = self.now;
         let (due, later) = self.retries.drain(..).partition(|(at, _)| *at <= now);
         self.retries = later;
@@ -283,7 +285,7 @@
         }
     }
 
-    fn ask(&mut self, request: WorkloadRequest) {
+    fn start_request(&mut self, request: WorkloadRequest) {
         let tenant = TenantName::new(format!("tenant-{}", request.tenant));
         let root = PrefixRoot::new(&tenant, &ModelName::new(MODEL), WEIGHTS, None);
         let block_tokens = EngineParams::default().block_tokens;
@@ -294,7 +296,7 @@
             asked_at: self.now,
             excluded: Vec::new(),
             answers: None,
-            asked: false,
+            lookup_pending: false,
             placement: None,
             request,
         };
@@ -304,7 +306,7 @@
 
     fn place(&mut self, number: u64) {
         if self.policy == Policy::Exact {
-            self.show_oracle(number);
+            self.set_exact_states(number);
         }
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -348,7 +350,7 @@
         self.record(router, event);
         match decision {
             Ok(Decision::Placed(placement, _)) => self.submit(number, placement),
-            Ok(Decision::Ask(_)) => self.ask_index(number),
+            Ok(Decision::Ask(_)) => self.query_index(number),
             Err(_) => {
                 if let Some(job) = self.jobs.get_mut(&number) {
                     job.excluded.clear();
@@ -360,7 +362,7 @@
     }
 
     /// True when the policy asks the index.
-    pub(super) fn asks(&self) -> bool {
+    pub(super) fn uses_index(&self) -> bool {
         self.policy == Policy::Product
     }
 
@@ -398,7 +400,7 @@
 
     /// Shows the request's router every queue as it is, and through beliefs what each engine
     /// holds of this very prompt.
-    fn show_oracle(&mut self, number: u64) {
+    fn set_exact_states(&mut self, number: u64) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
@@ -461,7 +463,7 @@
         let Some(placement) = &job.placement else {
             return;
         };
-        let mut told = None;
+        let mut first_token_report = None;
         if output.index == 0 {
             let placer = &mut self.placers[job.router];
             let report = AnswerReport {
@@ -469,7 +471,7 @@
                 load: output.load,
             };
             placer.on_first_token(placement, report, output.at);
-            told = Some((job.router, report));
+            first_token_report = Some((job.router, report));
             if job.asked_at >= Timestamp(0).plus(WARM_UP) {
                 let took = output.at.since(job.asked_at).as_micros() as u64;
                 self.first_token.saturating_record(took.max(1));
@@ -478,7 +480,7 @@
                 self.cached_tokens += u64::from(output.cached_tokens);
             }
         }
-        if let Some((router, report)) = told {
+        if let Some((router, report)) = first_token_report {
             let event = TraceEvent::FirstToken {
                 request: number,
                 report,
@@ -497,7 +499,7 @@
 
     fn report(self) -> PolicyReport {
         let counted = self.prompt_tokens.max(1) as f64;
-        let indexed = self.index_bytes as f64 / self.params.routers as f64;
+        let indexed = self.index_traffic_bytes as f64 / self.params.routers as f64;
         let bytes = self.control_bytes as f64 + indexed;
         PolicyReport {
             policy: name(self.policy),
--- a/crates/testbed/src/bench/streams.rs
+++ b/crates/testbed/src/bench/streams.rs
@@ -12,7 +12,7 @@
 use drumshore_node::operator::{self, Command, ExitStatus, Options};
 use serde::Serialize;
 
-use super::usage::{Reading, Usage};
+use super::usage::{ProcessSample, Usage};
 use crate::engine::{EngineParams, EngineTiming};
 use crate::fleet::settings::{self, ControlAddresses, MODEL, OPERATOR_KEY, POOL};
 use crate::fleet::{Layout, Process};
@@ -78,10 +78,10 @@
         .map(|(_, address)| address.to_string())
         .collect();
     let direct = load::run(&load_params(params, engines, 1), |_, _| {});
-    let before = Reading::take(bench.router.id(), bench.router_address);
+    let before = ProcessSample::read(bench.router.id(), bench.router_address);
     let target = vec![bench.router_address.to_string()];
     let routed = load::run(&load_params(params, target, 2), |_, _| {});
-    let router = Reading::take(bench.router.id(), bench.router_address).since(&before);
+    let router = ProcessSample::read(bench.router.id(), bench.router_address).since(&before);
     Ok(StreamsReport {
         direct,
         routed,
@@ -90,7 +90,7 @@
 }
 
 fn load_params(params: StreamsParams, targets: Vec<String>, seed: u64) -> LoadParams {
-    const SPARE: f64 = 1.6;
+    const CALLER_HEADROOM: f64 = 1.6;
     let answer_seconds = f64::from(params.output_tokens) * params.token_gap_us / 1e6;
     let open = params.requests_per_second * (answer_seconds + 0.2);
     LoadParams {
@@ -117,7 +117,7 @@
         },
         seed,
         requests_per_second: params.requests_per_second,
-        callers: (open * SPARE) as usize + 16,
+        callers: (open * CALLER_HEADROOM) as usize + 16,
         duration: params.duration,
         caller: CallerParams {
             targets,
@@ -153,17 +153,17 @@
             "drumshore",
             "control",
             "--config",
-            text(&config)?,
+            path_str(&config)?,
             "--bootstrap",
         ];
         let control = Process::spawn("control", &arguments, &folder.join("control.log"))?;
         let router_address = settings::free_address(ip)?;
         let config =
             settings::write_router(folder, "router", "zone-1", router_address, &[addresses])?;
-        let arguments = ["drumshore", "router", "--config", text(&config)?];
+        let arguments = ["drumshore", "router", "--config", path_str(&config)?];
         let router = Process::spawn("router", &arguments, &folder.join("router.log"))?;
         write_resources(folder, &addresses)?;
-        await_ready(router_address)?;
+        wait_ready(router_address)?;
         Ok(Self {
             _platform: platform,
             engines,
@@ -202,7 +202,7 @@
     let arguments = [
         "engine",
         "--config",
-        text(&config)?,
+        path_str(&config)?,
         "--listen",
         "127.0.0.1:0",
     ];
@@ -227,10 +227,10 @@
     let layout = Layout::from_name("quickstart").ok_or(StreamsError::NotReady)?;
     let file = settings::write_resources(folder, &layout, &[])?;
     let command = Command::Apply {
-        file: text(&file)?.to_owned(),
+        file: path_str(&file)?.to_owned(),
     };
     let options = Options::new(vec![format!("http://{}", control.operators)], OPERATOR_KEY);
-    await_that(|| std::net::TcpStream::connect(control.operators).is_ok())?;
+    wait_until(|| std::net::TcpStream::connect(control.operators).is_ok())?;
     match operator::run(&command, &options) {
         ExitStatus::Done => Ok(()),
         status => Err(StreamsError::Apply(status)),
@@ -238,16 +238,16 @@
 }
 
 /// Ready, and with engines to send to.
-fn await_ready(router: SocketAddr) -> Result<(), StreamsError> {
-    const ENGINES_KNOWN_AFTER: Duration = Duration::from_secs(2);
-    await_that(|| ureq::get(format!("http://{router}/readyz")).call().is_ok())?;
-    thread::sleep(ENGINES_KNOWN_AFTER);
+fn wait_ready(router: SocketAddr) -> Result<(), StreamsError> {
+    const ENGINE_DISCOVERY_DELAY: Duration = Duration::from_secs(2);
+    wait_until(|| ureq::get(format!("http://{router}/readyz")).call().is_ok())?;
+    thread::sleep(ENGINE_DISCOVERY_DELAY);
     Ok(())
 }
 
-fn await_that(holds: impl Fn() -> bool) -> Result<(), StreamsError> {
-    const TRIES: usize = 200;
-    for _ in 0..TRIES {
+fn wait_until(holds: impl Fn() -> bool) -> Result<(), StreamsError> {
+    const ATTEMPTS: usize = 200;
+    for _ in 0..ATTEMPTS {
         if holds() {
             return Ok(());
         }
@@ -256,7 +256,7 @@
     Err(StreamsError::NotReady)
 }
 
-fn text(path: &Path) -> io::Result<&str> {
+fn path_str(path: &Path) -> io::Result<&str> {
     path.to_str()
         .ok_or_else(|| io::Error::other("the temporary folder's name is not text"))
 }
--- a/crates/testbed/src/bench/usage.rs
+++ b/crates/testbed/src/bench/usage.rs
@@ -26,16 +26,16 @@
 
 /// A process at one moment.
 #[derive(Clone, Debug)]
-pub struct Reading {
+pub struct ProcessSample {
     at: Instant,
     cpu_seconds: f64,
     resident_mb: f64,
     counters: BTreeMap<String, f64>,
 }
 
-impl Reading {
+impl ProcessSample {
     /// Reads a process and its metrics.
-    pub fn take(process: u32, metrics: SocketAddr) -> Self {
+    pub fn read(process: u32, metrics: SocketAddr) -> Self {
         const BYTES_PER_MB: f64 = 1_048_576.0;
         let stat = Process::new(process as i32).and_then(|process| process.stat());
         let (cpu_seconds, resident_mb) = stat.map_or((0.0, 0.0), |stat| {
@@ -58,8 +58,8 @@
     pub fn since(&self, earlier: &Self) -> Usage {
         let seconds = (self.at - earlier.at).as_secs_f64();
         let rate = |suffix: &str| {
-            let value = |reading: &Self| {
-                let mut counters = reading.counters.iter();
+            let value = |sample: &Self| {
+                let mut counters = sample.counters.iter();
                 counters
                     .find(|(name, _)| name.ends_with(suffix))
                     .map_or(0.0, |(_, value)| *value)
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -18,53 +18,54 @@
 use crate::workload::Profile;
 
 const HELP: &str = "\
-drumshore-lab - stand-ins, load and experiments for drumshore
+drumshore-lab - mock services, load generation and experiments for drumshore
 
   fleet --layout quickstart|surtidor|sohar-quay [--seconds N] [--seed N] [--no-faults]
-        [--json FILE]          run a whole fleet with real traffic and report
+        [--json FILE]          run a fleet of processes under load and print a report
   load --target IP:PORT [--target ...] --key KEY [--key ...] --model NAME
        [--profile surtidor|sohar-quay] [--rate R] [--callers N] [--seconds N] [--seed N]
        [--block-tokens N] [--json FILE]
-                               make load against routers or engines
+                               send load to routers or engines and check the answers
   sim [--scenario NAME|all] [--seed N] [--seeds COUNT] [--without GUARD] [--json FILE]
-  sim --list | --list-guards   simulate the fleet under failures on a virtual clock
+  sim --list | --list-guards   simulate a fleet with faults on a virtual clock
   bench routing --workload surtidor|sohar-quay [--seed N] [--seconds N] [--rate R]
         [--scheduler JSON] [--json FILE]
-                               the same requests under every policy and an oracle
+                               run the same requests under every policy and an oracle
   bench routing --workload W --record TRACE
-                               record what the product's first router is told and asked
+                               record the input of the first router under the product policy
   replay TRACE [--expect FILE] [--write-expect FILE]
-                               replay a trace, and show the first difference from what is stated
+                               replay a trace and print the first difference from the expected
   bench decision | log | streams [--short] [--seconds N] [--json FILE]
-                               the cost of a decision; the log against its disk; streams through
-                               a router against streams without one
+                               measure the time of a routing decision; commits of the replicated
+                               log against raw disk syncs; streams with and without a router
   engine [--config FILE] [--listen IP:PORT] [--platform URL] [--witness FILE]
-                               run an engine stand-in; prints its address
+                               run a mock engine and print its address
   platform [--listen IP:PORT] [--lag-ms N]
-                               run a platform stand-in; prints its address
+                               run a mock platform and print its address
 ";
 
-/// Why a command did not do what it should.
+/// Why a command could not run. The program exits with status 2.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LabError {
-    /// The command line is wrong.
+    /// An option is missing or its value does not parse.
     #[error(transparent)]
     Arguments(#[from] pico_args::Error),
-    /// A file or socket failed.
+    /// An I/O operation on a file or socket failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A document is not readable.
+    /// A JSON document could not be parsed or written.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A fleet did not run.
+    /// A fleet could not be started or controlled.
     #[error(transparent)]
     Fleet(#[from] fleet::FleetError),
-    /// A word has no meaning here.
+    /// An unknown command, name or argument, or a failure reported as text.
     #[error("{0}")]
     Usage(String),
 }
 
-/// Runs the program with arguments that follow its name.
+/// Runs the program with `arguments`, which do not include its name. `drumshore` as the first
+/// argument runs the drumshore binary with the rest, so that a fleet needs one executable only.
 pub fn main(arguments: Vec<OsString>) -> ExitCode {
     if arguments.first().is_some_and(|word| word == "drumshore") {
         return drumshore_node::main(arguments[1..].to_vec());
@@ -84,7 +85,7 @@
     }
 }
 
-/// False when the command ran and found fault.
+/// Runs one command. Returns false when it ran and a check of its results failed.
 fn run(mut arguments: Arguments) -> Result<bool, LabError> {
     let command = arguments.subcommand()?.unwrap_or_default();
     match command.as_str() {
@@ -118,7 +119,10 @@
 fn run_fleet(mut arguments: Arguments) -> Result<bool, LabError> {
     let name: String = arguments.value_from_str("--layout")?;
     let layout = Layout::from_name(&name).ok_or_else(|| {
-        LabError::Usage(format!("no layout {name:?}; there are {:?}", Layout::NAMES))
+        LabError::Usage(format!(
+            "unknown layout {name:?}; expected one of {:?}",
+            Layout::NAMES
+        ))
     })?;
     let seconds: Option<u64> = arguments.opt_value_from_str("--seconds")?;
     let json: Option<PathBuf> = arguments.opt_value_from_str("--json")?;
@@ -132,7 +136,7 @@
     let report = fleet::run(&options)?;
     println!("layout {}\n{}", report.layout, report.load.to_text());
     println!(
-        "work begun late by a drained engine {}, routers stopped in order {} of {}",
+        "requests started late by a drained engine {}, routers stopped cleanly {} of {}",
         report.late_work, report.routers_stopped, report.routers
     );
     write_json(json.as_deref(), &report)?;
@@ -146,7 +150,7 @@
     let profile = match profile.as_deref() {
         None => Profile::Surtidor,
         Some(word) => Profile::from_word(word)
-            .ok_or_else(|| LabError::Usage(format!("no profile {word:?}")))?,
+            .ok_or_else(|| LabError::Usage(format!("unknown profile {word:?}")))?,
     };
     let seconds: Option<u64> = arguments.opt_value_from_str("--seconds")?;
     let json: Option<PathBuf> = arguments.opt_value_from_str("--json")?;
--- a/crates/testbed/src/engine/core.rs
+++ b/crates/testbed/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The engine in virtual time.
+//! The mock engine in virtual time, without I/O.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,21 +18,21 @@
     Submission, Violation,
 };
 
-/// How long a finished stream can be resumed.
-const STREAM_KEPT: Duration = Duration::from_secs(30);
+/// How long a finished stream stays resumable.
+const STREAM_RETENTION: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Debug)]
 struct Sequence {
     request: EngineRequest,
     cached_tokens: u32,
-    to_prefill: u32,
+    prefill_remaining: u32,
     emitted: u32,
 }
 
 #[derive(Clone, Debug)]
 struct Step {
     ends_at: Timestamp,
-    /// Tokens computed of each running sequence's prompt, in their order.
+    /// Prompt tokens that the step computes for each running sequence, in the order of the batch.
     prefill: Vec<u32>,
 }
 
@@ -46,15 +46,15 @@
     finished_at: Option<Timestamp>,
 }
 
-/// An engine.
+/// An engine whose time advances only when its methods are called with a later time.
 #[derive(Clone, Debug)]
 pub struct EngineCore {
     params: EngineParams,
     incarnation: Incarnation,
     weights_version: WeightsVersion,
-    ordered: Option<WeightsVersion>,
+    ordered_weights: Option<WeightsVersion>,
     load_ends_at: Option<Timestamp>,
-    obeyed: (Epoch, Revision),
+    last_order: (Epoch, Revision),
     leaving: bool,
     cache: BlockCache,
     waiting: Vec<Sequence>,
@@ -69,7 +69,7 @@
 }
 
 impl EngineCore {
-    /// An engine that has just started: empty, with a new incarnation.
+    /// Creates a freshly started engine with an empty cache.
     pub fn new(params: EngineParams, incarnation: Incarnation) -> Self {
         let weights_version = params.weights_version;
         let report = EngineProbe {
@@ -86,9 +86,9 @@
             params,
             incarnation,
             weights_version,
-            ordered: None,
+            ordered_weights: None,
             load_ends_at: None,
-            obeyed: (Epoch(0), Revision(0)),
+            last_order: (Epoch(0), Revision(0)),
             leaving: false,
             waiting: Vec::new(),
             running: Vec::new(),
@@ -102,44 +102,47 @@
         }
     }
 
-    /// Its settings.
+    /// Returns the settings.
     pub fn params(&self) -> &EngineParams {
         &self.params
     }
 
-    /// Its settings, to change how long things take.
+    /// Returns the timing model for modification.
     pub fn timing_mut(&mut self) -> &mut EngineTiming {
         &mut self.params.timing
     }
 
-    /// Its start.
+    /// Returns the identity of this start of the engine.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The weights it holds; 0 while it loads.
+    /// Returns the loaded weights; 0 while weights are being loaded.
     pub fn weights_version(&self) -> WeightsVersion {
         self.weights_version
     }
 
-    /// Its block memory.
+    /// Returns the KV block cache.
     pub fn cache(&self) -> &BlockCache {
         &self.cache
     }
 
-    /// Counters.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> EngineCounters {
         self.counters
     }
 
-    /// Requests that wait or run.
+    /// Returns the number of requests that are queued or running.
     pub fn open(&self) -> usize {
         self.waiting.len() + self.running.len()
     }
 
-    /// Prompt tokens that are still to be computed.
+    /// Returns the number of prompt tokens that remain to be computed for all open requests.
     pub fn waiting_tokens(&self) -> u32 {
-        let running = self.running.iter().map(|sequence| sequence.to_prefill);
+        let running = self
+            .running
+            .iter()
+            .map(|sequence| sequence.prefill_remaining);
         let waiting = self.waiting.iter().map(|sequence| {
             let cached = self.cached_tokens(&sequence.request);
             sequence.request.prompt_tokens.saturating_sub(cached)
@@ -147,35 +150,35 @@
         running.chain(waiting).sum()
     }
 
-    /// Sequences in the batch.
+    /// Returns the number of sequences in the batch.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Prompt tokens of a request that would be found now.
+    /// Returns how many prompt tokens of a request are in the cache now.
     pub fn cached_tokens(&self, request: &EngineRequest) -> u32 {
-        let blocks = self.cache.leading(&request.chain);
+        let blocks = self.cache.cached_prefix_blocks(&request.chain);
         let cached = blocks as u32 * self.params.block_tokens;
-        // At least one token is computed, to have something to continue from.
+        // The last prompt token is always computed: its output is the first token of the answer.
         cached.min(request.prompt_tokens.saturating_sub(1))
     }
 
-    /// What its cache publishes.
+    /// Returns the report of cached blocks or of their changes.
     pub fn cache_report(&self, wanted: ReportWanted) -> CacheReport {
         self.cache.report(wanted)
     }
 
-    /// Requests that began to run since the last call, in order.
+    /// Returns the requests that started to run since the last call, in order.
     pub fn take_executions(&mut self) -> Vec<Executed> {
         std::mem::take(&mut self.executions)
     }
 
-    /// Promises broken since the last call.
+    /// Returns the invariant violations since the last call.
     pub fn take_violations(&mut self) -> Vec<Violation> {
         std::mem::take(&mut self.violations)
     }
 
-    /// Takes a request in, or refuses it.
+    /// Queues a request by priority, or refuses it. A repeated id replaces the earlier request.
     pub fn submit(&mut self, request: EngineRequest, now: Timestamp) -> Submission {
         if let Some(refusal) = self.refusal(&request) {
             self.counters.refused += 1;
@@ -183,9 +186,10 @@
         }
         if request
             .incarnation
-            .is_some_and(|meant| meant != self.incarnation)
+            .is_some_and(|expected| expected != self.incarnation)
         {
-            self.violations.push(Violation::OtherIncarnation(request.id));
+            self.violations
+                .push(Violation::OtherIncarnation(request.id));
         }
         self.cancel(request.id);
         let position = self
@@ -194,7 +198,7 @@
         let sequence = Sequence {
             request,
             cached_tokens: 0,
-            to_prefill: 0,
+            prefill_remaining: 0,
             emitted: 0,
         };
         self.waiting.insert(position, sequence);
@@ -202,7 +206,7 @@
         Submission::Accepted
     }
 
-    /// Forgets a request that nobody waits for.
+    /// Cancels a request and discards its stream.
     pub fn cancel(&mut self, id: RequestId) {
         self.waiting.retain(|sequence| sequence.request.id != id);
         if let Some(position) = self
@@ -220,7 +224,7 @@
         self.streams.remove(&id);
     }
 
-    /// What is known of a stream; `None` when it is not known here.
+    /// Returns the state of a stream; `None` when the id is unknown or no longer retained.
     pub fn stream(&self, id: RequestId) -> Option<StreamSummary> {
         let waits = self
             .waiting
@@ -244,38 +248,41 @@
         })
     }
 
-    /// Takes an order; false when it is older than one obeyed before.
+    /// Applies an order of a control machine. Returns false when it is older than the last applied
+    /// order.
     pub fn order(&mut self, order: &EngineOrder) -> bool {
         let fence = (order.epoch, order.revision);
-        if fence < self.obeyed {
+        if fence < self.last_order {
             return false;
         }
-        self.obeyed = fence;
+        self.last_order = fence;
         let wanted = order.weights_version;
         if self.load_ends_at.is_none() {
-            // What was accepted before ends with the weights that it was accepted for.
-            self.ordered = (wanted != self.weights_version).then_some(wanted);
+            // Loading begins once no request is open, so requests accepted earlier finish with
+            // the weights they were accepted for.
+            self.ordered_weights = (wanted != self.weights_version).then_some(wanted);
         }
         true
     }
 
-    /// True when loading waits to begin: what was running has ended.
+    /// Returns true when other weights are ordered and all earlier requests have ended.
     pub fn ready_to_load_weights(&self) -> bool {
-        self.ordered.is_some() && self.load_ends_at.is_none() && self.open() == 0
+        self.ordered_weights.is_some() && self.load_ends_at.is_none() && self.open() == 0
     }
 
-    /// Begins to load, for as long as it will take.
+    /// Begins to load the ordered weights, which takes the time `takes`.
     pub fn begin_load(&mut self, takes: Duration, now: Timestamp) {
         self.weights_version = WeightsVersion(0);
         self.load_ends_at = Some(now.plus(takes));
     }
 
-    /// From now on new work is refused.
+    /// Refuses all new requests from now on.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// The engine's own word, with the lag of its reports.
+    /// Returns the status of the engine. Its load is refreshed only when it is older than the
+    /// report lag. The weights are 0 while others are ordered or being loaded.
     pub fn probe(&mut self, now: Timestamp) -> EngineProbe {
         let lag = Duration::from_millis(self.params.timing.report_lag_ms);
         if now.since(self.report_at) >= lag {
@@ -283,7 +290,7 @@
             self.report.waiting_tokens = self.waiting_tokens();
             self.report.running = self.running.len() as u32;
         }
-        let weights_version = match self.ordered {
+        let weights_version = match self.ordered_weights {
             Some(_) => WeightsVersion(0),
             None => self.weights_version,
         };
@@ -296,13 +303,13 @@
         }
     }
 
-    /// When something happens next.
+    /// Returns the time of the next internal event: the end of a step or of loading.
     pub fn next_event_at(&self) -> Option<Timestamp> {
         let step = self.step.as_ref().map(|step| step.ends_at);
         step.into_iter().chain(self.load_ends_at).min()
     }
 
-    /// Lets time pass, and gives the tokens that were produced.
+    /// Advances the engine to `now`. Returns the tokens produced until then.
     pub fn advance(&mut self, now: Timestamp) -> Vec<EngineOutput> {
         let mut outputs = Vec::new();
         while let Some(step) = self.step.take_if(|step| step.ends_at <= now) {
@@ -311,12 +318,12 @@
         }
         if self.load_ends_at.is_some_and(|at| at <= now) {
             self.load_ends_at = None;
-            self.weights_version = self.ordered.take().unwrap_or(self.weights_version);
+            self.weights_version = self.ordered_weights.take().unwrap_or(self.weights_version);
         }
         self.streams.retain(|_, stream| {
             stream
                 .finished_at
-                .is_none_or(|at| now.since(at) < STREAM_KEPT)
+                .is_none_or(|at| now.since(at) < STREAM_RETENTION)
         });
         outputs
     }
@@ -332,17 +339,17 @@
         if self.leaving {
             return refuse(503, engine_api::REFUSAL_LEAVING);
         }
-        let other_start = request
+        let other_incarnation = request
             .incarnation
-            .is_some_and(|meant| meant != self.incarnation);
-        if other_start && enforced(Guard::IncarnationFence) {
+            .is_some_and(|expected| expected != self.incarnation);
+        if other_incarnation && enforced(Guard::IncarnationFence) {
             return refuse(412, engine_api::REFUSAL_FENCE);
         }
         let other_weights = request
             .weights_version
-            .is_some_and(|meant| meant != self.weights_version);
-        let loads = self.ordered.is_some();
-        if loads || (other_weights && enforced(Guard::WeightsFence)) {
+            .is_some_and(|expected| expected != self.weights_version);
+        let weights_ordered = self.ordered_weights.is_some();
+        if weights_ordered || (other_weights && enforced(Guard::WeightsFence)) {
             return refuse(412, engine_api::REFUSAL_FENCE);
         }
         if self.waiting.len() >= self.params.max_waiting {
@@ -360,7 +367,7 @@
     fn start_step(&mut self, now: Timestamp) {
         while self.running.len() < self.params.max_running && !self.waiting.is_empty() {
             let sequence = self.waiting.remove(0);
-            self.begin(sequence);
+            self.start_sequence(sequence);
         }
         if self.running.is_empty() {
             return;
@@ -369,23 +376,24 @@
         let mut prefill = Vec::with_capacity(self.running.len());
         let mut decoding = 0;
         for sequence in &self.running {
-            let tokens = sequence.to_prefill.min(budget);
+            let tokens = sequence.prefill_remaining.min(budget);
             budget -= tokens;
             prefill.push(tokens);
-            decoding += usize::from(sequence.to_prefill == 0);
+            decoding += usize::from(sequence.prefill_remaining == 0);
         }
         let computed = self.params.timing.prefill_chunk_tokens - budget;
         let ends_at = now.plus(self.params.timing.step(decoding, computed));
         self.step = Some(Step { ends_at, prefill });
     }
 
-    /// A request leaves the queue: now it runs, with what the cache holds now.
-    fn begin(&mut self, mut sequence: Sequence) {
+    /// Adds a request from the queue to the batch. Its cached tokens are determined now, not when it
+    /// was queued.
+    fn start_sequence(&mut self, mut sequence: Sequence) {
         let request = &sequence.request;
         let cached = self.cached_tokens(request);
         self.check_origins(request, cached);
         let origin = self.origin(request);
-        let held = self.cache.leading(&request.chain);
+        let held = self.cache.cached_prefix_blocks(&request.chain);
         self.cache.store(&request.chain[..held], origin);
         self.counters.executed += 1;
         self.counters.prompt_tokens += u64::from(request.prompt_tokens);
@@ -406,7 +414,7 @@
             },
         );
         sequence.cached_tokens = cached;
-        sequence.to_prefill = request.prompt_tokens.saturating_sub(cached).max(1);
+        sequence.prefill_remaining = request.prompt_tokens.saturating_sub(cached).max(1);
         self.running.push(sequence);
     }
 
@@ -433,13 +441,13 @@
     fn finish_step(&mut self, step: &Step, outputs: &mut Vec<EngineOutput>) {
         let mut running = std::mem::take(&mut self.running);
         for (position, sequence) in running.iter_mut().enumerate() {
-            // A sequence that joined during the step has no share in it.
+            // A sequence that joined the batch during the step is not part of the step.
             let Some(tokens) = step.prefill.get(position) else {
                 continue;
             };
-            if sequence.to_prefill > 0 {
-                sequence.to_prefill -= tokens;
-                if sequence.to_prefill > 0 {
+            if sequence.prefill_remaining > 0 {
+                sequence.prefill_remaining -= tokens;
+                if sequence.prefill_remaining > 0 {
                     continue;
                 }
                 let origin = self.origin(&sequence.request);
--- a/crates/testbed/src/engine/http.rs
+++ b/crates/testbed/src/engine/http.rs
@@ -1,4 +1,4 @@
-//! The engine in real time, behind `tiny_http`.
+//! The mock engine in real time, served over HTTP with `tiny_http`.
 
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions};
@@ -28,33 +28,34 @@
 use super::stream::{done_event, token, token_event, EventContext};
 use super::types::{EngineOutput, EngineParams, EngineRequest, Refusal, StreamSummary, Submission};
 
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+const MAX_BATCH_WAIT: Duration = Duration::from_millis(100);
 const STACK_BYTES: usize = 128 * 1024;
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Where and how an engine runs.
+/// Options of a mock engine process.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Where it listens.
+    /// Address on which it listens for HTTP requests.
     pub listen: SocketAddr,
-    /// The engine.
+    /// Settings of the engine.
     pub params: EngineParams,
-    /// The platform's address, whose weight store it loads from.
+    /// Base URL of the platform whose weight store it loads from; `None` loads alone.
     pub platform: Option<String>,
-    /// A file to which each execution of work that may not be repeated is appended.
+    /// File to which the idempotency key of each executed request is appended, one per line, so that
+    /// tests count executions.
     pub witness: Option<PathBuf>,
 }
 
-/// What resuming a stream needs to know of its request.
+/// Data of a request that is needed to send or resume its stream.
 #[derive(Clone, Copy, Debug)]
-struct RequestFacts {
+struct ResumeInfo {
     prompt_digest: u64,
     kind: CompletionKind,
 }
 
 struct State {
     core: EngineCore,
-    facts: BTreeMap<RequestId, RequestFacts>,
+    resume_info: BTreeMap<RequestId, ResumeInfo>,
     readers: BTreeMap<RequestId, Vec<Sender<EngineOutput>>>,
     witness: Option<File>,
 }
@@ -66,7 +67,7 @@
     platform: Option<String>,
 }
 
-/// Serves an engine until the process ends, and prints its address first.
+/// Prints the address and serves an engine until the process ends.
 pub fn run(options: EngineOptions) -> io::Result<()> {
     let (server, shared) = start(options)?;
     println!("{}", server.server_addr());
@@ -74,13 +75,13 @@
     Ok(())
 }
 
-/// Starts an engine on threads of this process and gives its address.
+/// Serves an engine on threads of this process. Returns its address.
 pub fn spawn(options: EngineOptions) -> io::Result<SocketAddr> {
     let (server, shared) = start(options)?;
     let address = server
         .server_addr()
         .to_ip()
-        .ok_or_else(|| io::Error::other("no IP address"))?;
+        .ok_or_else(|| io::Error::other("the engine does not listen on an IP address"))?;
     thread::spawn(move || serve(&server, &shared));
     Ok(address)
 }
@@ -94,7 +95,7 @@
     let shared = Arc::new(Shared {
         state: Mutex::new(State {
             core: EngineCore::new(options.params, incarnation),
-            facts: BTreeMap::new(),
+            resume_info: BTreeMap::new(),
             readers: BTreeMap::new(),
             witness: witness.transpose()?,
         }),
@@ -117,7 +118,7 @@
             .stack_size(STACK_BYTES)
             .spawn(move || shared.handle(request));
         if let Err(error) = spawned {
-            tracing::warn!("engine: no thread for a request: {error}");
+            tracing::warn!("engine: cannot start a thread for a request: {error}");
         }
     }
 }
@@ -136,9 +137,9 @@
         loop {
             let now = self.now();
             for output in state.core.advance(now) {
-                state.hand_out(output);
+                state.deliver(output);
             }
-            state.testify();
+            state.record_executions();
             if state.core.ready_to_load_weights() {
                 drop(state);
                 let takes = self.load_time();
@@ -146,29 +147,30 @@
                 state.core.begin_load(takes, self.now());
             }
             let next = state.core.next_event_at();
-            let wait = next.map_or(LONGEST_WAIT, |at| at.since(self.now()));
+            let wait = next.map_or(MAX_BATCH_WAIT, |at| at.since(self.now()));
             let (guard, _) = self
                 .changed
-                .wait_timeout(state, wait.min(LONGEST_WAIT))
+                .wait_timeout(state, wait.min(MAX_BATCH_WAIT))
                 .unwrap_or_else(PoisonError::into_inner);
             state = guard;
         }
     }
 
-    /// Asks the weight store how long loading takes beside the others that load.
+    /// Registers with the weight store and returns how long loading takes, given the number of
+    /// engines that load at the same time.
     fn load_time(&self) -> Duration {
         #[derive(Deserialize)]
-        struct Grant {
+        struct LoadingCount {
             loading: usize,
         }
-        let asked = self.platform.as_ref().and_then(|platform| {
+        let submitted = self.platform.as_ref().and_then(|platform| {
             let mut response = ureq::post(format!("{platform}/v1/weights"))
                 .send_empty()
                 .ok()?;
             let body = response.body_mut().read_to_vec().ok()?;
-            serde_json::from_slice::<Grant>(&body).ok()
+            serde_json::from_slice::<LoadingCount>(&body).ok()
         });
-        let loading = asked.map_or(1, |grant| grant.loading);
+        let loading = submitted.map_or(1, |grant| grant.loading);
         self.lock().core.params().timing.weight_load(loading)
     }
 
@@ -200,10 +202,10 @@
                 respond_json(request, &counters);
             }
             (Method::Post, engine_api::ORDERS_PATH, _) => {
-                let obeyed = read_json::<EngineOrder>(&mut request)
+                let applied = read_json::<EngineOrder>(&mut request)
                     .is_some_and(|order| self.lock().core.order(&order));
                 self.changed.notify_all();
-                respond(request, if obeyed { 200 } else { 412 }, &[], b"{}");
+                respond(request, if applied { 200 } else { 412 }, &[], b"{}");
             }
             (Method::Post, "/v1/leave", _) => {
                 self.lock().core.leave();
@@ -228,30 +230,30 @@
                 router: 0,
                 sequence: rand::rng().random(),
             });
-        let facts = RequestFacts {
+        let resume_info = ResumeInfo {
             prompt_digest: prompt_digest(&parsed.prompt),
             kind,
         };
         let (sender, outputs) = unbounded();
         let submission = {
             let mut state = self.lock();
-            let asked = engine_request(&request, id, &parsed, &body, state.core.params());
-            let submission = state.core.submit(asked, self.now());
+            let submitted = engine_request(&request, id, &parsed, &body, state.core.params());
+            let submission = state.core.submit(submitted, self.now());
             if submission == Submission::Accepted {
-                state.facts.insert(id, facts);
+                state.resume_info.insert(id, resume_info);
                 state.readers.insert(id, vec![sender]);
             }
             submission
         };
         self.changed.notify_all();
         match submission {
-            Submission::Accepted => self.stream(request, id, facts, 0, &outputs),
+            Submission::Accepted => self.stream(request, id, resume_info, 0, &outputs),
             Submission::Refused(refusal) => refuse(request, &refusal),
         }
     }
 
     fn resume(&self, id: RequestId, request: Request) {
-        let meant = header(&request, engine_api::INCARNATION);
+        let expected = header(&request, engine_api::INCARNATION);
         let last: Option<u32> =
             header(&request, engine_api::LAST_EVENT_ID).and_then(|event| event.parse().ok());
         let (sender, outputs) = unbounded();
@@ -261,8 +263,8 @@
             let known = state
                 .core
                 .stream(id)
-                .filter(|_| meant.is_none_or(|meant| meant == own))
-                .zip(state.facts.get(&id).copied());
+                .filter(|_| expected.is_none_or(|expected| expected == own))
+                .zip(state.resume_info.get(&id).copied());
             if let Some((summary, _)) = &known {
                 let from = last.map_or(0, |last| last + 1);
                 replay(id, summary, from, &sender);
@@ -271,11 +273,11 @@
             known
         };
         match known {
-            Some((_, facts)) => {
+            Some((_, resume_info)) => {
                 self.stream(
                     request,
                     id,
-                    facts,
+                    resume_info,
                     last.map_or(0, |last| last + 1),
                     &outputs,
                 );
@@ -284,13 +286,13 @@
         }
     }
 
-    /// Writes outputs as they come. The head leaves with the first one, so that it can tell how
-    /// much was cached.
+    /// Writes each output when it is produced. The response head is sent with the first one, because
+    /// it states how many tokens were cached.
     fn stream(
         &self,
         request: Request,
         id: RequestId,
-        facts: RequestFacts,
+        resume_info: ResumeInfo,
         from: u32,
         outputs: &Receiver<EngineOutput>,
     ) {
@@ -305,7 +307,7 @@
             .map_or(0, |stream| stream.prompt_tokens);
         let text = id.to_string();
         let context = EventContext {
-            kind: facts.kind,
+            kind: resume_info.kind,
             request: &text,
             prompt_tokens,
             cached_tokens: first.cached_tokens,
@@ -328,14 +330,18 @@
         let mut next = Some(first);
         while let Some(output) = next {
             if output.index >= from {
-                let piece = token(facts.prompt_digest, output.weights_version, output.index);
+                let piece = token(
+                    resume_info.prompt_digest,
+                    output.weights_version,
+                    output.index,
+                );
                 let event = token_event(&context, output.index, &piece, output.last);
                 let done = if output.last {
                     done_event()
                 } else {
                     String::new()
                 };
-                // The encoder's flush makes a chunk; the connection's own buffer is flushed too.
+                // Flushing the encoder ends the chunk; the connection's buffer needs its own flush.
                 let sent = body
                     .write_all((event + &done).as_bytes())
                     .and_then(|()| body.flush())
@@ -351,13 +357,13 @@
             };
         }
         drop(body);
-        // A peer that is gone needs no end of its stream.
+        // An error means that the peer has disconnected and does not need the rest.
         let _ = writer.flush();
     }
 }
 
 impl State {
-    fn hand_out(&mut self, output: EngineOutput) {
+    fn deliver(&mut self, output: EngineOutput) {
         if let Some(readers) = self.readers.get_mut(&output.id) {
             readers.retain(|reader| reader.send(output).is_ok());
         }
@@ -365,19 +371,20 @@
             self.readers.remove(&output.id);
         }
         let core = &self.core;
-        if self.facts.len() > 4 * core.open() + 4_096 {
-            self.facts.retain(|id, _| core.stream(*id).is_some());
+        if self.resume_info.len() > 4 * core.open() + 4_096 {
+            self.resume_info.retain(|id, _| core.stream(*id).is_some());
         }
     }
 
-    /// Notes executions of work that may not be repeated where they outlast a kill.
-    fn testify(&mut self) {
+    /// Appends the keys of executed at-most-once requests to the witness file, which outlives a
+    /// killed process.
+    fn record_executions(&mut self) {
         for executed in self.core.take_executions() {
             let (Some(key), Some(file)) = (executed.once, &mut self.witness) else {
                 continue;
             };
             if let Err(error) = writeln!(file, "{key}") {
-                tracing::error!("engine: the witness file failed: {error}");
+                tracing::error!("engine: cannot write to the witness file: {error}");
             }
         }
     }
@@ -409,7 +416,7 @@
     }
 }
 
-/// The digest of a prompt from which its answer follows.
+/// Returns the digest of a prompt, from which the tokens of its answer are derived.
 pub fn prompt_digest(prompt: &PromptInput) -> u64 {
     match prompt {
         PromptInput::Text(text) => xxh3_64(text.as_bytes()),
@@ -469,7 +476,8 @@
         .map(|header| header.value.as_str().to_owned())
 }
 
-/// Reads a path under [`engine_api::CACHE_PATH`].
+/// Parses a path under [`engine_api::CACHE_PATH`]: `/INCARNATION/CHANGE` requests the changes from
+/// that number on, any other path a complete report.
 fn report_wanted(path: &str) -> ReportWanted {
     let rest = path.strip_prefix(engine_api::CACHE_PATH);
     let parts = rest.and_then(|rest| rest.strip_prefix('/')?.split_once('/'));
@@ -488,7 +496,7 @@
     respond(request, refusal.status, &headers, b"{}");
 }
 
-/// Sends a document as JSON.
+/// Responds with a JSON document.
 pub(crate) fn respond_json(request: Request, document: &impl serde::Serialize) {
     match serde_json::to_vec(document) {
         Ok(body) => respond(request, 200, &[], &body),
@@ -496,7 +504,7 @@
     }
 }
 
-/// Sends a whole answer.
+/// Responds with a complete body.
 pub(crate) fn respond(request: Request, status: u16, headers: &[(&str, &str)], body: &[u8]) {
     let mut response = Response::from_data(body).with_status_code(status);
     for (name, value) in headers {
@@ -504,19 +512,19 @@
             response.add_header(header);
         }
     }
-    // A peer that is gone needs no answer.
+    // An error means that the peer has disconnected.
     let _ = request.respond(response);
 }
 
-/// Reads a JSON body.
+/// Parses the JSON body of a request; `None` when it cannot be read or parsed.
 pub(crate) fn read_json<T: serde::de::DeserializeOwned>(request: &mut Request) -> Option<T> {
     let mut body = Vec::new();
     request.as_reader().read_to_end(&mut body).ok()?;
     serde_json::from_slice(&body).ok()
 }
 
-/// The settings of an engine that serves a model in real time, `slowdown` times slower than
-/// [`super::EngineTiming`] says.
+/// Returns default settings for an engine that serves `model` and is `slowdown` times slower than
+/// the defaults of [`super::EngineTiming`].
 pub fn params(name: &str, model: &ModelName, block_tokens: u32, slowdown: f64) -> EngineParams {
     let mut params = EngineParams {
         name: name.into(),
--- a/crates/testbed/src/engine/mod.rs
+++ b/crates/testbed/src/engine/mod.rs
@@ -1,6 +1,7 @@
-//! A stand-in for an engine: continuous batching, limited block memory, fences, orders.
+//! A mock inference engine with continuous batching, a bounded KV block cache, incarnation and
+//! weights fences, and orders from the control machines.
 //!
-//! [`EngineCore`] is the engine in virtual time, without I/O; [`http`] serves it in real time.
+//! [`EngineCore`] models the engine in virtual time without I/O. [`http`] serves it in real time.
 
 pub mod cache;
 pub mod core;
--- a/crates/testbed/src/engine/stream.rs
+++ b/crates/testbed/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! What engines answer: tokens that follow from the prompt, as server-sent events.
+//! The answers of mock engines: tokens derived from the prompt, sent as server-sent events.
 
 use drumshore_core::WeightsVersion;
 use drumshore_router::sse::DONE;
@@ -8,28 +8,29 @@
 
 const TOKEN_MASK: u64 = 0xff_ffff;
 
-/// The token that an engine produces at a place of its answer. It follows from prompt, weights
-/// and place alone, so whoever knows the prompt sees a crossed, cut or reordered answer.
+/// Returns the token at a position of an answer. It is a function of prompt, weights and position,
+/// so a caller that knows the prompt detects an answer that is truncated, reordered or mixed up
+/// with another.
 pub fn token(prompt_digest: u64, weights_version: WeightsVersion, index: u32) -> String {
     let seed = prompt_digest ^ weights_version.0.rotate_left(32);
     let hash = xxh3_64_with_seed(&index.to_le_bytes(), seed);
     format!(" {:06x}", hash & TOKEN_MASK)
 }
 
-/// What an event is about.
+/// Fields that the events of one stream share.
 #[derive(Clone, Copy, Debug)]
 pub struct EventContext<'e> {
-    /// Which form of the API.
+    /// Text or chat completion.
     pub kind: CompletionKind,
-    /// The request's id.
+    /// Id of the request.
     pub request: &'e str,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Of these, cached.
+    /// Number of prompt tokens found in the cache.
     pub cached_tokens: u32,
 }
 
-/// One token as an event; the last one says why the answer ends and what it cost.
+/// Formats a token as an event. The last event carries the finish reason and the token usage.
 pub fn token_event(context: &EventContext<'_>, index: u32, text: &str, last: bool) -> String {
     let finish = if last { "\"length\"" } else { "null" };
     let request = context.request;
@@ -54,7 +55,7 @@
     format!("id: {index}\ndata: {{\"id\":\"{request}\",\"choices\":[{choice}]{usage}}}\n\n")
 }
 
-/// The event behind the last token.
+/// Returns the event that follows the last token and ends the stream.
 pub fn done_event() -> String {
     format!("data: {DONE}\n\n")
 }
--- a/crates/testbed/src/engine/types.rs
+++ b/crates/testbed/src/engine/types.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of an engine.
+//! Settings, requests and outputs of a mock engine.
 
 use drumshore_core::{
     EngineName, Execution, IdempotencyKey, Incarnation, ModelName, Priority, RequestId, Timestamp,
@@ -13,21 +13,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineParams {
-    /// Its name.
+    /// Name under which the engine is registered.
     pub name: EngineName,
     /// The model it serves.
     pub model: ModelName,
-    /// The weights it starts with.
+    /// The weights that are loaded at the start.
     pub weights_version: WeightsVersion,
-    /// Tokens in one block.
+    /// Number of tokens in a KV block.
     pub block_tokens: u32,
-    /// Blocks it can hold.
+    /// Capacity of the cache, in blocks.
     pub cache_blocks: usize,
-    /// Sequences in one batch.
+    /// Maximum number of sequences in the batch.
     pub max_running: usize,
-    /// Requests that may wait; more are refused.
+    /// Maximum number of queued requests; further ones are refused.
     pub max_waiting: usize,
-    /// How long things take.
+    /// The timing model.
     pub timing: EngineTiming,
 }
 
@@ -49,52 +49,52 @@
 /// A request as it reaches an engine.
 #[derive(Clone, Debug)]
 pub struct EngineRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// The start it is meant for.
+    /// The incarnation that the request is addressed to; `None` accepts any.
     pub incarnation: Option<Incarnation>,
-    /// The weights it is meant for.
+    /// The weights that the request is addressed to; `None` accepts any.
     pub weights_version: Option<WeightsVersion>,
-    /// How urgent it is.
+    /// Scheduling priority.
     pub priority: Priority,
-    /// Its prompt's blocks, under its salt.
+    /// Prefix hashes of the blocks of the prompt, salted per tenant.
     pub chain: Vec<SequenceHash>,
-    /// Its prompt's length.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens to produce.
+    /// Number of tokens to produce.
     pub max_tokens: u32,
-    /// The tenant, as a number that a test gave; engines themselves know only the salt.
+    /// Number of the tenant, as given by a test. Real engines see only the salt of the hashes.
     pub tenant: u64,
-    /// The caller's key, when the work may not be repeated.
+    /// Idempotency key of a request that must run at most once.
     pub once: Option<IdempotencyKey>,
 }
 
-/// A request that began to run.
+/// A request whose execution has started.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Executed {
     /// The request.
     pub id: RequestId,
-    /// The caller's key, when the work may not be repeated.
+    /// Idempotency key of a request that must run at most once.
     pub once: Option<IdempotencyKey>,
 }
 
-/// Why an engine refuses.
+/// The refusal of a request by an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The word of [`drumshore_router::engine_api::REFUSAL`].
+    /// Value of the header [`drumshore_router::engine_api::REFUSAL`].
     pub reason: &'static str,
-    /// Whether it ran.
+    /// Whether the request has run.
     pub execution: Execution,
 }
 
-/// The answer to a request.
+/// The result of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Submission {
-    /// It will run.
+    /// The request is queued and will run.
     Accepted,
-    /// It will not.
+    /// The request will not run.
     Refused(Refusal),
 }
 
@@ -103,55 +103,56 @@
 pub struct EngineOutput {
     /// The request.
     pub id: RequestId,
-    /// When.
+    /// End of the step that produced it.
     pub at: Timestamp,
-    /// The token's place.
+    /// Position of the token in the answer, from 0.
     pub index: u32,
-    /// True for the last one.
+    /// True for the last token of the answer.
     pub last: bool,
-    /// Prompt tokens that were cached.
+    /// Number of prompt tokens found in the cache.
     pub cached_tokens: u32,
-    /// How busy the engine is, beside a request's first token.
+    /// Load of the engine, sent with the first token of an answer only.
     pub load: Option<AnswerLoad>,
-    /// The weights that produced it.
+    /// The weights that the token was computed with.
     pub weights_version: WeightsVersion,
 }
 
-/// A promise of the brief that a request broke at an engine.
+/// An isolation invariant that a request violated at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// It was served from another tenant's block.
+    /// The request used a cached block of another tenant.
     OtherTenant(RequestId),
-    /// It was served from a block computed with other weights.
+    /// The request used a cached block computed with other weights.
     OtherWeights(RequestId),
-    /// It was meant for another start, whose cache it relied on.
+    /// The request was accepted although it was addressed to another incarnation, whose cache it
+    /// relies on.
     OtherIncarnation(RequestId),
 }
 
-/// What is known of a stream, to resume it.
+/// The state of a stream, from which it can be resumed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StreamSummary {
-    /// Tokens produced.
+    /// Number of tokens produced so far.
     pub emitted: u32,
-    /// Tokens that will have been produced at the end.
+    /// Number of tokens of the complete answer.
     pub max_tokens: u32,
-    /// Prompt tokens that were cached.
+    /// Number of prompt tokens found in the cache.
     pub cached_tokens: u32,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// The weights that produce it.
+    /// The weights that the answer is computed with.
     pub weights_version: WeightsVersion,
 }
 
-/// Counters of an engine.
+/// Counters of an engine since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCounters {
-    /// Requests that began to run.
+    /// Requests whose execution has started.
     pub executed: u64,
-    /// Prompt tokens of these.
+    /// Prompt tokens of the executed requests.
     pub prompt_tokens: u64,
-    /// Of these, cached.
+    /// Prompt tokens of the executed requests that were found in the cache.
     pub cached_tokens: u64,
-    /// Requests refused.
+    /// Requests that were refused.
     pub refused: u64,
 }
--- a/crates/testbed/src/fleet/layout.rs
+++ b/crates/testbed/src/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! The fleets that can be run on one machine.
+//! Predefined fleets that fit on one machine.
 
 use std::time::Duration;
 
@@ -7,46 +7,47 @@
 use crate::engine::{EngineParams, EngineTiming};
 use crate::workload::{Profile, WorkloadParams};
 
-/// Tokens in a block of the users' engines ("a few thousand tokens").
+/// Tokens in a block of production engines ("a few thousand tokens").
 const USERS_BLOCK_TOKENS: u32 = 2_048;
 
-/// Tokens in a block here. A block stands for one of the users': it takes as long to compute,
-/// but its text is small enough that twenty engines and all their callers fit one machine.
+/// Tokens in a block of a test fleet. A block takes as long to compute as one in production, but
+/// its text is small enough that twenty engines and all callers fit on one machine.
 const BLOCK_TOKENS: u32 = 128;
 
-/// The part of a token that one token of the users' engines is here.
+/// Number of production tokens that one token of a test fleet stands for.
 const SCALE: u32 = USERS_BLOCK_TOKENS / BLOCK_TOKENS;
 
-/// A fleet.
+/// The size and load of a fleet.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// Zones, of one region.
+    /// Number of zones, all in one region.
     pub zones: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Control machines.
+    /// Number of control machines.
     pub controls: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Whose callers ask.
+    /// Profile that decides the workload and the placement goal.
     pub profile: Profile,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub requests_per_second: f64,
-    /// Blocks that an engine holds; the working set is about three times what all hold.
+    /// Cache capacity of an engine, in blocks. The working set is about three times the capacity of
+    /// all engines.
     pub cache_blocks: usize,
-    /// How long it runs when nothing else is said.
+    /// Default duration of a run.
     pub duration: Duration,
-    /// Whether an engine is killed and another drained half-way.
+    /// Whether a run kills one engine and drains another half-way by default.
     pub faults: bool,
 }
 
 impl Layout {
-    /// The layouts.
+    /// Names of all layouts.
     pub const NAMES: [&'static str; 3] = ["quickstart", "surtidor", "sohar-quay"];
 
-    /// A layout by name.
+    /// Returns the layout of this name, if it exists.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "quickstart" => Some(Self {
@@ -89,22 +90,22 @@
         }
     }
 
-    /// Tokens in a block.
+    /// Returns the number of tokens in a block.
     pub fn block_tokens(&self) -> u32 {
         BLOCK_TOKENS
     }
 
-    /// The zone of the engine or router of this number.
+    /// Returns the zone of the engine or router with this number.
     pub fn zone(&self, number: usize) -> String {
         format!("zone-{}", number % self.zones + 1)
     }
 
-    /// The loopback address of a zone.
+    /// Returns the loopback address of the zone of the process with this number.
     pub fn zone_address(&self, number: usize) -> String {
         format!("127.0.{}.1", number % self.zones + 1)
     }
 
-    /// An engine's settings.
+    /// Returns the settings of the engine with this number, scaled to the smaller blocks.
     pub fn engine(&self, number: usize, model: &ModelName) -> EngineParams {
         let base = EngineTiming::default();
         EngineParams {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// What callers ask, in this machine's tokens.
+    /// Returns the workload, scaled to the smaller blocks.
     pub fn workload(&self) -> WorkloadParams {
         let base = self.profile.workload();
         let (low, high) = base.tail_tokens;
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A whole fleet of processes with real traffic on one machine.
+//! Runs a fleet of real processes under load on one machine.
 
 mod layout;
 mod process;
@@ -24,60 +24,61 @@
 pub use process::Process;
 
 const PLATFORM_LAG: Duration = Duration::from_secs(1);
-const START_PATIENCE: Duration = Duration::from_secs(30);
-const STOP_PATIENCE: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(50);
-const CALLERS: usize = 256;
-const PROGRESS_EVERY: Duration = Duration::from_secs(5);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+const STOP_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const CALLER_THREADS: usize = 256;
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A leaving engine may get new work for this long, by the brief "a few seconds".
+/// How long a draining engine may still start requests. The requirement is "a few seconds".
 const DRAIN_LIMIT: Duration = Duration::from_secs(3);
 
-/// Why a fleet did not run.
+/// Why a fleet could not be started or controlled.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A file, socket or process failed.
+    /// An operation on a file, socket or process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Something did not come up in time.
+    /// A condition did not hold in time.
     #[error("{0} did not happen within {1:?}")]
-    Late(&'static str, Duration),
-    /// The operators' commands failed.
-    #[error("writing resources ended as {0:?}")]
+    Timeout(&'static str, Duration),
+    /// Applying the resources failed.
+    #[error("applying the resources failed: {0:?}")]
     Apply(ExitStatus),
 }
 
-/// How to run a fleet.
+/// Options of a fleet run.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// The fleet.
+    /// The layout of the fleet.
     pub layout: Layout,
-    /// How long requests are made.
+    /// How long requests are generated.
     pub duration: Duration,
-    /// Decides the workload.
+    /// Seed of the workload.
     pub seed: u64,
-    /// Whether an engine is killed and another drained half-way.
+    /// Whether one engine is killed and another drained half-way through the run.
     pub faults: bool,
 }
 
-/// What came of it.
+/// Results of a fleet run.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetReport {
-    /// The layout's name.
+    /// Name of the layout.
     pub layout: String,
-    /// What callers saw.
+    /// Results as seen by the callers.
     #[serde(flatten)]
     pub load: LoadReport,
-    /// Requests that a drained engine began later than three seconds after the order.
+    /// Requests that the drained engine started more than three seconds after the order to drain.
     pub late_work: u64,
-    /// Routers that ended well when told to stop.
+    /// Routers that exited successfully after SIGTERM.
     pub routers_stopped: usize,
-    /// Routers there were.
+    /// Number of routers.
     pub routers: usize,
 }
 
 impl FleetReport {
-    /// True when nothing happened that the brief forbids.
+    /// Returns true when the load was clean, the drained engine stopped in time and all routers
+    /// exited successfully.
     pub fn is_clean(&self) -> bool {
         self.load.is_clean() && self.late_work == 0 && self.routers_stopped == self.routers
     }
@@ -95,7 +96,7 @@
     config: PathBuf,
 }
 
-/// A fleet of processes; they end with it.
+/// A running fleet. Its processes are killed when it is dropped.
 pub struct Fleet {
     layout: Layout,
     folder: PathBuf,
@@ -106,7 +107,7 @@
     routers: Vec<(Process, SocketAddr)>,
 }
 
-/// Runs a fleet and gives the report.
+/// Runs a fleet under load and returns the report. Logs and data are kept when it is not clean.
 pub fn run(options: &FleetOptions) -> Result<FleetReport, FleetError> {
     let folder = std::env::temp_dir().join(format!("drumshore-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
@@ -123,8 +124,8 @@
 }
 
 impl Fleet {
-    /// Starts a fleet in a folder, with `program` as what `drumshore-lab` is, and waits until it
-    /// is ready.
+    /// Starts a fleet with its files in `folder` and waits until it is ready. `program` is the path of
+    /// the `drumshore-lab` binary.
     pub fn start(layout: Layout, folder: PathBuf, program: PathBuf) -> Result<Self, FleetError> {
         let any_port = "127.0.0.1:0".parse().map_err(io::Error::other)?;
         let address = platform::spawn(&PlatformOptions {
@@ -144,7 +145,7 @@
         fleet.start_controls()?;
         fleet.write_resources(&[])?;
         fleet.start_routers()?;
-        fleet.await_ready()?;
+        fleet.wait_ready()?;
         Ok(fleet)
     }
 
@@ -163,13 +164,13 @@
             let arguments = [
                 "engine",
                 "--config",
-                text(&config)?,
+                path_str(&config)?,
                 "--listen",
                 &listen,
                 "--platform",
                 &self.platform,
                 "--witness",
-                text(&witness)?,
+                path_str(&witness)?,
             ];
             let mut process = self.spawn(&name, &arguments)?;
             let address = process.first_line()?.parse().map_err(io::Error::other)?;
@@ -220,7 +221,7 @@
                 "drumshore",
                 "control",
                 "--config",
-                text(&config)?,
+                path_str(&config)?,
                 "--bootstrap",
             ];
             let process = self.spawn(&name, &arguments)?;
@@ -230,7 +231,7 @@
                 config,
             });
         }
-        self.await_that("a leader among the control machines", |fleet| {
+        self.wait_until("election of a control leader", |fleet| {
             fleet.status().is_some_and(|status| status.leader.is_some())
         })
     }
@@ -251,7 +252,7 @@
             let name = format!("router-{}", number + 1);
             let zone = self.layout.zone(number);
             let config = settings::write_router(&self.folder, &name, &zone, listen, &controls)?;
-            let arguments = ["drumshore", "router", "--config", text(&config)?];
+            let arguments = ["drumshore", "router", "--config", path_str(&config)?];
             let process = self.spawn(&name, &arguments)?;
             self.routers.push((process, listen));
         }
@@ -261,7 +262,7 @@
     fn write_resources(&self, draining: &[String]) -> Result<(), FleetError> {
         let file = settings::write_resources(&self.folder, &self.layout, draining)?;
         let command = Command::Apply {
-            file: text(&file)?.to_owned(),
+            file: path_str(&file)?.to_owned(),
         };
         match operator::run(&command, &self.operator_options()) {
             ExitStatus::Done => Ok(()),
@@ -274,12 +275,12 @@
         Process::spawn_program(&self.program, name, arguments, &log)
     }
 
-    /// Where the routers listen.
+    /// Returns the addresses on which the routers accept requests.
     pub fn routers(&self) -> Vec<SocketAddr> {
         self.routers.iter().map(|(_, listen)| *listen).collect()
     }
 
-    /// Where operators reach the control machines.
+    /// Returns the addresses on which the control machines accept operator requests.
     pub fn controls(&self) -> Vec<SocketAddr> {
         let controls = self.controls.iter();
         controls
@@ -287,12 +288,12 @@
             .collect()
     }
 
-    /// Ends an engine without warning.
+    /// Kills an engine with SIGKILL.
     pub fn kill_engine(&mut self, number: usize) {
         self.engines[number].process.kill();
     }
 
-    /// Ends a control machine without warning.
+    /// Kills a control machine with SIGKILL.
     pub fn kill_control(&mut self, id: u64) {
         for control in &mut self.controls {
             if control.addresses.id == id {
@@ -301,12 +302,12 @@
         }
     }
 
-    /// Starts a control machine again, from its data folder.
+    /// Restarts a control machine with its existing data folder.
     pub fn restart_control(&mut self, id: u64) -> Result<(), FleetError> {
         for position in 0..self.controls.len() {
             if self.controls[position].addresses.id == id {
                 let config = self.controls[position].config.clone();
-                let arguments = ["drumshore", "control", "--config", text(&config)?];
+                let arguments = ["drumshore", "control", "--config", path_str(&config)?];
                 let process = self.spawn(&format!("control-{id}-again"), &arguments)?;
                 self.controls[position].process = process;
             }
@@ -314,22 +315,22 @@
         Ok(())
     }
 
-    /// What operators' commands need to reach the fleet.
+    /// Returns the options with which operator commands reach the fleet.
     pub fn operator_options(&self) -> Options {
         let urls = self.controls.iter();
         let urls = urls.map(|control| format!("http://{}", control.addresses.operators));
         Options::new(urls.collect(), OPERATOR_KEY)
     }
 
-    /// The status of the first control machine that answers.
+    /// Returns the status reported by the first control machine that responds.
     pub fn status(&self) -> Option<StatusReport> {
         self.controls
             .iter()
             .find_map(|control| fetch_status(control.addresses.operators))
     }
 
-    fn await_ready(&self) -> Result<(), FleetError> {
-        self.await_that("all engines ready", |fleet| {
+    fn wait_ready(&self) -> Result<(), FleetError> {
+        self.wait_until("readiness of all engines", |fleet| {
             fleet.status().is_some_and(|status| {
                 let ready = status
                     .engines
@@ -338,7 +339,7 @@
                 ready.count() == fleet.layout.engines
             })
         })?;
-        self.await_that("all routers ready", |fleet| {
+        self.wait_until("readiness of all routers", |fleet| {
             fleet
                 .routers
                 .iter()
@@ -346,18 +347,18 @@
         })
     }
 
-    /// Waits until something holds.
-    pub fn await_that(
+    /// Polls until `holds` returns true. Fails after 30 s with `what` as the name of the condition.
+    pub fn wait_until(
         &self,
         what: &'static str,
         holds: impl Fn(&Self) -> bool,
     ) -> Result<(), FleetError> {
-        let deadline = Instant::now() + START_PATIENCE;
+        let deadline = Instant::now() + START_TIMEOUT;
         while !holds(self) {
             if Instant::now() > deadline {
-                return Err(FleetError::Late(what, START_PATIENCE));
+                return Err(FleetError::Timeout(what, START_TIMEOUT));
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -366,12 +367,12 @@
         let load = self.load_params(options);
         let total = options.duration.as_secs();
         let loading = thread::spawn(move || {
-            let mut next_line = PROGRESS_EVERY;
-            load::run(&load, |asked, elapsed| {
-                if elapsed >= next_line {
-                    next_line += PROGRESS_EVERY;
+            let mut next_progress = PROGRESS_INTERVAL;
+            load::run(&load, |sent, elapsed| {
+                if elapsed >= next_progress {
+                    next_progress += PROGRESS_INTERVAL;
                     eprintln!(
-                        "fleet: {asked} requests in {} of {total} s",
+                        "fleet: sent {sent} requests in {} of {total} s",
                         elapsed.as_secs()
                     );
                 }
@@ -379,15 +380,15 @@
         });
         let late_work = if options.faults {
             thread::sleep(options.duration / 2);
-            self.fail_half_way()?
+            self.inject_faults()?
         } else {
             0
         };
         let mut report = loading
             .join()
-            .map_err(|_| io::Error::other("the load ended in a panic"))?;
+            .map_err(|_| io::Error::other("the load thread panicked"))?;
         let routers_stopped = self.stop_routers();
-        report.doubled = self.count_doubled()?;
+        report.doubled = self.count_duplicate_executions()?;
         Ok(FleetReport {
             layout: self.layout.name.to_owned(),
             load: report,
@@ -402,7 +403,7 @@
         LoadParams {
             seed: options.seed,
             requests_per_second: self.layout.requests_per_second,
-            callers: CALLERS,
+            callers: CALLER_THREADS,
             duration: options.duration,
             caller: CallerParams {
                 targets: self
@@ -420,38 +421,38 @@
         }
     }
 
-    /// Kills the first engine and drains the second; gives the work that the second began later
-    /// than it may.
-    fn fail_half_way(&mut self) -> Result<u64, FleetError> {
+    /// Kills the first engine and drains the second. Returns how many requests the second started
+    /// after the drain limit.
+    fn inject_faults(&mut self) -> Result<u64, FleetError> {
         self.engines[0].process.kill();
         let drained = &self.engines[1];
         self.write_resources(std::slice::from_ref(&drained.name))?;
         thread::sleep(DRAIN_LIMIT);
-        let after_limit = executed(drained.address);
+        let after_limit = fetch_executed(drained.address);
         thread::sleep(DRAIN_LIMIT);
-        let later = executed(drained.address);
+        let later = fetch_executed(drained.address);
         Ok(later.saturating_sub(after_limit))
     }
 
-    /// Stops all routers in order; gives how many ended well.
+    /// Sends SIGTERM to all routers. Returns how many exited successfully.
     pub fn stop_routers(&mut self) -> usize {
         for (process, _) in &self.routers {
             process.terminate();
         }
         self.routers
             .iter_mut()
-            .filter_map(|(process, _)| process.wait(STOP_PATIENCE))
+            .filter_map(|(process, _)| process.wait(STOP_TIMEOUT))
             .filter(std::process::ExitStatus::success)
             .count()
     }
 
-    /// Executions of work that may not be repeated beyond the first, over all engines.
-    fn count_doubled(&self) -> Result<u64, FleetError> {
+    /// Counts executions of at-most-once requests beyond the first of each, over all engines.
+    fn count_duplicate_executions(&self) -> Result<u64, FleetError> {
         let executions = self.executions()?;
         Ok(executions.values().map(|count| count - 1).sum())
     }
 
-    /// How often work that may not be repeated ran, by its key.
+    /// Returns how often each at-most-once request was executed, by idempotency key.
     pub fn executions(&self) -> Result<BTreeMap<String, u64>, FleetError> {
         let mut executions: BTreeMap<String, u64> = BTreeMap::new();
         for engine in &self.engines {
@@ -464,7 +465,7 @@
     }
 }
 
-fn executed(engine: SocketAddr) -> u64 {
+fn fetch_executed(engine: SocketAddr) -> u64 {
     let counters = ureq::get(format!("http://{engine}/v1/counters")).call();
     counters
         .ok()
@@ -482,7 +483,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-fn text(path: &Path) -> io::Result<&str> {
+fn path_str(path: &Path) -> io::Result<&str> {
     path.to_str()
-        .ok_or_else(|| io::Error::other("the temporary folder's name is not text"))
+        .ok_or_else(|| io::Error::other("path is not valid UTF-8"))
 }
--- a/crates/testbed/src/fleet/process.rs
+++ b/crates/testbed/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! Child processes of a fleet, ended with it.
+//! Child processes that are killed when dropped.
 
 use std::io::{self, BufRead, BufReader};
 use std::path::Path;
@@ -8,7 +8,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A child process; killed when dropped.
 #[derive(Debug)]
@@ -18,12 +18,12 @@
 }
 
 impl Process {
-    /// Runs this program again with other arguments; what it logs goes into a file.
+    /// Runs the current executable with other arguments. Its stderr goes to the file `log`.
     pub fn spawn(name: &str, arguments: &[&str], log: &Path) -> io::Result<Self> {
         Self::spawn_program(&std::env::current_exe()?, name, arguments, log)
     }
 
-    /// Runs a program; what it logs goes into a file.
+    /// Runs a program. Its stderr goes to the file `log`.
     pub fn spawn_program(
         program: &Path,
         name: &str,
@@ -43,49 +43,49 @@
         })
     }
 
-    /// Its name.
+    /// Returns the name given at the start.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its process number.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The first line that it prints.
+    /// Waits for the first line that the process prints and returns it. Fails when called again.
     pub fn first_line(&mut self) -> io::Result<String> {
         let output = self.child.stdout.take();
-        let output = output.ok_or_else(|| io::Error::other("its output was read before"))?;
+        let output = output.ok_or_else(|| io::Error::other("the first line was already read"))?;
         let mut line = String::new();
         BufReader::new(output).read_line(&mut line)?;
         Ok(line.trim().to_owned())
     }
 
-    /// Ends it without warning.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks it to stop.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         let pid = Pid::from_raw(self.child.id() as i32);
         let _ = kill(pid, Signal::SIGTERM);
     }
 
-    /// True while it runs.
+    /// Returns true while the process runs.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits until it has ended; `None` when it has not in time.
-    pub fn wait(&mut self, patience: Duration) -> Option<ExitStatus> {
-        let deadline = Instant::now() + patience;
+    /// Waits for the exit. Returns `None` after the timeout or when waiting fails.
+    pub fn wait(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + timeout;
         loop {
             match self.child.try_wait() {
                 Ok(Some(status)) => return Some(status),
-                Ok(None) if Instant::now() < deadline => std::thread::sleep(POLL),
+                Ok(None) if Instant::now() < deadline => std::thread::sleep(POLL_INTERVAL),
                 _ => return None,
             }
         }
--- a/crates/testbed/src/fleet/settings.rs
+++ b/crates/testbed/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of a fleet's processes, and the resources its operators write.
+//! Settings files of the processes of a fleet, and the resources that operators apply.
 
 use std::net::{IpAddr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -7,40 +7,41 @@
 
 use super::layout::Layout;
 
-/// The secret that the fleet's processes share.
+/// Secret that authenticates the processes of the fleet to each other.
 pub const CLUSTER_KEY: &str = "a-shared-secret-of-the-test-fleet";
 
-/// The operator's key.
+/// Bearer key of the operator.
 pub const OPERATOR_KEY: &str = "operator-key-of-the-test-fleet";
 
-/// The model that the fleet serves.
+/// Name of the model that the fleet serves.
 pub const MODEL: &str = "harbour-70b";
 
-/// The pool of all its engines.
+/// Name of the pool of all engines.
 pub const POOL: &str = "main";
 
-/// One control machine's addresses.
+/// Replica id and addresses of a control machine.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlAddresses {
-    /// Its replica number.
+    /// Replica id.
     pub id: u64,
-    /// Where operators connect.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Where routers and control machines connect.
+    /// Address for routers and other control machines.
     pub internal: SocketAddr,
 }
 
-/// The bearer key of a tenant.
+/// Returns the bearer key of a tenant.
 pub fn tenant_key(tenant: usize) -> String {
     format!("tenant-{tenant}-key")
 }
 
-/// An address that nobody listens at now.
+/// Returns an address with a port that is currently free. It is not reserved: another process may
+/// bind it first.
 pub fn free_address(ip: IpAddr) -> std::io::Result<SocketAddr> {
     TcpListener::bind((ip, 0))?.local_addr()
 }
 
-/// Writes a control machine's settings.
+/// Writes the settings file of a control machine. Returns its path.
 pub fn write_control(
     folder: &Path,
     own: &ControlAddresses,
@@ -66,7 +67,7 @@
     write(folder, &format!("control-{}.toml", own.id), &text)
 }
 
-/// Writes a router's settings.
+/// Writes the settings file of a router. Returns its path.
 pub fn write_router(
     folder: &Path,
     name: &str,
@@ -88,7 +89,8 @@
     write(folder, &format!("{name}.toml"), &text)
 }
 
-/// Writes the resources that make the fleet serve.
+/// Writes the resource file with model, engine pool and tenants. `draining` names the engines to
+/// drain. Returns its path.
 pub fn write_resources(
     folder: &Path,
     layout: &Layout,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins, load and experiments for drumshore.
+//! Mock services, load generation, simulation and benchmarks for drumshore.
 //!
-//! [`engine`] and [`platform`] are the outside systems, [`workload`] is what callers ask,
-//! [`load`] asks it and checks every answer, [`fleet`] runs everything as processes, [`sim`] on a
-//! virtual clock, [`bench`] measures single parts.
+//! [`engine`] and [`platform`] are mocks of the external systems. [`workload`] generates requests,
+//! and [`load`] sends them and checks every answer. [`fleet`] runs a deployment as processes, and
+//! [`sim`] runs one on a virtual clock. [`bench`] measures single components, and [`replay`]
+//! compares a recorded trace with its expected decisions.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms, clippy::unwrap_used)]
 
--- a/crates/testbed/src/load/caller.rs
+++ b/crates/testbed/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: asks, reads the stream, and checks every token.
+//! A caller that sends requests, reads the answer streams and checks every token.
 
 use std::io::Read;
 use std::time::{Duration, Instant};
@@ -18,40 +18,40 @@
 use crate::workload::WorkloadRequest;
 
 const BUFFER_BYTES: usize = 8 * 1024;
-const PATIENCE: Duration = Duration::from_secs(60);
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Weights that answers may have been computed with.
+/// Highest weights version that an answer may have been computed with.
 const KNOWN_VERSIONS: u64 = 8;
 
-/// How requests are made.
+/// Parameters of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerParams {
-    /// Addresses to ask, as `IP:PORT`; each caller keeps to one.
+    /// Target addresses as `IP:PORT`; each caller uses one of them.
     pub targets: Vec<String>,
-    /// Bearer keys of the tenants, by tenant number.
+    /// Bearer keys, indexed by tenant number.
     pub keys: Vec<String>,
-    /// The model.
+    /// Name of the requested model.
     pub model: String,
-    /// Tokens in a block of the prompts.
+    /// Number of tokens in a block of a prompt.
     pub block_tokens: u32,
-    /// Whether work that may not be repeated carries an idempotency key.
+    /// Whether at-most-once requests carry an idempotency key.
     pub idempotency: bool,
-    /// Distinguishes the idempotency keys of several loads.
+    /// Prefix of the idempotency keys, which keeps those of several runs apart.
     pub run: u64,
 }
 
-/// A caller.
+/// A client that sends one request at a time to one target.
 pub struct Caller {
     params: CallerParams,
     url: String,
     agent: Agent,
 }
 
-/// An answer that is being read.
-struct Reading {
+/// An answer stream as far as it has been read.
+struct StreamResult {
     answer: RecordedAnswer,
     tokens: Vec<String>,
-    whole: bool,
+    complete: bool,
     error: Option<(Execution, String)>,
     first_at: Option<Instant>,
     last_at: Option<Instant>,
@@ -59,14 +59,14 @@
 }
 
 impl Caller {
-    /// A caller that keeps to one target.
+    /// Creates the caller of this number, which decides its target.
     pub fn new(params: CallerParams, number: usize) -> Self {
         let target = &params.targets[number % params.targets.len()];
         let config = Agent::config_builder()
             .http_status_as_error(false)
             .input_buffer_size(BUFFER_BYTES)
             .output_buffer_size(BUFFER_BYTES)
-            .timeout_per_read(Some(PATIENCE))
+            .timeout_per_read(Some(READ_TIMEOUT))
             .build();
         Self {
             url: format!("http://{target}/v1/completions"),
@@ -75,8 +75,9 @@
         }
     }
 
-    /// Asks once.
-    pub fn ask(&self, request: &WorkloadRequest, number: u64, due: Instant) -> Sample {
+    /// Sends one request, reads its answer and checks it. Latency counts from `due`, the time at
+    /// which the request was scheduled.
+    pub fn send_request(&self, request: &WorkloadRequest, number: u64, due: Instant) -> Sample {
         let text = request.text(self.params.block_tokens);
         let once = request.once && self.params.idempotency;
         let digest = prompt_digest(&PromptInput::Text(text.clone()));
@@ -117,45 +118,51 @@
         if response.status() != 200 {
             return refused(&mut response, once);
         }
-        let reading = read_stream(&mut response);
+        let result = read_stream(&mut response);
         let mut sample = Sample {
-            first_token: reading.first_at.map(|at| at.saturating_duration_since(due)),
-            token_gaps: reading.gaps.clone(),
-            prompt_tokens: reading.answer.prompt_tokens,
-            cached_tokens: reading.answer.cached_tokens,
-            completion_tokens: reading.tokens.len() as u64,
+            first_token: result.first_at.map(|at| at.saturating_duration_since(due)),
+            token_gaps: result.gaps.clone(),
+            prompt_tokens: result.answer.prompt_tokens,
+            cached_tokens: result.answer.cached_tokens,
+            completion_tokens: result.tokens.len() as u64,
             router_time,
             outcome: Outcome::Answered,
             detail: None,
         };
-        let (outcome, detail) = judge(&reading, request, digest, once);
+        let (outcome, detail) = check_answer(&result, request, digest, once);
         sample.outcome = outcome;
         sample.detail = detail;
         sample
     }
 }
 
-fn judge(
-    reading: &Reading,
+fn check_answer(
+    result: &StreamResult,
     request: &WorkloadRequest,
     digest: u64,
     once: bool,
 ) -> (Outcome, Option<String>) {
     let expected = request.output_tokens as usize;
-    let right = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
-        let numbered = reading.tokens.iter().enumerate();
+    let matches_prompt = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
+        let numbered = result.tokens.iter().enumerate();
         let mut matches = numbered.map(|(at, text)| *text == token(digest, version, at as u32));
         matches.all(|matches| matches)
     });
-    if !right || reading.tokens.len() > expected {
-        let detail = format!("{} tokens, not those of the request", reading.tokens.len());
+    if !matches_prompt || result.tokens.len() > expected {
+        let detail = format!(
+            "received {} tokens that do not match the request",
+            result.tokens.len()
+        );
         return (Outcome::Misordered, Some(detail));
     }
-    if let Some((execution, message)) = &reading.error {
+    if let Some((execution, message)) = &result.error {
         return (failure_outcome(*execution, once), Some(message.clone()));
     }
-    if !reading.whole || reading.tokens.len() != expected {
-        let detail = format!("cut after {} of {expected} tokens", reading.tokens.len());
+    if !result.complete || result.tokens.len() != expected {
+        let detail = format!(
+            "stream ended after {} of {expected} tokens",
+            result.tokens.len()
+        );
         return (Outcome::Lost, Some(detail));
     }
     (Outcome::Answered, None)
@@ -169,11 +176,11 @@
     }
 }
 
-fn read_stream(response: &mut Response<Body>) -> Reading {
-    let mut reading = Reading {
+fn read_stream(response: &mut Response<Body>) -> StreamResult {
+    let mut result = StreamResult {
         answer: RecordedAnswer::default(),
         tokens: Vec::new(),
-        whole: false,
+        complete: false,
         error: None,
         first_at: None,
         last_at: None,
@@ -184,19 +191,19 @@
     let mut buffer = [0; BUFFER_BYTES];
     loop {
         match reader.read(&mut buffer) {
-            Ok(0) | Err(_) => return reading,
+            Ok(0) | Err(_) => return result,
             Ok(count) => decoder.push(&buffer[..count]),
         }
         while let Ok(Some(event)) = decoder.next_event() {
-            reading.take(event.data);
+            result.on_event(event.data);
         }
     }
 }
 
-impl Reading {
-    fn take(&mut self, data: &str) {
+impl StreamResult {
+    fn on_event(&mut self, data: &str) {
         if data == DONE {
-            self.whole = true;
+            self.complete = true;
             return;
         }
         if let Some(error) = stream_error(data) {
@@ -250,7 +257,7 @@
     }
 }
 
-/// Reads `router;dur=MILLISECONDS`.
+/// Parses the header `server-timing: router;dur=MILLISECONDS`.
 fn server_timing(response: &Response<Body>) -> Option<Duration> {
     let value = response.headers().get("server-timing")?.to_str().ok()?;
     let milliseconds: f64 = value.strip_prefix("router;dur=")?.parse().ok()?;
--- a/crates/testbed/src/load/mod.rs
+++ b/crates/testbed/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! Drives callers against routers, or against engines directly, and checks every answer.
+//! Generates load against routers, or against engines directly, and checks every answer.
 
 mod caller;
 mod report;
@@ -17,20 +17,21 @@
 
 const STACK_BYTES: usize = 128 * 1024;
 
-/// What load to make.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadParams {
-    /// What is asked.
+    /// The generated workload.
     pub workload: WorkloadParams,
-    /// Decides all draws.
+    /// Seed of all random samples.
     pub seed: u64,
-    /// Requests a second, by a Poisson process.
+    /// Mean number of requests per second of the Poisson process.
     pub requests_per_second: f64,
-    /// Threads that ask; a request that finds none free waits, and its wait counts.
+    /// Number of caller threads. A request that finds none free waits, and its latency includes the
+    /// wait.
     pub callers: usize,
-    /// How long requests are made.
+    /// How long requests are generated.
     pub duration: Duration,
-    /// How requests are made.
+    /// Parameters of each caller.
     pub caller: CallerParams,
 }
 
@@ -40,26 +41,27 @@
     number: u64,
 }
 
-/// Makes the load and gives what came of it. `progress` is called about once a second.
+/// Runs the load and returns its report. `progress` receives the number of requests sent and the
+/// elapsed time about every 200 ms until all requests are handed out.
 pub fn run(params: &LoadParams, mut progress: impl FnMut(u64, Duration)) -> LoadReport {
     let recorder = Arc::new(Recorder::default());
-    let asked = Arc::new(AtomicU64::new(0));
-    let over = Arc::new(AtomicBool::new(false));
+    let sent = Arc::new(AtomicU64::new(0));
+    let finished = Arc::new(AtomicBool::new(false));
     let (sender, receiver) = bounded(params.callers * 4);
     let threads: Vec<_> = (0..params.callers)
         .map(|number| spawn_caller(number, params, &receiver, &recorder))
         .collect();
     let dispatching = {
-        let (params, asked, over) = (params.clone(), Arc::clone(&asked), Arc::clone(&over));
+        let (params, sent, finished) = (params.clone(), Arc::clone(&sent), Arc::clone(&finished));
         thread::spawn(move || {
-            dispatch(&params, &sender, &asked);
-            over.store(true, Ordering::SeqCst);
+            dispatch(&params, &sender, &sent);
+            finished.store(true, Ordering::SeqCst);
         })
     };
     let started = Instant::now();
-    while !over.load(Ordering::SeqCst) {
+    while !finished.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(200));
-        progress(asked.load(Ordering::SeqCst), started.elapsed());
+        progress(sent.load(Ordering::SeqCst), started.elapsed());
     }
     let _ = dispatching.join();
     for thread in threads {
@@ -80,14 +82,14 @@
         .stack_size(STACK_BYTES)
         .spawn(move || {
             while let Ok(job) = jobs.recv() {
-                let sample = caller.ask(&job.request, job.number, job.due);
+                let sample = caller.send_request(&job.request, job.number, job.due);
                 recorder.add(&sample);
             }
         })
-        .expect("a caller's thread starts")
+        .expect("spawning a caller thread")
 }
 
-fn dispatch(params: &LoadParams, jobs: &Sender<Job>, asked: &AtomicU64) {
+fn dispatch(params: &LoadParams, jobs: &Sender<Job>, sent: &AtomicU64) {
     let mut generator = WorkloadGenerator::new(params.workload.clone(), params.seed);
     let started = Instant::now();
     let mut due = 0.0;
@@ -98,7 +100,7 @@
         }
         let at = started + Duration::from_secs_f64(due);
         thread::sleep(at.saturating_duration_since(Instant::now()));
-        let number = asked.fetch_add(1, Ordering::SeqCst);
+        let number = sent.fetch_add(1, Ordering::SeqCst);
         let request = generator.next_request(due);
         let job = Job {
             request,
--- a/crates/testbed/src/load/report.rs
+++ b/crates/testbed/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What came of a load.
+//! Outcomes and latencies of a load run.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -6,55 +6,56 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// How one request ended for its caller.
+/// The outcome of a request as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer to this very request.
+    /// A complete answer whose tokens match the request.
     Answered,
-    /// A refusal that says "not run".
+    /// A failure that states that the request has not run.
     RefusedNotRun,
-    /// Work that may not be repeated ended in a clear "may have run".
+    /// A request with an idempotency key failed after it may have run.
     MayHaveRun,
-    /// No whole answer and no clear word, or a failure of work that could have been repeated.
+    /// No complete answer: the connection or the stream broke, or a request that could have been
+    /// retried failed after it may have run.
     Lost,
-    /// An answer that is not the one to this request, or is out of order.
+    /// An answer whose tokens are out of order or belong to another request.
     Misordered,
 }
 
-/// One request as its caller saw it.
+/// The result of one request as its caller saw it.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// From when it was due to the first token.
+    /// Time from the scheduled start to the first token.
     pub first_token: Option<Duration>,
-    /// Between tokens.
+    /// Times between consecutive tokens.
     pub token_gaps: Vec<Duration>,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Of these, cached.
+    /// Number of prompt tokens found in the cache.
     pub cached_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of tokens received.
     pub completion_tokens: u64,
-    /// What the router says it spent before it called an engine.
+    /// Time that the router spent before it called an engine, as it reports it.
     pub router_time: Option<Duration>,
-    /// What a failure said.
+    /// Description of a failure.
     pub detail: Option<String>,
 }
 
-/// A few points of a distribution, in milliseconds.
+/// Percentiles of a distribution, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// Half are below.
+    /// The median.
     pub p50: f64,
-    /// 95 of 100 are below.
+    /// The 95th percentile.
     pub p95: f64,
-    /// 99 of 100 are below.
+    /// The 99th percentile.
     pub p99: f64,
 }
 
 impl Percentiles {
-    /// Reads them off a histogram of microseconds.
+    /// Computes the percentiles of a histogram of microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Self {
         const MICROS_PER_MILLI: f64 = 1_000.0;
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI;
@@ -66,38 +67,38 @@
     }
 }
 
-/// What came of a load.
+/// Summary of a load run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests made.
+    /// Requests sent.
     pub requests: u64,
-    /// Answered whole.
+    /// Requests with a complete, matching answer.
     pub answered: u64,
-    /// Ended without a whole answer or a clear word.
+    /// Requests without a complete answer; see [`Outcome::Lost`].
     pub lost: u64,
-    /// Executions of work that may not be repeated beyond the first.
+    /// Executions of at-most-once requests beyond the first of each. Only a fleet run counts them.
     pub doubled: u64,
-    /// Answers that were not to the request, or out of order.
+    /// Answers whose tokens were out of order or belonged to another request.
     pub misordered: u64,
-    /// Refused before they ran.
+    /// Requests that failed with the statement that they have not run.
     pub refused_not_run: u64,
-    /// Work that may not be repeated, ended in a clear "may have run".
+    /// Requests with an idempotency key that failed after they may have run.
     pub may_have_run: u64,
-    /// Cached share of the prompt tokens of answered requests.
+    /// Share of the prompt tokens of answered requests that was cached.
     pub prefix_hit_rate: f64,
-    /// From when a request was due to its first token.
+    /// Time from the scheduled start of a request to its first token.
     pub ttft_ms: Percentiles,
-    /// Between the tokens of an answer.
+    /// Times between consecutive tokens of an answer.
     pub token_gap_ms: Percentiles,
-    /// Prompt tokens computed.
+    /// Prompt tokens of answered requests that were not cached.
     pub recomputed_tokens: u64,
-    /// What routers say they spent before they called an engine.
+    /// Time that routers spent before they called an engine, as they report it.
     pub router_overhead_ms: Percentiles,
-    /// Tokens of answers.
+    /// Tokens received.
     pub completion_tokens: u64,
-    /// How long it took, in seconds.
+    /// Duration of the run, in seconds.
     pub seconds: f64,
-    /// A few failures in words.
+    /// Descriptions of the first failures, at most 10.
     pub failures: Vec<String>,
 }
 
@@ -112,7 +113,7 @@
     router_time: Histogram<u64>,
 }
 
-/// Gathers samples from many threads.
+/// Collects samples from several threads.
 pub struct Recorder {
     totals: Mutex<Totals>,
 }
@@ -132,10 +133,10 @@
     }
 }
 
-/// A histogram of microseconds up to ten minutes.
+/// Creates a histogram of microseconds up to ten minutes.
 pub fn histogram() -> Histogram<u64> {
     const TEN_MINUTES_US: u64 = 600_000_000;
-    Histogram::new_with_bounds(1, TEN_MINUTES_US, 3).expect("the bounds are in order")
+    Histogram::new_with_bounds(1, TEN_MINUTES_US, 3).expect("valid histogram bounds")
 }
 
 fn record(histogram: &mut Histogram<u64>, duration: Duration) {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Everything added so far.
+    /// Returns the summary of all samples added so far.
     pub fn report(&self, elapsed: Duration) -> LoadReport {
         let totals = self.totals.lock().unwrap_or_else(PoisonError::into_inner);
         let prompt_tokens = totals.prompt_tokens;
@@ -192,12 +193,12 @@
 }
 
 impl LoadReport {
-    /// True when nothing happened that the brief forbids.
+    /// Returns true when no request was lost, executed twice or answered with wrong tokens.
     pub fn is_clean(&self) -> bool {
         self.lost == 0 && self.doubled == 0 && self.misordered == 0
     }
 
-    /// The report for people.
+    /// Formats the report as text for the terminal.
     pub fn to_text(&self) -> String {
         let percentiles = |name: &str, values: &Percentiles| {
             format!(
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform: a list of machines that lags, and a weight store that slows when
-//! several load.
+//! A mock of the platform: a list of machines that shows changes after a lag, and a weight store
+//! that is slower when several engines load at once.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,64 +15,64 @@
 
 use crate::engine::http::{read_json, respond, respond_json};
 
-/// How long a load is counted as under way.
-const LOAD_COUNTED: Duration = Duration::from_secs(2);
+/// How long an engine counts as loading after it has begun to load weights.
+const LOAD_WINDOW: Duration = Duration::from_secs(2);
 
-/// Where and how the platform runs.
+/// Options of the mock platform.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Where it listens.
+    /// Address on which it listens for HTTP requests.
     pub listen: SocketAddr,
-    /// A change shows on the list after this long.
+    /// Delay until a change appears in the list of machines.
     pub lag: Duration,
 }
 
-/// The machines as they are, and as the list shows them.
+/// The current machines, and the older states that the list still shows.
 #[derive(Clone, Debug)]
 pub struct Platform {
     lag: Duration,
     machines: Vec<MachineRecord>,
-    /// Older states, oldest first, with the time at which each began to be true.
+    /// States since the one that the list shows, oldest first, each with the time of its change.
     history: VecDeque<(Duration, Vec<MachineRecord>)>,
-    loads: Vec<Duration>,
+    weight_loads: Vec<Duration>,
 }
 
 impl Platform {
-    /// A platform without machines.
+    /// Creates a platform without machines.
     pub fn new(lag: Duration) -> Self {
         Self {
             lag,
             machines: Vec::new(),
             history: VecDeque::new(),
-            loads: Vec::new(),
+            weight_loads: Vec::new(),
         }
     }
 
-    /// A machine is there, or its state changed.
+    /// Adds a machine or replaces the record of the same name.
     pub fn put(&mut self, machine: MachineRecord, now: Duration) {
         self.machines.retain(|known| known.name != machine.name);
         self.machines.push(machine);
         self.machines.sort_by(|a, b| a.name.cmp(&b.name));
-        self.note(now);
+        self.record_history(now);
     }
 
-    /// A machine will be taken away.
+    /// Marks a machine as leaving.
     pub fn leave(&mut self, name: &EngineName, now: Duration) {
         for machine in &mut self.machines {
             if machine.name == *name {
                 machine.state = MachineState::Leaving;
             }
         }
-        self.note(now);
+        self.record_history(now);
     }
 
-    /// A machine is gone.
+    /// Removes a machine.
     pub fn remove(&mut self, name: &EngineName, now: Duration) {
         self.machines.retain(|machine| machine.name != *name);
-        self.note(now);
+        self.record_history(now);
     }
 
-    /// The list, as it was a lag ago.
+    /// Returns the list of machines as of `now` minus the lag.
     pub fn list(&mut self, now: Duration) -> Vec<MachineRecord> {
         let shown = now.saturating_sub(self.lag);
         while self.history.len() > 1 && self.history[1].0 <= shown {
@@ -82,15 +82,16 @@
         current.map_or(Vec::new(), |(_, machines)| machines.clone())
     }
 
-    /// An engine begins to load; gives how many load now.
+    /// Records that an engine begins to load weights. Returns the number of engines that load,
+    /// this one included.
     pub fn begin_load(&mut self, now: Duration) -> usize {
-        self.loads
-            .retain(|at| now.saturating_sub(*at) < LOAD_COUNTED);
-        self.loads.push(now);
-        self.loads.len()
+        self.weight_loads
+            .retain(|at| now.saturating_sub(*at) < LOAD_WINDOW);
+        self.weight_loads.push(now);
+        self.weight_loads.len()
     }
 
-    fn note(&mut self, now: Duration) {
+    fn record_history(&mut self, now: Duration) {
         self.history.push_back((now, self.machines.clone()));
     }
 }
@@ -100,7 +101,7 @@
     started: Instant,
 }
 
-/// Serves the platform until the process ends, and prints its address first.
+/// Prints the address and serves the platform until the process ends.
 pub fn run(options: &PlatformOptions) -> io::Result<()> {
     let (server, shared) = start(options)?;
     println!("{}", server.server_addr());
@@ -108,13 +109,13 @@
     Ok(())
 }
 
-/// Starts the platform on threads of this process and gives its address.
+/// Serves the platform on a thread of this process. Returns its address.
 pub fn spawn(options: &PlatformOptions) -> io::Result<SocketAddr> {
     let (server, shared) = start(options)?;
     let address = server
         .server_addr()
         .to_ip()
-        .ok_or_else(|| io::Error::other("no IP address"))?;
+        .ok_or_else(|| io::Error::other("the platform does not listen on an IP address"))?;
     thread::spawn(move || serve(&server, &shared));
     Ok(address)
 }
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -1,4 +1,4 @@
-//! `drumshore-lab replay`: recorded traces against stated outcomes.
+//! `drumshore-lab replay`: replays a recorded trace and compares its decisions with expected ones.
 
 use std::path::{Path, PathBuf};
 
@@ -9,18 +9,18 @@
 
 use crate::cli::{finish, LabError};
 
-/// The first place at which a replay differs from what was stated.
+/// The first decision of a replay that differs from the expected one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// The decision's place, counted from 1.
+    /// Number of the decision, from 1.
     pub position: usize,
-    /// What was stated; `None` when nothing more was.
+    /// The expected decision; `None` when the replay made more decisions than expected.
     pub expected: Option<TraceDecision>,
-    /// What the replay gave; `None` when it gave nothing more.
+    /// The decision of the replay; `None` when it made fewer decisions than expected.
     pub found: Option<TraceDecision>,
 }
 
-/// Compares decisions with stated ones.
+/// Returns the first difference between expected and replayed decisions, if any.
 pub fn first_difference(expected: &[TraceDecision], found: &[TraceDecision]) -> Option<Difference> {
     let longest = expected.len().max(found.len());
     (0..longest)
@@ -32,7 +32,7 @@
         })
 }
 
-/// Reads a file of JSON documents, one a line.
+/// Reads a file with one JSON document per line.
 pub fn read_lines<T: DeserializeOwned>(file: &Path) -> Result<Vec<T>, std::io::Error> {
     let text = std::fs::read_to_string(file)?;
     text.lines()
@@ -40,7 +40,7 @@
         .collect()
 }
 
-/// Writes a file of JSON documents, one a line.
+/// Writes a file with one JSON document per line.
 pub(crate) fn write_lines<T: Serialize>(file: &Path, items: &[T]) -> Result<(), LabError> {
     let mut text = String::new();
     for item in items {
@@ -68,13 +68,13 @@
     let expected: Vec<TraceDecision> = read_lines(&file)?;
     match first_difference(&expected, &found) {
         None => {
-            println!("all as stated");
+            println!("all decisions as expected");
             Ok(true)
         }
         Some(difference) => {
             println!("decision {} differs", difference.position);
-            println!("  stated: {:?}", difference.expected);
-            println!("  found:  {:?}", difference.found);
+            println!("  expected: {:?}", difference.expected);
+            println!("  found:    {:?}", difference.found);
             Ok(false)
         }
     }
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -1,8 +1,8 @@
-//! The callers' workload of the brief: long nested prefixes, a few large tenants, a hot set that
-//! shifts.
+//! The workload of callers: long nested prompt prefixes, a few large tenants, and a hot set that
+//! changes over time.
 //!
-//! Prefixes form a tree under each tenant. A request walks down the tree, most often along the
-//! path that is hot at the time, and ends in a part of its own.
+//! The prefixes of each tenant form a tree. A request follows a path from the root, most often the
+//! path that is hot at the time, and ends in a tail that no other request has.
 
 use drumshore_core::{PlacementGoal, Priority};
 use drumshore_routing::{PrefixChain, PrefixRoot, SequenceHash};
@@ -11,51 +11,51 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// One level of the tree.
+/// One level of the prefix tree.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Level {
-    /// Children of each node of the level above.
+    /// Number of children of each node of the level above.
     pub children: usize,
-    /// Blocks that a node adds to the prefix.
+    /// Number of blocks that a node adds to the prefix.
     pub blocks: usize,
 }
 
-/// What callers ask.
+/// Parameters of a generated workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadParams {
-    /// Tenants.
+    /// Number of tenants; tenants 0 and 1 are the large ones.
     pub tenants: usize,
     /// Share of requests that come from the two largest tenants.
     pub large_share: f64,
-    /// The tree, from its root.
+    /// Levels of the prefix tree, from the root.
     pub levels: Vec<Level>,
-    /// Share of choices that follow the hot path.
+    /// Probability that a request takes the hot child at each level.
     pub hot_share: f64,
-    /// Seconds after which another path is hot.
+    /// Interval after which another path becomes hot, in seconds.
     pub hot_shift_seconds: f64,
-    /// Tokens behind the prefix, at least and at most.
+    /// Minimum and maximum number of tokens after the shared prefix.
     pub tail_tokens: (u32, u32),
-    /// Tokens of the answer, at least and at most.
+    /// Minimum and maximum number of tokens of the answer.
     pub output_tokens: (u32, u32),
-    /// Share of interactive requests.
+    /// Share of requests with interactive priority.
     pub interactive_share: f64,
-    /// Share of requests that can wait.
+    /// Share of requests with batch priority.
     pub batch_share: f64,
-    /// Share of requests that may not be repeated.
+    /// Share of requests that must run at most once.
     pub once_share: f64,
 }
 
-/// The two users of the brief.
+/// The two supported user profiles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// Card authorisation: somebody waits at the pump.
+    /// Card authorization at fuel pumps, where a customer waits for the answer.
     Surtidor,
-    /// Slot booking and long plans.
+    /// Booking of port slots and long-running planning.
     SoharQuay,
 }
 
 impl Profile {
-    /// Reads the word of the command line.
+    /// Parses the name used on the command line.
     pub fn from_word(word: &str) -> Option<Self> {
         match word {
             "surtidor" => Some(Profile::Surtidor),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What it weighs more, by the brief.
+    /// The placement goal of the profile.
     pub fn goal(self) -> PlacementGoal {
         match self {
             Profile::Surtidor => PlacementGoal::Latency,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What its callers ask.
+    /// The workload of its callers.
     pub fn workload(self) -> WorkloadParams {
         let level = |children, blocks| Level { children, blocks };
         match self {
@@ -104,27 +104,27 @@
     }
 }
 
-/// One request.
+/// A generated request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkloadRequest {
-    /// Its tenant, counted from 0.
+    /// Number of its tenant, from 0.
     pub tenant: usize,
-    /// Contents of the prefix, one number a block.
+    /// Content of the shared prefix: a number that identifies the content of each block.
     pub blocks: Vec<u64>,
-    /// Content of the part of its own.
+    /// Number that identifies the content of the tail, which is unique to this request.
     pub tail: u64,
-    /// Tokens of the part of its own.
+    /// Number of tokens of the tail.
     pub tail_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of tokens of the answer.
     pub output_tokens: u32,
-    /// How urgent it is.
+    /// Its scheduling priority.
     pub priority: Priority,
-    /// True when it may not be repeated.
+    /// True when the request must run at most once.
     pub once: bool,
 }
 
 impl WorkloadRequest {
-    /// Its prompt as text.
+    /// Returns the prompt as text.
     pub fn text(&self, block_tokens: u32) -> String {
         let mut text = String::new();
         for block in &self.blocks {
@@ -134,7 +134,7 @@
         text
     }
 
-    /// Its prompt as token numbers.
+    /// Returns the prompt as token ids.
     pub fn tokens(&self, block_tokens: u32) -> Vec<u32> {
         let token =
             |content: u64, place: u32| xxh3_64_with_seed(&place.to_le_bytes(), content) as u32;
@@ -146,7 +146,8 @@
         tokens
     }
 
-    /// Its prefixes, without making the prompt.
+    /// Returns prefix hashes without building the prompt. Two requests share a hash where they share
+    /// a prefix, but the values differ from the hashes of [`Self::text`] and [`Self::tokens`].
     pub fn chain(&self, root: PrefixRoot, block_tokens: u32) -> PrefixChain {
         let mut parent = root.as_u64();
         let mut hash = |content: u64| {
@@ -161,7 +162,8 @@
     }
 }
 
-/// Four bytes of text stand for a token.
+/// Appends text of the given number of tokens, with
+/// [`TEXT_BYTES_PER_TOKEN`](drumshore_routing::prefix::TEXT_BYTES_PER_TOKEN) = 4 bytes a token.
 fn append_text(text: &mut String, content: u64, tokens: u32) {
     const TOKENS_PER_WORD: u32 = 4;
     let words = tokens.div_ceil(TOKENS_PER_WORD);
@@ -173,36 +175,36 @@
     text.truncate(start + tokens as usize * drumshore_routing::prefix::TEXT_BYTES_PER_TOKEN);
 }
 
-/// Draws requests.
+/// Generates requests from a seeded random source.
 #[derive(Clone, Debug)]
 pub struct WorkloadGenerator {
     params: WorkloadParams,
     random: ChaCha8Rng,
-    drawn: u64,
+    generated: u64,
     seed: u64,
 }
 
 impl WorkloadGenerator {
-    /// A generator whose requests follow from the seed.
+    /// Creates a generator. The same parameters and seed give the same requests.
     pub fn new(params: WorkloadParams, seed: u64) -> Self {
         Self {
             params,
             random: ChaCha8Rng::seed_from_u64(seed),
-            drawn: 0,
+            generated: 0,
             seed,
         }
     }
 
-    /// Seconds until the next request of a Poisson process.
+    /// Samples the time until the next request of a Poisson process, in seconds.
     pub fn next_gap(&mut self, requests_per_second: f64) -> f64 {
         let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
         -uniform.ln() / requests_per_second
     }
 
-    /// The next request, asked at `seconds`.
+    /// Generates the request that is sent `seconds` after the start, which decides the hot path.
     pub fn next_request(&mut self, seconds: f64) -> WorkloadRequest {
-        self.drawn += 1;
-        let tenant = self.draw_tenant();
+        self.generated += 1;
+        let tenant = self.sample_tenant();
         let epoch = (seconds / self.params.hot_shift_seconds) as u64;
         let mut blocks = Vec::new();
         let mut node = tenant as u64;
@@ -211,7 +213,7 @@
                 let level = &self.params.levels[depth];
                 (level.children, level.blocks)
             };
-            let child = self.draw_child(children, node, epoch);
+            let child = self.sample_child(children, node, epoch);
             node = mix(node, child as u64 + 1);
             blocks.extend((0..count as u64).map(|place| mix(node, place + 1_000)));
         }
@@ -227,7 +229,7 @@
         WorkloadRequest {
             tenant,
             blocks,
-            tail: mix(self.seed, self.drawn),
+            tail: mix(self.seed, self.generated),
             tail_tokens: self.random.random_range(tail.0..=tail.1),
             output_tokens: self.random.random_range(output.0..=output.1),
             priority,
@@ -235,7 +237,7 @@
         }
     }
 
-    fn draw_tenant(&mut self) -> usize {
+    fn sample_tenant(&mut self) -> usize {
         const LARGE: usize = 2;
         let tenants = self.params.tenants;
         if tenants <= LARGE || self.random.random::<f64>() < self.params.large_share {
@@ -244,12 +246,13 @@
         self.random.random_range(LARGE..tenants)
     }
 
-    /// The hot child, or any with falling chance.
-    fn draw_child(&mut self, children: usize, node: u64, epoch: u64) -> usize {
+    /// Returns the hot child, or a random one with a preference for low numbers.
+    fn sample_child(&mut self, children: usize, node: u64, epoch: u64) -> usize {
         if self.random.random::<f64>() < self.params.hot_share {
             return (mix(node, epoch) % children as u64) as usize;
         }
-        // The square of a uniform draw prefers low numbers, as popularity does.
+        // The square of a uniform sample favors low numbers, so that some children are more
+        // popular than others.
         let uniform: f64 = self.random.random();
         ((uniform * uniform) * children as f64) as usize
     }
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -14,7 +14,7 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn lab() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_drumshore-lab"))
@@ -33,7 +33,7 @@
 fn agent() -> Agent {
     Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(TIMEOUT))
         .build()
         .new_agent()
 }
@@ -57,7 +57,7 @@
     }
 }
 
-fn ask(router: SocketAddr, key: &str, prompt: &str, once: Option<&str>) -> Answer {
+fn send_completion(router: SocketAddr, key: &str, prompt: &str, once: Option<&str>) -> Answer {
     let body = json!({"model": MODEL, "prompt": prompt, "max_tokens": 5, "temperature": 0.0});
     let mut call = agent()
         .post(format!("http://{router}/v1/completions"))
@@ -68,14 +68,14 @@
     read(call.send(body.to_string()).expect("the router answers"))
 }
 
-fn text_of(answer: &Answer) -> &str {
+fn completion_text(answer: &Answer) -> &str {
     answer.body["choices"][0]["text"]
         .as_str()
         .unwrap_or_default()
 }
 
-fn await_that(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < deadline, "{what} did not come to be");
         std::thread::sleep(Duration::from_millis(50));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_request_that_met_a_dead_engine_is_retried_and_explained() {
+fn a_request_to_a_crashed_engine_is_retried_and_explained() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut fleet = start(folder.path(), 1, 1);
     let router = fleet.routers()[0];
@@ -92,7 +92,7 @@
     let mut retried = None;
     for number in 0..60 {
         let prompt = format!("prompt {number} {}", "x".repeat(600));
-        let answer = ask(router, &tenant_key(0), &prompt, None);
+        let answer = send_completion(router, &tenant_key(0), &prompt, None);
         assert_eq!(answer.status, 200, "{:?}", answer.body);
         let record = explain(router, &answer.request);
         if record.attempts.len() > 1 {
@@ -126,30 +126,30 @@
 }
 
 #[test]
-fn work_that_may_not_be_repeated_is_answered_again_without_running_again() {
+fn a_repeated_idempotency_key_gets_the_recorded_answer() {
     let folder = tempfile::tempdir().expect("a folder");
     let fleet = start(folder.path(), 3, 2);
     let routers = fleet.routers();
     let key = tenant_key(1);
-    let first = ask(routers[0], &key, "book slot 9", Some("booking-9"));
+    let first = send_completion(routers[0], &key, "book slot 9", Some("booking-9"));
     assert_eq!(first.status, 200, "{:?}", first.body);
-    let mut second = ask(routers[1], &key, "book slot 9", Some("booking-9"));
+    let mut second = send_completion(routers[1], &key, "book slot 9", Some("booking-9"));
     // The outcome is on its way into the ledger for a moment.
-    await_that("the recorded answer", || {
+    wait_until("the recorded answer", || {
         if second.status != 200 {
-            second = ask(routers[1], &key, "book slot 9", Some("booking-9"));
+            second = send_completion(routers[1], &key, "book slot 9", Some("booking-9"));
         }
         second.status == 200
     });
-    assert_eq!(text_of(&first), text_of(&second));
-    let other = ask(routers[0], &key, "book slot 8", Some("booking-9"));
+    assert_eq!(completion_text(&first), completion_text(&second));
+    let other = send_completion(routers[0], &key, "book slot 8", Some("booking-9"));
     assert_eq!(other.body["error"]["code"], "key_reused");
     let executions = fleet.executions().expect("the witness files");
     assert_eq!(executions.get("booking-9"), Some(&1));
 }
 
 #[test]
-fn changes_survive_the_leaders_death_and_its_return() {
+fn changes_survive_a_crash_and_restart_of_the_leader() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut fleet = start(folder.path(), 3, 1);
     let leader = fleet.status().and_then(|status| status.leader);
@@ -160,18 +160,18 @@
     let accepted = || {
         controls
             .iter()
-            .any(|control| write_class(*control) == Some(200))
+            .any(|control| put_priority_class(*control) == Some(200))
     };
-    await_that("a change without the old leader", accepted);
+    wait_until("a change without the old leader", accepted);
     fleet.restart_control(leader).expect("it starts");
     let seen = |control: &SocketAddr| revision_at(*control).is_some_and(|at| at > before.0);
-    await_that("the change at all three", || controls.iter().all(seen));
+    wait_until("the change at all three", || controls.iter().all(seen));
     let router = fleet.routers()[0];
-    let answer = ask(router, &tenant_key(0), "hello", None);
+    let answer = send_completion(router, &tenant_key(0), "hello", None);
     assert_eq!(answer.status, 200, "{:?}", answer.body);
 }
 
-fn write_class(control: SocketAddr) -> Option<u16> {
+fn put_priority_class(control: SocketAddr) -> Option<u16> {
     let spec = json!({"kind": "priority-class", "spec": {"priority": "batch", "deadline_ms": 9}});
     let response = agent()
         .put(format!("http://{control}/v1/resources/priority-class/slow"))
@@ -192,13 +192,13 @@
 }
 
 #[test]
-fn wrong_keys_and_bad_bodies_get_clear_refusals() {
+fn invalid_keys_and_bodies_are_rejected_with_error_codes() {
     let folder = tempfile::tempdir().expect("a folder");
     let fleet = start(folder.path(), 1, 1);
     let (router, control) = (fleet.routers()[0], fleet.controls()[0]);
-    let stranger = ask(router, "nobody", "hello", None);
-    assert_eq!(stranger.status, 401);
-    assert_eq!(stranger.body["error"]["execution"], "not_run");
+    let unknown_key = send_completion(router, "nobody", "hello", None);
+    assert_eq!(unknown_key.status, 401);
+    assert_eq!(unknown_key.body["error"]["execution"], "not_run");
     let good_key = format!("Bearer {}", tenant_key(0));
     let refused = |body: &str| {
         let call = agent().post(format!("http://{router}/v1/completions"));
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_wrong_setting_is_named_with_its_line() {
+fn an_invalid_setting_is_reported_with_its_line() {
     let folder = tempfile::tempdir().expect("a folder");
     let samples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../etc/router.toml");
     let sample = std::fs::read_to_string(samples).expect("the sample");
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn the_layouts_name_what_their_users_weigh_most() {
+fn layouts_have_the_placement_goal_of_their_profile() {
     let goal = |name| Layout::from_name(name).map(|layout| layout.profile.goal());
     assert_eq!(goal("surtidor"), Some(PlacementGoal::Latency));
     assert_eq!(goal("sohar-quay"), Some(PlacementGoal::Reuse));
--- a/crates/testbed/tests/replay.rs
+++ b/crates/testbed/tests/replay.rs
@@ -16,22 +16,22 @@
     read_lines(&trace_file(&format!("{name}.jsonl"))).expect("a trace")
 }
 
-fn stated(name: &str) -> Vec<TraceDecision> {
+fn expected_decisions(name: &str) -> Vec<TraceDecision> {
     read_lines(&trace_file(&format!("{name}.expect.jsonl"))).expect("stated outcomes")
 }
 
 #[rstest]
 #[case("surtidor")]
 #[case("sohar-quay")]
-fn a_recorded_trace_gives_the_stated_outcomes(#[case] name: &str) {
+fn a_replayed_trace_gives_the_recorded_decisions(#[case] name: &str) {
     let found = replay(&trace(name)).expect("it begins with its start");
     assert!(found.len() > 50, "{}", found.len());
-    assert_eq!(first_difference(&stated(name), &found), None);
+    assert_eq!(first_difference(&expected_decisions(name), &found), None);
 }
 
 #[test]
-fn a_difference_is_shown_where_it_is() {
-    let expected = stated("surtidor");
+fn a_changed_decision_is_reported_at_its_position() {
+    let expected = expected_decisions("surtidor");
     let mut found = expected.clone();
     found[9].outcome = TraceOutcome::Nowhere;
     let difference = first_difference(&expected, &found).expect("one differs");
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_trace_without_its_start_is_refused() {
+fn a_trace_without_its_start_event_is_rejected() {
     let lines = trace("surtidor");
     assert!(replay(&lines[1..]).is_err());
 }
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -8,14 +8,14 @@
 const SEEDS: u64 = 4;
 
 /// Seeds within which the harm of a missing safeguard has to show.
-const HARM_SEEDS: u64 = 40;
+const VIOLATION_SEEDS: u64 = 40;
 
 fn scenario(name: &str) -> Scenario {
     Scenario::from_name(name).unwrap_or_else(|| panic!("no scenario {name}"))
 }
 
 #[test]
-fn every_promise_holds_in_every_scenario() {
+fn every_invariant_holds_in_every_scenario() {
     let threads: Vec<_> = SCENARIOS
         .iter()
         .map(|scenario| {
@@ -41,7 +41,7 @@
 #[case("storm")]
 #[case("rollout")]
 #[case("second-machine-lost")]
-fn a_seed_decides_everything(#[case] name: &str) {
+fn the_same_seed_gives_the_same_run(#[case] name: &str) {
     let first = scenario(name).run(7, None);
     let second = scenario(name).run(7, None);
     let other = scenario(name).run(8, None);
@@ -71,19 +71,19 @@
 #[case(Guard::DrainOnStop, "planned-stop")]
 #[case(Guard::StreamOrder, "disordered-streams")]
 #[case(Guard::ContinuationMatches, "varying-engines")]
-fn a_missing_safeguard_does_harm(#[case] guard: Guard, #[case] name: &str) {
+fn removing_a_guard_breaks_an_invariant(#[case] guard: Guard, #[case] name: &str) {
     let scenario = scenario(name);
-    let noticed = (1..=HARM_SEEDS).any(|seed| {
+    let violated = (1..=VIOLATION_SEEDS).any(|seed| {
         set_removed(Some(guard));
         let report = scenario.run(seed, Some(guard));
         set_removed(None);
         !report.failures.is_empty()
     });
-    assert!(noticed, "{} can be taken out unnoticed", guard.as_str());
+    assert!(violated, "{} can be taken out unnoticed", guard.as_str());
 }
 
 #[test]
-fn every_safeguard_has_its_scenario() {
+fn every_guard_has_a_scenario() {
     let source = include_str!("simulation.rs");
     for guard in Guard::ALL {
         let case = format!("#[case(Guard::{guard:?},");
