--- a/crates/testbed/src/bench/cli.rs
+++ b/crates/testbed/src/bench/cli.rs
@@ -1,4 +1,4 @@
-//! `drumshore-lab bench`.
+//! The command `drumshore-lab bench`.
 
 use std::path::PathBuf;
 use std::thread;
@@ -22,12 +22,12 @@
         "log" => run_log(arguments),
         "streams" => run_streams(arguments),
         other => Err(LabError::Usage(format!(
-            "no bench {other:?}; there are routing, decision, log and streams"
+            "unknown bench {other:?}; expected routing, decision, log or streams"
         ))),
     }
 }
 
-/// All policies over one seed.
+/// Results of all policies for one seed.
 #[derive(Serialize)]
 struct RoutingReport {
     workload: String,
@@ -38,7 +38,7 @@
 fn run_routing(mut arguments: Arguments) -> Result<bool, LabError> {
     let word: String = arguments.value_from_str("--workload")?;
     let profile = Profile::from_word(&word)
-        .ok_or_else(|| LabError::Usage(format!("no workload {word:?}")))?;
+        .ok_or_else(|| LabError::Usage(format!("unknown workload {word:?}")))?;
     let seed: u64 = arguments.opt_value_from_str("--seed")?.unwrap_or(1);
     let json: Option<PathBuf> = arguments.opt_value_from_str("--json")?;
     let mut bench = RoutingBench::of(profile);
@@ -171,7 +171,7 @@
     let seconds: u64 = arguments.opt_value_from_str("--seconds")?.unwrap_or(20);
     let json: Option<PathBuf> = arguments.opt_value_from_str("--json")?;
     let short = arguments.contains("--short");
-    // Letter 1's share of a node: 111 requests a second, 230 tokens each, 47 ms apart.
+    // The load of one node: 111 requests a second, 230 tokens each, 47 ms apart.
     let params = StreamsParams {
         requests_per_second: arguments.opt_value_from_str("--rate")?.unwrap_or(if short {
             2_000.0
--- a/crates/testbed/src/bench/decision.rs
+++ b/crates/testbed/src/bench/decision.rs
@@ -1,4 +1,5 @@
-//! What one decision costs, and how that grows with engines and with what is remembered.
+//! Measures the time of a routing decision as a function of the number of engines, with a warm
+//! prefix index.
 
 use std::time::Instant;
 
@@ -21,18 +22,18 @@
 const WARM_UP: usize = 20_000;
 const MEASURED: usize = 50_000;
 
-/// The cost of decisions at one size.
+/// The time of decisions for one pool size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct DecisionReport {
-    /// Engines of the pool.
+    /// Number of engines in the pool.
     pub(super) engines: usize,
-    /// Time of one decision, in microseconds.
+    /// Mean time of a decision, in microseconds.
     pub(super) mean_us: f64,
-    /// In microseconds, despite the type's name for its unit.
+    /// Percentiles in microseconds, although [`Percentiles`] is documented as milliseconds.
     pub(super) microseconds: Percentiles,
 }
 
-/// Places requests among `engines` engines.
+/// Measures decisions for a pool of `engines` engines.
 pub(super) fn measure(engines: usize, seed: u64) -> DecisionReport {
     let random = ChaCha8Rng::seed_from_u64(seed);
     let scheduler = Scheduler::new(SchedulerParams::default(), random);
@@ -79,7 +80,8 @@
             total += took.as_secs_f64() * 1e6;
         }
     }
-    // The histogram holds nanoseconds, so what reads as milliseconds are microseconds.
+    // The histogram holds nanoseconds and `Percentiles::of` divides by 1,000, so the results are
+    // microseconds.
     DecisionReport {
         engines,
         mean_us: total / MEASURED as f64,
--- a/crates/testbed/src/bench/index.rs
+++ b/crates/testbed/src/bench/index.rs
@@ -1,4 +1,5 @@
-//! What the index beside a control machine costs, and how that grows with what it knows.
+//! Measures the memory and time of the prefix index of a control machine as a function of its
+//! number of entries.
 
 use std::time::Instant;
 
@@ -15,34 +16,35 @@
 use crate::cli::LabError;
 use crate::load::{histogram, Percentiles};
 
-/// Letter 1's engines of one region: 1,900 over 5.
+/// Engines of one region: 1,900 engines in 5 regions.
 const ENGINES: usize = 380;
 
-/// Blocks that an answer to a poll changes: 1,580 a second, twice a second, half of them new.
+/// Changes in the answer to one poll: an engine changes 1,580 blocks a second, half of them new, and
+/// is polled twice a second.
 const CHANGES_PER_REPORT: usize = 790;
 
-/// Prefixes of one question.
+/// Number of prefixes in one lookup.
 const PREFIXES: u64 = 16;
 
 const REPORTS: usize = 2_000;
 const QUESTIONS: u32 = 20_000;
 
-/// The cost of an index of one size.
+/// Measurements of an index of one size.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct IndexReport {
-    /// Engines.
+    /// Number of engines.
     pub(super) engines: usize,
-    /// Blocks known, each as often as it is held.
+    /// Number of entries: one for each block and each engine that caches it.
     pub(super) entries: usize,
-    /// Resident memory for each.
+    /// Resident memory per entry.
     pub(super) bytes_per_entry: f64,
-    /// Time to take one change in, in nanoseconds.
+    /// Time to apply one change, in nanoseconds.
     pub(super) change_ns: f64,
-    /// Time to read one change from an engine's answer, in nanoseconds.
+    /// Time to decode one change from the answer of an engine, in nanoseconds.
     pub(super) decode_ns: f64,
-    /// Bytes of one change in an engine's answer.
+    /// Size of one change in the answer of an engine, in bytes.
     pub(super) change_bytes: f64,
-    /// Time to answer one question, in microseconds.
+    /// Time to answer one lookup, in microseconds.
     pub(super) question_us: Percentiles,
 }
 
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A block of an engine: most are its own, some are held by several.
+    /// Returns the hash of a block of an engine. Every fourth block is shared by 8 engines.
     fn block(&self, engine: usize, number: usize) -> SequenceHash {
         const SHARED_EVERY: usize = 4;
         const SHARED_BY: usize = 8;
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Blocks come and go; gives the time to read one change, its bytes, and the time to take it.
+    /// Applies reports of changed blocks. Returns the time to decode one change, its size, and the
+    /// time to apply it.
     fn churn(&mut self) -> Result<(f64, f64, f64), LabError> {
         let (mut decoding, mut bytes, mut taking) = (0.0, 0, 0.0);
         for _ in 0..REPORTS {
--- a/crates/testbed/src/bench/log.rs
+++ b/crates/testbed/src/bench/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log against the disk that it is on.
+//! Measures commits of the replicated log against raw syncs of the same disk.
 
 use std::fs::OpenOptions;
 use std::io::{self, Write};
@@ -16,44 +16,44 @@
 const ENTRY_BYTES: usize = 256;
 const REPLICAS: u64 = 3;
 
-/// Proposals that gather between two syncs.
+/// Numbers of proposals that share one sync.
 const BATCHES: [usize; 3] = [1, 16, 256];
 
-/// Commits with one batch size.
+/// Measurements for one batch size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct CommitReport {
-    /// Proposals under way at once.
+    /// Number of proposals per commit.
     pub(super) batch: usize,
-    /// Commits a second.
+    /// Committed entries per second.
     pub(super) commits_per_second: f64,
-    /// As a ratio to the disk's raw syncs a second, measured in the same run.
+    /// Ratio of committed entries to raw disk syncs, measured in the same run.
     pub(super) ratio_to_syncs: f64,
-    /// From proposal to commit.
+    /// Time from proposal to commit.
     pub(super) commit_ms: Percentiles,
 }
 
-/// What came of the measurement.
+/// Results of the log benchmark.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct LogReport {
-    /// Appends of 256 bytes with a sync each, a second.
+    /// Appends of 256 bytes per second, each with a sync.
     pub(super) syncs_per_second: f64,
-    /// Three replicas that sync one after the other on one disk and one thread.
+    /// Commits of three replicas, which sync one after the other on one disk and one thread.
     pub(super) commits: Vec<CommitReport>,
-    /// Entries in the log, and the time to open a replica with them.
+    /// Number of log entries and the time to open a replica with them, in milliseconds.
     pub(super) recovery_ms: Vec<(u64, f64)>,
 }
 
-/// Why there is no measurement.
+/// Why the benchmark failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum LogError {
-    /// The disk failed.
+    /// A disk operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A replica failed.
+    /// A replica reported an error.
     #[error(transparent)]
     Replica(#[from] ReplicaError),
-    /// No replica became the leader.
-    #[error("no replica leads")]
+    /// No replica became leader within 1,000 ticks.
+    #[error("no replica was elected leader")]
     NoLeader,
 }
 
@@ -133,7 +133,7 @@
         Err(LogError::NoLeader)
     }
 
-    /// Stores, sends and delivers until nothing is under way.
+    /// Flushes all replicas and delivers their messages until none are left.
     fn exchange(&mut self) -> Result<(), LogError> {
         loop {
             for replica in &mut self.replicas {
@@ -153,7 +153,8 @@
     fn commit(&mut self, count: usize) -> Result<LogIndex, LogError> {
         let leader = &mut self.replicas[self.leader];
         for _ in 0..count {
-            // A leader that was deposed meanwhile is noticed by the commit that does not move.
+            // A leader that has lost its role rejects the proposal, and the commit index then
+            // does not advance.
             let _ = leader.raft_mut().propose(vec![7; ENTRY_BYTES]);
         }
         self.exchange()?;
@@ -186,7 +187,7 @@
     })
 }
 
-/// Writes a log of so many entries, and gives the time to open it again, in milliseconds.
+/// Writes a log of `entries` entries and returns the time to open it again, in milliseconds.
 fn recover(folder: &Path, entries: u64) -> Result<f64, LogError> {
     const PROPOSALS_PER_COMMIT: usize = 500;
     let folder = folder.join(format!("recover-{entries}"));
--- a/crates/testbed/src/bench/mod.rs
+++ b/crates/testbed/src/bench/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements: placement against an oracle, the cost of a decision, the log against the disk,
-//! streams through a router against streams without one.
+//! Benchmarks: placement policies against an oracle, the time of a routing decision, commits of the
+//! replicated log against raw disk syncs, and streams with and without a router.
 
 mod decision;
 mod log;
--- a/crates/testbed/src/bench/routing/control.rs
+++ b/crates/testbed/src/bench/routing/control.rs
@@ -1,4 +1,4 @@
-//! What control machines hear of engines, and when routers and their indexes hear of it.
+//! Models how engine state reaches the routers and prefix indexes through the control machines.
 
 use std::time::Duration;
 
@@ -17,17 +17,19 @@
 
 use super::run::{zone, Bench, POOL, RECORDED_ROUTER, WEIGHTS};
 
-/// How often control machines ask engines, and how old the answers are when they arrive.
+/// Interval at which control machines poll engines.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Age of an answer to a poll when it reaches routers and indexes.
 const REPORT_AGE: Duration = Duration::from_millis(350);
 
-/// From a router to its control machine.
+/// Latency between a router and its control machine.
 const ONE_WAY_LATENCY: Duration = Duration::from_millis(1);
 
-/// Until a booking has reached the other control machines: they relay with their clock's tick.
+/// Additional delay until a booking reaches the other control machines, which is relayed on the
+/// next clock tick.
 const RELAY_DELAY: Duration = Duration::from_millis(50);
 
-/// What routers or control machines will be told.
+/// An update that reaches routers or indexes at a later time.
 pub(super) enum Report {
     Load(usize, LoadReport),
     Start(usize, Incarnation, EngineState),
@@ -36,7 +38,7 @@
 }
 
 impl Bench {
-    /// Loads and cache changes as they are now arrive later, and are old when they arrive.
+    /// Reads loads and cache changes now and schedules their arrival for [`REPORT_AGE`] later.
     pub(super) fn poll_engines(&mut self) {
         let mut loads = Vec::new();
         for (position, core) in self.engines.iter().enumerate() {
@@ -55,7 +57,8 @@
                 age: (REPORT_AGE.as_millis() as u64 / AGE_UNIT_MS) as u8,
             });
             let at = self.now.plus(REPORT_AGE);
-            // All machines have the same view, so one asks for all.
+            // All indexes have received the same reports, so the first one decides for all what to
+            // request.
             let wanted = self.indexers[0].wanted(self.ids[position], self.now);
             let cache = core.cache_report(wanted);
             self.reports.push((at, Report::Load(position, load)));
@@ -128,7 +131,8 @@
         self.record(RECORDED_ROUTER, TraceEvent::Engine { observation });
     }
 
-    /// The index beside the router's control machine answers by what it knows now.
+    /// Sends a lookup to the index of the router's control machine, which answers from its current
+    /// state. The request is placed again after the round trip.
     pub(super) fn query_index(&mut self, number: u64) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -155,7 +159,8 @@
             .push((self.now.plus(ONE_WAY_LATENCY * 2), number));
     }
 
-    /// A router tells its control machine what it placed, and this one the others.
+    /// Books a placement at the index of the router's control machine, which relays it to the
+    /// others. Without a preceding lookup only placements with enough uncached tokens are booked.
     pub(super) fn book_at_index(&mut self, number: u64, placement: &Placement) {
         let uses_index = self.uses_index();
         let Some(job) = self.jobs.get_mut(&number) else {
@@ -243,7 +248,7 @@
     }))
 }
 
-/// Identities of engines, for the tests of this module's parent.
+/// Returns the ids of engines by position.
 pub(super) fn ids(engines: usize) -> Vec<EngineId> {
     let names = (0..engines).map(|number| EngineName::new(format!("engine-{number}")));
     names.map(|name| name.id()).collect()
--- a/crates/testbed/src/bench/routing/mod.rs
+++ b/crates/testbed/src/bench/routing/mod.rs
@@ -1,9 +1,9 @@
-//! The same requests under every policy, on a virtual clock.
+//! Runs the same requests under every placement policy on a virtual clock.
 //!
-//! Several routers, each with its own placer, send to engines in virtual time. What routers and
-//! the index know of engines is late: loads and caches are reported twice a second and are older
-//! than that, a new start of an engine is learned after a delay. The oracle alone sees every cache
-//! and queue at once.
+//! Several routers, each with its own placer, send requests to engines in virtual time. The state
+//! of engines reaches routers and indexes with a delay: loads and caches are polled twice a second
+//! and arrive 350 ms old, and a restart becomes known after 700 ms. Only the oracle sees every
+//! cache and queue without delay.
 
 mod control;
 mod run;
@@ -19,8 +19,8 @@
 
 use run::Bench;
 
-/// All policies, baselines first; [`Policy::Exact`] is the oracle, which sees every engine's cache
-/// and queue at once.
+/// All policies, baselines first. [`Policy::Exact`] is the oracle, which sees every cache and queue
+/// without delay.
 pub const POLICIES: [Policy; 6] = [
     Policy::RoundRobin,
     Policy::LeastLoaded,
@@ -41,33 +41,33 @@
     }
 }
 
-/// A fleet and its callers.
+/// The simulated fleet and its load.
 #[derive(Clone, Debug)]
 pub struct RoutingBench {
-    /// Whose callers ask.
+    /// Profile that decides the workload and the placement goal.
     pub profile: Profile,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Control machines, each with an index.
+    /// Number of control machines, each with a prefix index.
     pub control_machines: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Requests a second, over all routers.
+    /// Mean number of requests per second over all routers.
     pub requests_per_second: f64,
-    /// Blocks an engine holds.
+    /// Cache capacity of an engine, in blocks.
     pub cache_blocks: usize,
-    /// How long requests are made.
+    /// Simulated duration of the run.
     pub duration: Duration,
-    /// An engine crashes this often.
+    /// Interval between engine crashes.
     pub crash_every: Duration,
-    /// Weights of the scheduler.
+    /// Parameters of the scheduler.
     pub scheduler: SchedulerParams,
 }
 
 impl RoutingBench {
-    /// A user's fleet, at the brief's sizes, with a working set of three times the caches.
+    /// Returns the fleet of a profile. Its working set is three times the capacity of all caches.
     pub fn of(profile: Profile) -> Self {
         let base = Self {
             profile,
@@ -95,32 +95,33 @@
     }
 }
 
-/// What came of a policy.
+/// Results of one policy.
 #[derive(Clone, Debug, Serialize)]
 pub struct PolicyReport {
-    /// The policy.
+    /// Name of the policy.
     pub policy: &'static str,
-    /// Requests counted.
+    /// Number of requests measured after the warm-up.
     pub requests: u64,
-    /// Cached share of their prompt tokens.
+    /// Share of their prompt tokens that was cached.
     pub prefix_hit_rate: f64,
-    /// From asking to the first token.
+    /// Time from the arrival of a request to its first token.
     pub ttft_ms: Percentiles,
-    /// Prompt tokens computed.
+    /// Prompt tokens of measured requests that were not cached.
     pub recomputed_tokens: u64,
-    /// Bytes of load reports to one router, and of its questions to the index with answers and
-    /// bookings.
+    /// Bytes per second of load reports to one router, and of its index lookups, their answers and
+    /// its bookings.
     pub control_bytes_per_second_per_node: f64,
-    /// Time of one decision on this machine.
+    /// Mean real time of a decision, in nanoseconds.
     pub decision_ns: f64,
 }
 
-/// Runs one policy over the requests of a seed.
+/// Runs one policy over the requests generated from a seed.
 pub fn run_policy(params: &RoutingBench, policy: Policy, seed: u64) -> PolicyReport {
     Bench::new(params.clone(), policy, seed, None).run(seed).0
 }
 
-/// Runs the product and gives what its first router was told and asked.
+/// Runs the product policy and returns the trace of its first router: the engine state and requests
+/// that its placer received.
 pub fn record_trace(params: &RoutingBench, seed: u64) -> Vec<TraceLine> {
     let bench = Bench::new(params.clone(), Policy::Product, seed, Some(Vec::new()));
     bench.run(seed).1
--- a/crates/testbed/src/bench/routing/run.rs
+++ b/crates/testbed/src/bench/routing/run.rs
@@ -1,4 +1,4 @@
-//! One policy over the requests of one seed.
+//! Runs one policy over the requests generated from one seed.
 
 use std::time::{Duration, Instant};
 
@@ -26,19 +26,20 @@
 pub(super) const POOL: &str = "p";
 pub(super) const WEIGHTS: WeightsVersion = WeightsVersion(1);
 
-/// How long routers do not know of an engine's new start.
+/// Delay until routers learn of the crash or restart of an engine.
 const RESTART_DETECTION_DELAY: Duration = Duration::from_millis(700);
 
-/// How long an engine that crashed is away.
+/// Time between the crash of an engine and its restart.
 const ENGINE_DOWNTIME: Duration = Duration::from_secs(3);
 
-/// The oracle's own weight, whatever the product's: the one at which its tail is shortest.
+/// Recompute weight of the oracle, independent of that of the product policy. Its tail latency is
+/// lowest with this value.
 const ORACLE_RECOMPUTE_WEIGHT: f64 = 1.5;
 
-/// A request that was refused is placed again after this long.
+/// Delay until a failed request is placed again.
 const RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// Requests before this time warm the caches and are not counted.
+/// Requests that arrive earlier only warm the caches and are not measured.
 const WARM_UP: Duration = Duration::from_secs(40);
 
 pub(super) struct Job {
@@ -47,14 +48,14 @@
     pub(super) router: usize,
     asked_at: Timestamp,
     excluded: Vec<EngineId>,
-    /// What the index answered, until the request is placed.
+    /// Answers of the index, kept until the request is placed.
     pub(super) answers: Option<Vec<LookupAnswer>>,
-    /// The index was asked, and is owed a booking.
+    /// True when the index has answered a lookup and its booking is still to be sent.
     pub(super) lookup_pending: bool,
     placement: Option<Placement>,
 }
 
-/// A fleet under way.
+/// State of a running simulation.
 pub(super) struct Bench {
     pub(super) params: RoutingBench,
     policy: Policy,
@@ -62,10 +63,10 @@
     random: ChaCha8Rng,
     pub(super) engines: Vec<Option<EngineCore>>,
     pub(super) ids: Vec<EngineId>,
-    /// What routers were told of each engine's state.
+    /// State of each engine as last reported to the routers.
     pub(super) states: Vec<EngineState>,
     pub(super) placers: Vec<Placer>,
-    /// One beside each control machine.
+    /// One prefix index per control machine.
     pub(super) indexers: Vec<Indexer>,
     pub(super) jobs: FxHashMap<u64, Job>,
     pub(super) retries: Vec<(Timestamp, u64)>,
@@ -80,11 +81,11 @@
     pub(super) index_traffic_bytes: u64,
     decisions: u64,
     deciding: Duration,
-    /// What the first router's placer is told, when that is wanted.
+    /// Input of the placer of [`RECORDED_ROUTER`], when a trace is recorded.
     trace: Option<Vec<TraceLine>>,
 }
 
-/// The router that is recorded.
+/// Number of the router whose input is recorded.
 pub(super) const RECORDED_ROUTER: usize = 0;
 
 impl Bench {
@@ -234,7 +235,7 @@
         incarnation
     }
 
-    /// What was running is asked again elsewhere, as by the router's retries.
+    /// Crashes an engine. Its requests are retried on other engines.
     fn crash(&mut self, engine: usize) {
         self.engines[engine] = None;
         let id = self.ids[engine];
@@ -361,7 +362,7 @@
         }
     }
 
-    /// True when the policy asks the index.
+    /// Returns true when the policy sends lookups to the index.
     pub(super) fn uses_index(&self) -> bool {
         self.policy == Policy::Product
     }
@@ -398,8 +399,8 @@
         }
     }
 
-    /// Shows the request's router every queue as it is, and through beliefs what each engine
-    /// holds of this very prompt.
+    /// Gives the router of a request the current queue of every engine and the exact number of
+    /// prompt tokens that each has cached for the request.
     fn set_exact_states(&mut self, number: u64) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -517,7 +518,7 @@
     seed ^ (router as u64 + 1) << 32
 }
 
-/// The zone of an engine or a router.
+/// Returns the zone of an engine or router.
 pub(super) fn zone(number: usize, zones: usize) -> ZoneName {
     ZoneName::new(format!("zone-{}", number % zones))
 }
--- a/crates/testbed/src/bench/streams.rs
+++ b/crates/testbed/src/bench/streams.rs
@@ -1,5 +1,5 @@
-//! One router at a node's share of the target: many streams at once, through the router and
-//! against the engine directly, in one run.
+//! Measures many concurrent streams through one router, at the load of one node, against the same
+//! streams sent directly to the engines in the same run.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,31 +20,31 @@
 use crate::platform::{self, PlatformOptions};
 use crate::workload::{Level, WorkloadParams};
 
-/// Engines beside the router, so that no engine is the bottleneck and none has more of the
-/// streams than a router gives to one.
+/// Number of engines: enough that none is the bottleneck and each gets no more streams than a
+/// router sends to one engine.
 const ENGINES: usize = 8;
 
-/// What to measure.
+/// Parameters of the benchmark.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StreamsParams {
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub(super) requests_per_second: f64,
-    /// Tokens of each answer.
+    /// Number of tokens of each answer.
     pub(super) output_tokens: u32,
-    /// Time between tokens, in microseconds; 0 for as fast as the engine can.
+    /// Time between tokens, in microseconds; 0 uses the shortest step of the engine, 100.
     pub(super) token_gap_us: f64,
-    /// How long each half lasts.
+    /// Duration of the direct and of the routed run.
     pub(super) duration: Duration,
 }
 
-/// What came of it.
+/// Results of the benchmark.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct StreamsReport {
-    /// Against the engine directly.
+    /// Load sent directly to the engines.
     pub(super) direct: LoadReport,
-    /// Through the router.
+    /// Load sent through the router.
     pub(super) routed: LoadReport,
-    /// What the router used meanwhile.
+    /// Resources that the router used during the routed run.
     pub(super) router: Usage,
 }
 
@@ -56,14 +56,14 @@
     router_address: SocketAddr,
 }
 
-/// Why there is no measurement.
+/// Why the benchmark failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StreamsError {
-    /// A file, socket or process failed.
+    /// An operation on a file, socket or process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The operators' commands failed.
-    #[error("writing resources ended as {0:?}")]
+    /// Applying the resources failed.
+    #[error("applying the resources failed: {0:?}")]
     Apply(ExitStatus),
     /// The router or its control machine did not become ready.
     #[error("router or control machine did not become ready")]
@@ -237,7 +237,7 @@
     }
 }
 
-/// Ready, and with engines to send to.
+/// Waits until the router is ready, and then 2 s for it to learn of the engines.
 fn wait_ready(router: SocketAddr) -> Result<(), StreamsError> {
     const ENGINE_DISCOVERY_DELAY: Duration = Duration::from_secs(2);
     wait_until(|| ureq::get(format!("http://{router}/readyz")).call().is_ok())?;
@@ -258,5 +258,5 @@
 
 fn path_str(path: &Path) -> io::Result<&str> {
     path.to_str()
-        .ok_or_else(|| io::Error::other("the temporary folder's name is not text"))
+        .ok_or_else(|| io::Error::other("path is not valid UTF-8"))
 }
--- a/crates/testbed/src/bench/usage.rs
+++ b/crates/testbed/src/bench/usage.rs
@@ -1,4 +1,4 @@
-//! What processes use, as the operating system and their own metrics say.
+//! Resource usage of processes, from procfs and their own metrics.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,24 +7,24 @@
 use procfs::process::Process;
 use serde::{Deserialize, Serialize};
 
-/// What a process used while it was measured.
+/// Resource usage of a process between two samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Of one core, in percent.
+    /// CPU time, in percent of one core.
     pub cpu_percent: f64,
-    /// Resident memory at the end, in MB.
+    /// Resident memory at the later sample, in MB.
     pub resident_mb: f64,
-    /// Frames sent over links, a second.
+    /// Frames sent over links, per second.
     pub sent_frames: f64,
-    /// Bytes sent over links, a second.
+    /// Bytes sent over links, per second.
     pub sent_bytes: f64,
-    /// Frames received over links, a second.
+    /// Frames received over links, per second.
     pub received_frames: f64,
-    /// Bytes received over links, a second.
+    /// Bytes received over links, per second.
     pub received_bytes: f64,
 }
 
-/// A process at one moment.
+/// Counters of a process at one time.
 #[derive(Clone, Debug)]
 pub struct ProcessSample {
     at: Instant,
@@ -34,7 +34,7 @@
 }
 
 impl ProcessSample {
-    /// Reads a process and its metrics.
+    /// Reads procfs and the metrics of a process. Values that cannot be read are 0 or missing.
     pub fn read(process: u32, metrics: SocketAddr) -> Self {
         const BYTES_PER_MB: f64 = 1_048_576.0;
         let stat = Process::new(process as i32).and_then(|process| process.stat());
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What was used since an earlier reading.
+    /// Returns the usage since an earlier sample.
     pub fn since(&self, earlier: &Self) -> Usage {
         let seconds = (self.at - earlier.at).as_secs_f64();
         let rate = |suffix: &str| {
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Real processes: the daemons as they are started by operators, with stand-ins around them.
+//! End-to-end tests with the real daemons and mock engines and platform.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -25,7 +25,7 @@
         engines: 3,
         controls,
         routers,
-        ..Layout::from_name("quickstart").expect("it is a layout")
+        ..Layout::from_name("quickstart").expect("a known layout")
     };
     Fleet::start(layout, folder.to_owned(), lab()).expect("the fleet starts")
 }
@@ -77,7 +77,7 @@
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < deadline, "{what} did not come to be");
+        assert!(Instant::now() < deadline, "{what} did not happen in time");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -88,7 +88,7 @@
     let mut fleet = start(folder.path(), 1, 1);
     let router = fleet.routers()[0];
     fleet.kill_engine(0);
-    // Until the control machine has noticed, some prompts are sent to the dead engine first.
+    // Until the control machine detects the crash, some prompts are sent to the crashed engine.
     let mut retried = None;
     for number in 0..60 {
         let prompt = format!("prompt {number} {}", "x".repeat(600));
@@ -100,7 +100,7 @@
             break;
         }
     }
-    let record = retried.expect("one of 60 prompts met the dead engine");
+    let record = retried.expect("one of 60 prompts is sent to the crashed engine");
     assert!(record.answered);
     let (first, last) = (
         &record.attempts[0],
@@ -134,7 +134,7 @@
     let first = send_completion(routers[0], &key, "book slot 9", Some("booking-9"));
     assert_eq!(first.status, 200, "{:?}", first.body);
     let mut second = send_completion(routers[1], &key, "book slot 9", Some("booking-9"));
-    // The outcome is on its way into the ledger for a moment.
+    // The outcome of the first request may not have reached the ledger yet.
     wait_until("the recorded answer", || {
         if second.status != 200 {
             second = send_completion(routers[1], &key, "book slot 9", Some("booking-9"));
@@ -162,10 +162,15 @@
             .iter()
             .any(|control| put_priority_class(*control) == Some(200))
     };
-    wait_until("a change without the old leader", accepted);
-    fleet.restart_control(leader).expect("it starts");
+    wait_until("a change accepted without the old leader", accepted);
+    fleet
+        .restart_control(leader)
+        .expect("the control machine restarts");
     let seen = |control: &SocketAddr| revision_at(*control).is_some_and(|at| at > before.0);
-    wait_until("the change at all three", || controls.iter().all(seen));
+    wait_until(
+        "replication of the change to all three control machines",
+        || controls.iter().all(seen),
+    );
     let router = fleet.routers()[0];
     let answer = send_completion(router, &tenant_key(0), "hello", None);
     assert_eq!(answer.status, 200, "{:?}", answer.body);
@@ -253,13 +258,13 @@
     let sample = std::fs::read_to_string(samples).expect("the sample");
     let file = folder.path().join("router.toml");
     let wrong = sample.replace("max_attempts = 4", "max_attempts = 99");
-    std::fs::write(&file, &wrong).expect("it is written");
+    std::fs::write(&file, &wrong).expect("the settings file is written");
     let output = check_config(&file);
     let errors = String::from_utf8_lossy(&output.stderr).into_owned();
     let line = wrong
         .lines()
         .position(|line| line.contains("99"))
-        .expect("it is there")
+        .expect("the invalid value is in the file")
         + 1;
     assert_eq!(output.status.code(), Some(4));
     assert!(errors.contains(&format!("line {line}")), "{errors}");
--- a/crates/testbed/tests/replay.rs
+++ b/crates/testbed/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Recorded traces against stated outcomes.
+//! Replays recorded traces and compares the decisions with the expected ones.
 
 use std::path::{Path, PathBuf};
 
@@ -17,14 +17,14 @@
 }
 
 fn expected_decisions(name: &str) -> Vec<TraceDecision> {
-    read_lines(&trace_file(&format!("{name}.expect.jsonl"))).expect("stated outcomes")
+    read_lines(&trace_file(&format!("{name}.expect.jsonl"))).expect("expected decisions")
 }
 
 #[rstest]
 #[case("surtidor")]
 #[case("sohar-quay")]
 fn a_replayed_trace_gives_the_recorded_decisions(#[case] name: &str) {
-    let found = replay(&trace(name)).expect("it begins with its start");
+    let found = replay(&trace(name)).expect("a trace that begins with its start event");
     assert!(found.len() > 50, "{}", found.len());
     assert_eq!(first_difference(&expected_decisions(name), &found), None);
 }
@@ -34,7 +34,7 @@
     let expected = expected_decisions("surtidor");
     let mut found = expected.clone();
     found[9].outcome = TraceOutcome::Nowhere;
-    let difference = first_difference(&expected, &found).expect("one differs");
+    let difference = first_difference(&expected, &found).expect("a difference");
     assert_eq!(difference.position, 10);
     assert_eq!(difference.expected, Some(expected[9].clone()));
 }
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,13 +1,13 @@
-//! The fleet under every failure of the brief, and each safeguard's harm.
+//! Runs every fault scenario, and checks that removing any guard violates an invariant.
 
 use drumshore_guard::{set_removed, Guard};
 use drumshore_testbed::sim::{Scenario, SCENARIOS};
 use rstest::rstest;
 
-/// Seeds of the fixed set that every change has to pass. `drumshore-lab sim` runs more.
+/// Number of seeds per scenario. `drumshore-lab sim` can run more.
 const SEEDS: u64 = 4;
 
-/// Seeds within which the harm of a missing safeguard has to show.
+/// Number of seeds within which a removed guard has to cause a violation.
 const VIOLATION_SEEDS: u64 = 40;
 
 fn scenario(name: &str) -> Scenario {
@@ -33,7 +33,9 @@
         })
         .collect();
     for thread in threads {
-        thread.join().expect("every scenario is clean");
+        thread
+            .join()
+            .expect("all invariants hold in every scenario");
     }
 }
 
@@ -50,7 +52,8 @@
     assert_ne!(first.trace_hash, other.trace_hash);
 }
 
-/// Takes one safeguard out and runs a scenario until its harm shows.
+/// Removes one guard and runs a scenario until an invariant is violated. A guard whose removal stays
+/// undetected is not covered by the checks.
 #[rstest]
 #[case(Guard::VoteSynced, "log-double-vote")]
 #[case(Guard::EntriesSynced, "control-restarts")]
@@ -79,7 +82,11 @@
         set_removed(None);
         !report.failures.is_empty()
     });
-    assert!(violated, "{} can be taken out unnoticed", guard.as_str());
+    assert!(
+        violated,
+        "removing the guard {} violates no invariant",
+        guard.as_str()
+    );
 }
 
 #[test]
