--- a/crates/testbed/src/bench/cli.rs
+++ b/crates/testbed/src/bench/cli.rs
@@ -36,9 +36,9 @@
 }
 
 fn run_routing(mut arguments: Arguments) -> Result<bool, LabError> {
-    let word: String = arguments.value_from_str("--workload")?;
-    let profile = Profile::from_word(&word)
-        .ok_or_else(|| LabError::Usage(format!("unknown workload {word:?}")))?;
+    let workload_name: String = arguments.value_from_str("--workload")?;
+    let profile = Profile::from_name(&workload_name)
+        .ok_or_else(|| LabError::Usage(format!("unknown workload {workload_name:?}")))?;
     let seed: u64 = arguments.opt_value_from_str("--seed")?.unwrap_or(1);
     let json: Option<PathBuf> = arguments.opt_value_from_str("--json")?;
     let mut bench = RoutingBench::of(profile);
@@ -73,7 +73,7 @@
     });
     print!("{}", routing_table(&policies));
     let report = RoutingReport {
-        workload: word,
+        workload: workload_name,
         seed,
         policies,
     };
--- a/crates/testbed/src/bench/decision.rs
+++ b/crates/testbed/src/bench/decision.rs
@@ -70,14 +70,14 @@
         };
         let started = Instant::now();
         let placed = placer.place(number as u64, &routing, now);
-        let took = started.elapsed();
+        let decision_time = started.elapsed();
         if let Ok(Decision::Placed(placement, _)) = placed {
             placer.on_first_token(&placement, AnswerReport::default(), now);
             placer.on_ended(&placement);
         }
         if number >= WARM_UP {
-            nanoseconds.saturating_record(took.as_nanos() as u64);
-            total += took.as_secs_f64() * 1e6;
+            nanoseconds.saturating_record(decision_time.as_nanos() as u64);
+            total += decision_time.as_secs_f64() * 1e6;
         }
     }
     // The histogram holds nanoseconds and `Percentiles::of` divides by 1,000, so the results are
--- a/crates/testbed/src/bench/index.rs
+++ b/crates/testbed/src/bench/index.rs
@@ -27,7 +27,7 @@
 const PREFIXES: u64 = 16;
 
 const REPORTS: usize = 2_000;
-const QUESTIONS: u32 = 20_000;
+const LOOKUPS: u32 = 20_000;
 
 /// Measurements of an index of one size.
 #[derive(Clone, Debug, Serialize)]
@@ -63,7 +63,7 @@
         change_ns,
         decode_ns,
         change_bytes,
-        question_us: bench.ask(),
+        question_us: bench.measure_lookups(),
     })
 }
 
@@ -108,12 +108,12 @@
 
     fn fill(&mut self) {
         for engine in 0..ENGINES {
-            let held = (0..self.blocks).map(|number| self.block(engine, number));
+            let cached = (0..self.blocks).map(|number| self.block(engine, number));
             let report = CacheReport {
                 incarnation: Incarnation(1),
                 complete: true,
                 first: 1,
-                changes: held.map(CacheChange::Stored).collect(),
+                changes: cached.map(CacheChange::Stored).collect(),
             };
             self.indexer
                 .on_report(self.engines[engine], &report, Timestamp(0));
@@ -165,16 +165,16 @@
         }
     }
 
-    fn ask(&mut self) -> Percentiles {
+    fn measure_lookups(&mut self) -> Percentiles {
         let mut nanoseconds = histogram();
-        for ticket in 0..QUESTIONS {
+        for ticket in 0..LOOKUPS {
             let engine = self.random.random_range(0..ENGINES);
             let first = self.random.random_range(0..self.blocks);
             let prefixes = (0..PREFIXES).map(|offset| LookupPrefix {
                 hash: self.block(engine, (first + offset as usize) % self.blocks),
                 blocks: offset as u32 + 1,
             });
-            let question = IndexLookup {
+            let lookup = IndexLookup {
                 id: LookupId { requester: 1, ticket },
                 prefixes: prefixes.collect(),
                 block_tokens: 2_048,
@@ -184,10 +184,10 @@
             };
             let started = Instant::now();
             let engines = self.engines.iter().copied();
-            let holdings = self.indexer.ask(&question, engines, Timestamp(1));
-            let took = started.elapsed().as_nanos() as u64;
+            let holdings = self.indexer.ask(&lookup, engines, Timestamp(1));
+            let lookup_ns = started.elapsed().as_nanos() as u64;
             assert!(!holdings.is_empty(), "every engine is a candidate");
-            nanoseconds.saturating_record(took);
+            nanoseconds.saturating_record(lookup_ns);
         }
         Percentiles::of(&nanoseconds)
     }
--- a/crates/testbed/src/bench/routing/control.rs
+++ b/crates/testbed/src/bench/routing/control.rs
@@ -154,7 +154,7 @@
         let block_tokens = lookup.block_tokens;
         let answers = holdings.iter().map(|holding| answer(holding, block_tokens));
         job.answers = Some(answers.collect());
-        job.lookup_pending = true;
+        job.booking_pending = true;
         self.retries
             .push((self.now.plus(ONE_WAY_LATENCY * 2), number));
     }
@@ -166,9 +166,9 @@
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        let lookup_pending = std::mem::take(&mut job.lookup_pending);
+        let booking_pending = std::mem::take(&mut job.booking_pending);
         let missing = placement.missing_tokens();
-        if !uses_index || (!lookup_pending && missing < MIN_BOOKED_TOKENS) {
+        if !uses_index || (!booking_pending && missing < MIN_BOOKED_TOKENS) {
             return;
         }
         self.index_traffic_bytes += booking_bytes();
--- a/crates/testbed/src/bench/routing/run.rs
+++ b/crates/testbed/src/bench/routing/run.rs
@@ -51,7 +51,7 @@
     /// Answers of the index, kept until the request is placed.
     pub(super) answers: Option<Vec<LookupAnswer>>,
     /// True when the index has answered a lookup and its booking is still to be sent.
-    pub(super) lookup_pending: bool,
+    pub(super) booking_pending: bool,
     placement: Option<Placement>,
 }
 
@@ -297,7 +297,7 @@
             asked_at: self.now,
             excluded: Vec::new(),
             answers: None,
-            lookup_pending: false,
+            booking_pending: false,
             placement: None,
             request,
         };
@@ -474,8 +474,8 @@
             placer.on_first_token(placement, report, output.at);
             first_token_report = Some((job.router, report));
             if job.asked_at >= Timestamp(0).plus(WARM_UP) {
-                let took = output.at.since(job.asked_at).as_micros() as u64;
-                self.first_token.saturating_record(took.max(1));
+                let latency = output.at.since(job.asked_at).as_micros() as u64;
+                self.first_token.saturating_record(latency.max(1));
                 self.requests += 1;
                 self.prompt_tokens += u64::from(job.chain.prompt_tokens());
                 self.cached_tokens += u64::from(output.cached_tokens);
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -149,7 +149,7 @@
     let profile: Option<String> = arguments.opt_value_from_str("--profile")?;
     let profile = match profile.as_deref() {
         None => Profile::Surtidor,
-        Some(word) => Profile::from_word(word)
+        Some(word) => Profile::from_name(word)
             .ok_or_else(|| LabError::Usage(format!("unknown profile {word:?}")))?,
     };
     let seconds: Option<u64> = arguments.opt_value_from_str("--seconds")?;
--- a/crates/testbed/src/engine/cache.rs
+++ b/crates/testbed/src/engine/cache.rs
@@ -48,8 +48,8 @@
 
     /// Returns how many leading blocks of a chain are cached.
     pub fn cached_prefix_blocks(&self, chain: &[SequenceHash]) -> usize {
-        let held = |hash: &&SequenceHash| self.blocks.contains_key(hash);
-        chain.iter().take_while(held).count()
+        let cached = |hash: &&SequenceHash| self.blocks.contains_key(hash);
+        chain.iter().take_while(cached).count()
     }
 
     /// Returns the origins of the first `count` blocks of a chain that are cached.
@@ -90,8 +90,8 @@
             ReportWanted::ChangesFrom(start, number) => self.publisher.changes_from(start, number),
             ReportWanted::Complete => None,
         };
-        let held = self.by_last_use.values().copied();
-        changes.unwrap_or_else(|| self.publisher.complete(held))
+        let cached = self.by_last_use.values().copied();
+        changes.unwrap_or_else(|| self.publisher.complete(cached))
     }
 
     fn mark_used(&mut self, hash: SequenceHash, origin: BlockOrigin) {
--- a/crates/testbed/src/engine/core.rs
+++ b/crates/testbed/src/engine/core.rs
@@ -270,10 +270,10 @@
         self.ordered_weights.is_some() && self.load_ends_at.is_none() && self.open() == 0
     }
 
-    /// Begins to load the ordered weights, which takes the time `takes`.
-    pub fn begin_load(&mut self, takes: Duration, now: Timestamp) {
+    /// Begins to load the ordered weights, which takes `duration`.
+    pub fn begin_load(&mut self, duration: Duration, now: Timestamp) {
         self.weights_version = WeightsVersion(0);
-        self.load_ends_at = Some(now.plus(takes));
+        self.load_ends_at = Some(now.plus(duration));
     }
 
     /// Refuses all new requests from now on.
@@ -393,8 +393,8 @@
         let cached = self.cached_tokens(request);
         self.check_origins(request, cached);
         let origin = self.origin(request);
-        let held = self.cache.cached_prefix_blocks(&request.chain);
-        self.cache.store(&request.chain[..held], origin);
+        let cached_blocks = self.cache.cached_prefix_blocks(&request.chain);
+        self.cache.store(&request.chain[..cached_blocks], origin);
         self.counters.executed += 1;
         self.counters.prompt_tokens += u64::from(request.prompt_tokens);
         self.counters.cached_tokens += u64::from(cached);
--- a/crates/testbed/src/engine/http.rs
+++ b/crates/testbed/src/engine/http.rs
@@ -163,14 +163,14 @@
         struct LoadingCount {
             loading: usize,
         }
-        let submitted = self.platform.as_ref().and_then(|platform| {
+        let count = self.platform.as_ref().and_then(|platform| {
             let mut response = ureq::post(format!("{platform}/v1/weights"))
                 .send_empty()
                 .ok()?;
             let body = response.body_mut().read_to_vec().ok()?;
             serde_json::from_slice::<LoadingCount>(&body).ok()
         });
-        let loading = submitted.map_or(1, |grant| grant.loading);
+        let loading = count.map_or(1, |count| count.loading);
         self.lock().core.params().timing.weight_load(loading)
     }
 
@@ -257,22 +257,22 @@
         let last: Option<u32> =
             header(&request, engine_api::LAST_EVENT_ID).and_then(|event| event.parse().ok());
         let (sender, outputs) = unbounded();
-        let known = {
+        let resumed = {
             let mut state = self.lock();
             let own = state.core.incarnation().to_string();
-            let known = state
+            let resumed = state
                 .core
                 .stream(id)
                 .filter(|_| expected.is_none_or(|expected| expected == own))
                 .zip(state.resume_info.get(&id).copied());
-            if let Some((summary, _)) = &known {
+            if let Some((summary, _)) = &resumed {
                 let from = last.map_or(0, |last| last + 1);
                 replay(id, summary, from, &sender);
                 state.readers.entry(id).or_default().push(sender);
             }
-            known
+            resumed
         };
-        match known {
+        match resumed {
             Some((_, resume_info)) => {
                 self.stream(
                     request,
--- a/crates/testbed/src/platform.rs
+++ b/crates/testbed/src/platform.rs
@@ -50,7 +50,8 @@
 
     /// Adds a machine or replaces the record of the same name.
     pub fn put(&mut self, machine: MachineRecord, now: Duration) {
-        self.machines.retain(|known| known.name != machine.name);
+        self.machines
+            .retain(|existing| existing.name != machine.name);
         self.machines.push(machine);
         self.machines.sort_by(|a, b| a.name.cmp(&b.name));
         self.record_history(now);
--- a/crates/testbed/src/workload.rs
+++ b/crates/testbed/src/workload.rs
@@ -56,8 +56,8 @@
 
 impl Profile {
     /// Parses the name used on the command line.
-    pub fn from_word(word: &str) -> Option<Self> {
-        match word {
+    pub fn from_name(name: &str) -> Option<Self> {
+        match name {
             "surtidor" => Some(Profile::Surtidor),
             "sohar-quay" => Some(Profile::SoharQuay),
             _ => None,
@@ -136,13 +136,14 @@
 
     /// Returns the prompt as token ids.
     pub fn tokens(&self, block_tokens: u32) -> Vec<u32> {
-        let token =
-            |content: u64, place: u32| xxh3_64_with_seed(&place.to_le_bytes(), content) as u32;
+        let token = |content: u64, position: u32| {
+            xxh3_64_with_seed(&position.to_le_bytes(), content) as u32
+        };
         let mut tokens: Vec<u32> = Vec::new();
         for block in &self.blocks {
-            tokens.extend((0..block_tokens).map(|place| token(*block, place)));
+            tokens.extend((0..block_tokens).map(|position| token(*block, position)));
         }
-        tokens.extend((0..self.tail_tokens).map(|place| token(self.tail, place)));
+        tokens.extend((0..self.tail_tokens).map(|position| token(self.tail, position)));
         tokens
     }
 
@@ -155,8 +156,8 @@
             SequenceHash(parent)
         };
         let mut hashes: Vec<SequenceHash> = self.blocks.iter().map(|block| hash(*block)).collect();
-        let whole = u64::from(self.tail_tokens / block_tokens);
-        hashes.extend((0..whole).map(|place| hash(self.tail.wrapping_add(place))));
+        let tail_blocks = u64::from(self.tail_tokens / block_tokens);
+        hashes.extend((0..tail_blocks).map(|position| hash(self.tail.wrapping_add(position))));
         let prompt_tokens = self.blocks.len() as u32 * block_tokens + self.tail_tokens;
         PrefixChain::from_hashes(hashes, block_tokens, prompt_tokens)
     }
@@ -168,8 +169,8 @@
     const TOKENS_PER_WORD: u32 = 4;
     let words = tokens.div_ceil(TOKENS_PER_WORD);
     let start = text.len();
-    for place in 0..words {
-        let word = xxh3_64_with_seed(&place.to_le_bytes(), content);
+    for position in 0..words {
+        let word = xxh3_64_with_seed(&position.to_le_bytes(), content);
         text.push_str(&format!("{word:016x}"));
     }
     text.truncate(start + tokens as usize * drumshore_routing::prefix::TEXT_BYTES_PER_TOKEN);
@@ -215,7 +216,7 @@
             };
             let child = self.sample_child(children, node, epoch);
             node = mix(node, child as u64 + 1);
-            blocks.extend((0..count as u64).map(|place| mix(node, place + 1_000)));
+            blocks.extend((0..count as u64).map(|position| mix(node, position + 1_000)));
         }
         let (tail, output) = (self.params.tail_tokens, self.params.output_tokens);
         let class: f64 = self.random.random();
