--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -4,7 +4,8 @@
 use drumshore_testbed::sim::{Scenario, SCENARIOS};
 use rstest::rstest;
 
-/// Number of seeds per scenario. `drumshore-lab sim` can run more.
+/// Seeds per scenario in the fixed set that every change must pass. `drumshore-lab sim` can run
+/// more.
 const SEEDS: u64 = 4;
 
 /// Number of seeds within which a removed guard has to cause a violation.
