--- a/crates/testbed/src/bench/index.rs
+++ b/crates/testbed/src/bench/index.rs
@@ -1,4 +1,5 @@
-//! What the index beside a control machine costs, and how that grows with what it knows.
+//! Measures the memory and time of the prefix index of a control machine as a function of its
+//! number of entries.
 
 use std::time::Instant;
 
@@ -15,34 +16,35 @@
 use crate::cli::LabError;
 use crate::load::{histogram, Percentiles};
 
-/// Letter 1's engines of one region: 1,900 over 5.
+/// Engines of one region: 1,900 engines in 5 regions.
 const ENGINES: usize = 380;
 
-/// Blocks that an answer to a poll changes: 1,580 a second, twice a second, half of them new.
+/// Changes in the answer to one poll: an engine changes 1,580 blocks a second, half of them new, and
+/// is polled twice a second.
 const CHANGES_PER_REPORT: usize = 790;
 
-/// Prefixes of one question.
+/// Number of prefixes in one lookup.
 const PREFIXES: u64 = 16;
 
 const REPORTS: usize = 2_000;
-const QUESTIONS: u32 = 20_000;
+const LOOKUPS: u32 = 20_000;
 
-/// The cost of an index of one size.
+/// Measurements of an index of one size.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct IndexReport {
-    /// Engines.
+    /// Number of engines.
     pub(super) engines: usize,
-    /// Blocks known, each as often as it is held.
+    /// Number of entries: one for each block and each engine that caches it.
     pub(super) entries: usize,
-    /// Resident memory for each.
+    /// Resident memory per entry.
     pub(super) bytes_per_entry: f64,
-    /// Time to take one change in, in nanoseconds.
+    /// Time to apply one change, in nanoseconds.
     pub(super) change_ns: f64,
-    /// Time to read one change from an engine's answer, in nanoseconds.
+    /// Time to decode one change from the answer of an engine, in nanoseconds.
     pub(super) decode_ns: f64,
-    /// Bytes of one change in an engine's answer.
+    /// Size of one change in the answer of an engine, in bytes.
     pub(super) change_bytes: f64,
-    /// Time to answer one question, in microseconds.
+    /// Time to answer one lookup, in microseconds.
     pub(super) question_us: Percentiles,
 }
 
@@ -61,7 +63,7 @@
         change_ns,
         decode_ns,
         change_bytes,
-        question_us: bench.ask(),
+        question_us: bench.measure_lookups(),
     })
 }
 
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A block of an engine: most are its own, some are held by several.
+    /// Returns the hash of a block of an engine. Every fourth block is shared by 8 engines.
     fn block(&self, engine: usize, number: usize) -> SequenceHash {
         const SHARED_EVERY: usize = 4;
         const SHARED_BY: usize = 8;
@@ -106,19 +108,20 @@
 
     fn fill(&mut self) {
         for engine in 0..ENGINES {
-            let held = (0..self.blocks).map(|number| self.block(engine, number));
+            let cached = (0..self.blocks).map(|number| self.block(engine, number));
             let report = CacheReport {
                 incarnation: Incarnation(1),
                 complete: true,
                 first: 1,
-                changes: held.map(CacheChange::Stored).collect(),
+                changes: cached.map(CacheChange::Stored).collect(),
             };
             self.indexer
                 .on_report(self.engines[engine], &report, Timestamp(0));
         }
     }
 
-    /// Blocks come and go; gives the time to read one change, its bytes, and the time to take it.
+    /// Applies reports of changed blocks. Returns the time to decode one change, its size, and the
+    /// time to apply it.
     fn churn(&mut self) -> Result<(f64, f64, f64), LabError> {
         let (mut decoding, mut bytes, mut taking) = (0.0, 0, 0.0);
         for _ in 0..REPORTS {
@@ -162,16 +165,16 @@
         }
     }
 
-    fn ask(&mut self) -> Percentiles {
+    fn measure_lookups(&mut self) -> Percentiles {
         let mut nanoseconds = histogram();
-        for ticket in 0..QUESTIONS {
+        for ticket in 0..LOOKUPS {
             let engine = self.random.random_range(0..ENGINES);
             let first = self.random.random_range(0..self.blocks);
             let prefixes = (0..PREFIXES).map(|offset| LookupPrefix {
                 hash: self.block(engine, (first + offset as usize) % self.blocks),
                 blocks: offset as u32 + 1,
             });
-            let question = IndexLookup {
+            let lookup = IndexLookup {
                 id: LookupId { requester: 1, ticket },
                 prefixes: prefixes.collect(),
                 block_tokens: 2_048,
@@ -181,10 +184,10 @@
             };
             let started = Instant::now();
             let engines = self.engines.iter().copied();
-            let holdings = self.indexer.ask(&question, engines, Timestamp(1));
-            let took = started.elapsed().as_nanos() as u64;
+            let holdings = self.indexer.ask(&lookup, engines, Timestamp(1));
+            let lookup_ns = started.elapsed().as_nanos() as u64;
             assert!(!holdings.is_empty(), "every engine is a candidate");
-            nanoseconds.saturating_record(took);
+            nanoseconds.saturating_record(lookup_ns);
         }
         Percentiles::of(&nanoseconds)
     }
--- a/crates/testbed/src/bench/streams.rs
+++ b/crates/testbed/src/bench/streams.rs
@@ -1,5 +1,5 @@
-//! One router at a node's share of the target: many streams at once, through the router and
-//! against the engine directly, in one run.
+//! Measures many concurrent streams through one router, at the load of one node, against the same
+//! streams sent directly to the engines in the same run.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use drumshore_node::operator::{self, Command, ExitStatus, Options};
 use serde::Serialize;
 
-use super::usage::{Reading, Usage};
+use super::usage::{ProcessSample, Usage};
 use crate::engine::{EngineParams, EngineTiming};
 use crate::fleet::settings::{self, ControlAddresses, MODEL, OPERATOR_KEY, POOL};
 use crate::fleet::{Layout, Process};
@@ -20,31 +20,31 @@
 use crate::platform::{self, PlatformOptions};
 use crate::workload::{Level, WorkloadParams};
 
-/// Engines beside the router, so that no engine is the bottleneck and none has more of the
-/// streams than a router gives to one.
+/// Number of engines: enough that none is the bottleneck and each gets no more streams than a
+/// router sends to one engine.
 const ENGINES: usize = 8;
 
-/// What to measure.
+/// Parameters of the benchmark.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StreamsParams {
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub(super) requests_per_second: f64,
-    /// Tokens of each answer.
+    /// Number of tokens of each answer.
     pub(super) output_tokens: u32,
-    /// Time between tokens, in microseconds; 0 for as fast as the engine can.
+    /// Time between tokens, in microseconds; 0 uses the shortest step of the engine, 100.
     pub(super) token_gap_us: f64,
-    /// How long each half lasts.
+    /// Duration of the direct and of the routed run.
     pub(super) duration: Duration,
 }
 
-/// What came of it.
+/// Results of the benchmark.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct StreamsReport {
-    /// Against the engine directly.
+    /// Load sent directly to the engines.
     pub(super) direct: LoadReport,
-    /// Through the router.
+    /// Load sent through the router.
     pub(super) routed: LoadReport,
-    /// What the router used meanwhile.
+    /// Resources that the router used during the routed run.
     pub(super) router: Usage,
 }
 
@@ -56,14 +56,14 @@
     router_address: SocketAddr,
 }
 
-/// Why there is no measurement.
+/// Why the benchmark failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StreamsError {
-    /// A file, socket or process failed.
+    /// An operation on a file, socket or process failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The operators' commands failed.
-    #[error("writing resources ended as {0:?}")]
+    /// Applying the resources failed.
+    #[error("applying the resources failed: {0:?}")]
     Apply(ExitStatus),
     /// The router or its control machine did not become ready.
     #[error("router or control machine did not become ready")]
@@ -78,10 +78,10 @@
         .map(|(_, address)| address.to_string())
         .collect();
     let direct = load::run(&load_params(params, engines, 1), |_, _| {});
-    let before = Reading::take(bench.router.id(), bench.router_address);
+    let before = ProcessSample::read(bench.router.id(), bench.router_address);
     let target = vec![bench.router_address.to_string()];
     let routed = load::run(&load_params(params, target, 2), |_, _| {});
-    let router = Reading::take(bench.router.id(), bench.router_address).since(&before);
+    let router = ProcessSample::read(bench.router.id(), bench.router_address).since(&before);
     Ok(StreamsReport {
         direct,
         routed,
@@ -90,7 +90,7 @@
 }
 
 fn load_params(params: StreamsParams, targets: Vec<String>, seed: u64) -> LoadParams {
-    const SPARE: f64 = 1.6;
+    const CALLER_HEADROOM: f64 = 1.6;
     let answer_seconds = f64::from(params.output_tokens) * params.token_gap_us / 1e6;
     let open = params.requests_per_second * (answer_seconds + 0.2);
     LoadParams {
@@ -117,7 +117,7 @@
         },
         seed,
         requests_per_second: params.requests_per_second,
-        callers: (open * SPARE) as usize + 16,
+        callers: (open * CALLER_HEADROOM) as usize + 16,
         duration: params.duration,
         caller: CallerParams {
             targets,
@@ -153,17 +153,17 @@
             "drumshore",
             "control",
             "--config",
-            text(&config)?,
+            path_str(&config)?,
             "--bootstrap",
         ];
         let control = Process::spawn("control", &arguments, &folder.join("control.log"))?;
         let router_address = settings::free_address(ip)?;
         let config =
             settings::write_router(folder, "router", "zone-1", router_address, &[addresses])?;
-        let arguments = ["drumshore", "router", "--config", text(&config)?];
+        let arguments = ["drumshore", "router", "--config", path_str(&config)?];
         let router = Process::spawn("router", &arguments, &folder.join("router.log"))?;
         write_resources(folder, &addresses)?;
-        await_ready(router_address)?;
+        wait_ready(router_address)?;
         Ok(Self {
             _platform: platform,
             engines,
@@ -202,7 +202,7 @@
     let arguments = [
         "engine",
         "--config",
-        text(&config)?,
+        path_str(&config)?,
         "--listen",
         "127.0.0.1:0",
     ];
@@ -227,27 +227,27 @@
     let layout = Layout::from_name("quickstart").ok_or(StreamsError::NotReady)?;
     let file = settings::write_resources(folder, &layout, &[])?;
     let command = Command::Apply {
-        file: text(&file)?.to_owned(),
+        file: path_str(&file)?.to_owned(),
     };
     let options = Options::new(vec![format!("http://{}", control.operators)], OPERATOR_KEY);
-    await_that(|| std::net::TcpStream::connect(control.operators).is_ok())?;
+    wait_until(|| std::net::TcpStream::connect(control.operators).is_ok())?;
     match operator::run(&command, &options) {
         ExitStatus::Done => Ok(()),
         status => Err(StreamsError::Apply(status)),
     }
 }
 
-/// Ready, and with engines to send to.
-fn await_ready(router: SocketAddr) -> Result<(), StreamsError> {
-    const ENGINES_KNOWN_AFTER: Duration = Duration::from_secs(2);
-    await_that(|| ureq::get(format!("http://{router}/readyz")).call().is_ok())?;
-    thread::sleep(ENGINES_KNOWN_AFTER);
+/// Waits until the router is ready, and then 2 s for it to learn of the engines.
+fn wait_ready(router: SocketAddr) -> Result<(), StreamsError> {
+    const ENGINE_DISCOVERY_DELAY: Duration = Duration::from_secs(2);
+    wait_until(|| ureq::get(format!("http://{router}/readyz")).call().is_ok())?;
+    thread::sleep(ENGINE_DISCOVERY_DELAY);
     Ok(())
 }
 
-fn await_that(holds: impl Fn() -> bool) -> Result<(), StreamsError> {
-    const TRIES: usize = 200;
-    for _ in 0..TRIES {
+fn wait_until(holds: impl Fn() -> bool) -> Result<(), StreamsError> {
+    const ATTEMPTS: usize = 200;
+    for _ in 0..ATTEMPTS {
         if holds() {
             return Ok(());
         }
@@ -256,7 +256,7 @@
     Err(StreamsError::NotReady)
 }
 
-fn text(path: &Path) -> io::Result<&str> {
+fn path_str(path: &Path) -> io::Result<&str> {
     path.to_str()
-        .ok_or_else(|| io::Error::other("the temporary folder's name is not text"))
+        .ok_or_else(|| io::Error::other("path is not valid UTF-8"))
 }
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,21 +1,22 @@
-//! The fleet under every failure of the brief, and each safeguard's harm.
+//! Runs every fault scenario, and checks that removing any guard violates an invariant.
 
 use drumshore_guard::{set_removed, Guard};
 use drumshore_testbed::sim::{Scenario, SCENARIOS};
 use rstest::rstest;
 
-/// Seeds of the fixed set that every change has to pass. `drumshore-lab sim` runs more.
+/// Seeds per scenario in the fixed set that every change must pass. `drumshore-lab sim` can run
+/// more.
 const SEEDS: u64 = 4;
 
-/// Seeds within which the harm of a missing safeguard has to show.
-const HARM_SEEDS: u64 = 40;
+/// Number of seeds within which a removed guard has to cause a violation.
+const VIOLATION_SEEDS: u64 = 40;
 
 fn scenario(name: &str) -> Scenario {
     Scenario::from_name(name).unwrap_or_else(|| panic!("no scenario {name}"))
 }
 
 #[test]
-fn every_promise_holds_in_every_scenario() {
+fn every_invariant_holds_in_every_scenario() {
     let threads: Vec<_> = SCENARIOS
         .iter()
         .map(|scenario| {
@@ -33,7 +34,9 @@
         })
         .collect();
     for thread in threads {
-        thread.join().expect("every scenario is clean");
+        thread
+            .join()
+            .expect("all invariants hold in every scenario");
     }
 }
 
@@ -41,7 +44,7 @@
 #[case("storm")]
 #[case("rollout")]
 #[case("second-machine-lost")]
-fn a_seed_decides_everything(#[case] name: &str) {
+fn the_same_seed_gives_the_same_run(#[case] name: &str) {
     let first = scenario(name).run(7, None);
     let second = scenario(name).run(7, None);
     let other = scenario(name).run(8, None);
@@ -50,7 +53,8 @@
     assert_ne!(first.trace_hash, other.trace_hash);
 }
 
-/// Takes one safeguard out and runs a scenario until its harm shows.
+/// Removes one guard and runs a scenario until an invariant is violated. A guard whose removal stays
+/// undetected is not covered by the checks.
 #[rstest]
 #[case(Guard::VoteSynced, "log-double-vote")]
 #[case(Guard::EntriesSynced, "control-restarts")]
@@ -71,19 +75,23 @@
 #[case(Guard::DrainOnStop, "planned-stop")]
 #[case(Guard::StreamOrder, "disordered-streams")]
 #[case(Guard::ContinuationMatches, "varying-engines")]
-fn a_missing_safeguard_does_harm(#[case] guard: Guard, #[case] name: &str) {
+fn removing_a_guard_breaks_an_invariant(#[case] guard: Guard, #[case] name: &str) {
     let scenario = scenario(name);
-    let noticed = (1..=HARM_SEEDS).any(|seed| {
+    let violated = (1..=VIOLATION_SEEDS).any(|seed| {
         set_removed(Some(guard));
         let report = scenario.run(seed, Some(guard));
         set_removed(None);
         !report.failures.is_empty()
     });
-    assert!(noticed, "{} can be taken out unnoticed", guard.as_str());
+    assert!(
+        violated,
+        "removing the guard {} violates no invariant",
+        guard.as_str()
+    );
 }
 
 #[test]
-fn every_safeguard_has_its_scenario() {
+fn every_guard_has_a_scenario() {
     let source = include_str!("simulation.rs");
     for guard in Guard::ALL {
         let case = format!("#[case(Guard::{guard:?},");
