--- a/crates/testbed/src/sim/callers.rs
+++ b/crates/testbed/src/sim/callers.rs
@@ -16,35 +16,35 @@
 use rand::Rng;
 use stakker::{call, Ret};
 
-use super::checks::Promise;
-use super::engines::{once_key, CallNews, BLOCK_TOKENS, MODEL};
-use super::world::{Event, Output, World};
+use super::checks::Invariant;
+use super::cluster::{Event, Output, SimCluster};
+use super::engines::{idempotency_key_of, CallEvent, BLOCK_TOKENS, MODEL};
 use crate::engine::http::prompt_digest;
 use crate::engine::stream::token;
 use crate::workload::WorkloadRequest;
 
 /// How long an engine may be silent.
-const STALL: Duration = Duration::from_secs(5);
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pauses before a caller asks again.
-const PAUSE: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Share of prompts that another tenant has asked before.
 const SHARED_PROMPTS: f64 = 0.15;
 
 /// A restarted router has to place its first request within this time.
-const SERVES_WITHIN: Duration = Duration::from_secs(2);
+const FIRST_PLACEMENT_LIMIT: Duration = Duration::from_secs(2);
 
 /// Weights that answers may come from.
 const KNOWN_VERSIONS: u64 = 4;
 
 /// What a caller wants.
-pub(super) struct Ask {
-    pub(super) request: WorkloadRequest,
+pub(super) struct CallerRequest {
+    pub(super) workload_request: WorkloadRequest,
     pub(super) prompt: Arc<PromptInput>,
     pub(super) digest: u64,
     pub(super) once: Option<IdempotencyKey>,
-    pub(super) asked_at: Timestamp,
+    pub(super) created_at: Timestamp,
     streams: bool,
     deterministic: bool,
     router: Option<usize>,
@@ -55,7 +55,7 @@
 
 /// A try at it, beside a router.
 pub(super) struct SimExchange {
-    pub(super) ask: u64,
+    pub(super) caller_request: u64,
     router: usize,
     exchange: Exchange,
     id: Option<RequestId>,
@@ -73,9 +73,9 @@
     pub(super) tries: u64,
 }
 
-impl World {
+impl SimCluster {
     /// The next caller asks; another one follows.
-    pub(super) fn next_ask(&mut self) {
+    pub(super) fn next_arrival(&mut self) {
         let factor = if self.surge.until > self.now {
             self.surge.chance
         } else {
@@ -84,16 +84,16 @@
         let rate = self.plan.requests_per_second * factor;
         let gap = self.generator.next_gap(rate);
         let at = self.now.plus(Duration::from_secs_f64(gap));
-        self.events.schedule(at, Event::NextAsk);
-        self.new_ask(None);
+        self.events.schedule(at, Event::NextArrival);
+        self.add_caller_request(None);
     }
 
     /// Somebody asks, at any router, or a certain tenant at a certain router.
-    pub(super) fn new_ask(&mut self, at: Option<(usize, usize)>) {
+    pub(super) fn add_caller_request(&mut self, at: Option<(usize, usize)>) {
         let seconds = self.now.0 as f64 / 1e6 + self.hot_offset;
         let mut request = self.generator.next_request(seconds);
-        self.next_ask_number += 1;
-        let number = self.next_ask_number;
+        self.next_caller_request += 1;
+        let number = self.next_caller_request;
         if self.random.random::<f64>() < SHARED_PROMPTS {
             if let Some(blocks) = &self.last_blocks {
                 request.blocks.clone_from(blocks);
@@ -104,61 +104,63 @@
         if let Some((_, tenant)) = at {
             request.tenant = tenant;
         }
-        let once = (request.once && at.is_none()).then(|| once_key(number));
-        let ask = Ask {
+        let once = (request.once && at.is_none()).then(|| idempotency_key_of(number));
+        let caller_request = CallerRequest {
             digest: prompt_digest(&prompt),
             prompt,
             once,
-            asked_at: self.now,
+            created_at: self.now,
             streams: self.random.random::<f64>() < 0.7,
             deterministic: self.random.random::<f64>() < 0.6,
             router: at.map(|(router, _)| router),
             tries: 0,
             done: false,
             answered: false,
-            request,
+            workload_request: request,
         };
-        self.asks.insert(number, ask);
+        self.caller_requests.insert(number, caller_request);
         self.totals.asked += 1;
-        self.try_ask(number);
+        self.send_caller_request(number);
     }
 
     /// Asks, for the first time or again.
-    pub(super) fn try_ask(&mut self, number: u64) {
+    pub(super) fn send_caller_request(&mut self, number: u64) {
         const MAX_TRIES: u32 = 80;
         let any_router = self.random.random_range(0..self.routers.len());
-        let Some(ask) = self.asks.get_mut(&number) else {
+        let Some(caller_request) = self.caller_requests.get_mut(&number) else {
             return;
         };
-        if ask.done || ask.tries >= MAX_TRIES {
+        if caller_request.done || caller_request.tries >= MAX_TRIES {
             return;
         }
-        ask.tries += 1;
+        caller_request.tries += 1;
         self.totals.tries += 1;
-        let router = ask.router.unwrap_or(any_router);
+        let router = caller_request.router.unwrap_or(any_router);
         if self.routers[router].actor.is_none() {
-            return self.try_again(number, PAUSE);
+            return self.schedule_retry(number, RETRY_DELAY);
         }
         let params = ExchangeParams {
-            streams: ask.streams,
-            outlives_caller: ask.once.is_some(),
+            streams: caller_request.streams,
+            outlives_caller: caller_request.once.is_some(),
         };
         let admit = AdmitRequest {
-            key_hash: Some(SecretKey::new(tenant_key(ask.request.tenant)).hash()),
+            key_hash: Some(
+                SecretKey::new(tenant_key(caller_request.workload_request.tenant)).hash(),
+            ),
             purpose: Purpose::Complete,
             model: ModelName::new(MODEL),
             adapter: None,
-            prompt: Arc::clone(&ask.prompt),
-            priority: Some(ask.request.priority),
+            prompt: Arc::clone(&caller_request.prompt),
+            priority: Some(caller_request.workload_request.priority),
             priority_class: None,
-            deterministic: ask.deterministic,
-            idempotency_key: ask.once.clone(),
-            fingerprint: ask.digest,
+            deterministic: caller_request.deterministic,
+            idempotency_key: caller_request.once.clone(),
+            fingerprint: caller_request.digest,
         };
         self.next_exchange += 1;
         let key = self.next_exchange;
         let exchange = SimExchange {
-            ask: number,
+            caller_request: number,
             router,
             exchange: Exchange::new(params),
             id: None,
@@ -173,9 +175,9 @@
         }
     }
 
-    fn try_again(&mut self, number: u64, pause: Duration) {
+    fn schedule_retry(&mut self, number: u64, pause: Duration) {
         let at = self.now.plus(pause);
-        self.events.schedule(at, Event::TryAsk(number));
+        self.events.schedule(at, Event::SendCallerRequest(number));
     }
 
     fn admitted(&self, exchange: u64) -> Ret<(RequestId, AdmitOutcome)> {
@@ -213,7 +215,7 @@
     }
 
     /// Something arrived over a connection.
-    pub(super) fn on_call_news(&mut self, id: u64, news: CallNews) {
+    pub(super) fn on_call_event(&mut self, id: u64, call_event: CallEvent) {
         let Some(key) = self.calls.get(&id).map(|call| call.exchange) else {
             return;
         };
@@ -226,12 +228,12 @@
         }
         exchange.progress += 1;
         let tokens = &mut exchange.tokens;
-        let next = match news {
-            CallNews::Head(head) => exchange.exchange.on_head(&head),
-            CallNews::Bytes(bytes) => exchange.exchange.on_bytes(bytes.as_bytes(), &mut |event| {
+        let next = match call_event {
+            CallEvent::Head(head) => exchange.exchange.on_head(&head),
+            CallEvent::Bytes(bytes) => exchange.exchange.on_bytes(bytes.as_bytes(), &mut |event| {
                 tokens.extend(text_of(event.data));
             }),
-            CallNews::End(end) => exchange.exchange.on_end(end),
+            CallEvent::End(end) => exchange.exchange.on_end(end),
         };
         if let Some(first) = exchange.exchange.take_first_token() {
             let request = exchange.id.unwrap_or_default();
@@ -264,7 +266,7 @@
             call,
             progress,
         };
-        self.events.schedule(self.now.plus(STALL), event);
+        self.events.schedule(self.now.plus(STALL_TIMEOUT), event);
     }
 
     fn drive(&mut self, key: u64, next: Next) {
@@ -318,12 +320,12 @@
         }
         match conclusion {
             Conclusion::Answered => {
-                self.check_answer(&exchange, &answer.text, Promise::StreamOrder);
-                self.finish_ask(exchange.ask);
+                self.check_answer(&exchange, &answer.text, Invariant::StreamOrder);
+                self.finish_caller_request(exchange.caller_request);
             }
             Conclusion::Recorded(recorded) => {
                 self.check_recorded(&exchange, &recorded.text);
-                self.finish_ask(exchange.ask);
+                self.finish_caller_request(exchange.caller_request);
             }
             Conclusion::Failed(verdict) => self.on_failed(&exchange, id, &verdict),
             Conclusion::CallerGone => {
@@ -334,10 +336,10 @@
         }
     }
 
-    fn finish_ask(&mut self, number: u64) {
-        if let Some(ask) = self.asks.get_mut(&number) {
-            ask.done = true;
-            ask.answered = true;
+    fn finish_caller_request(&mut self, number: u64) {
+        if let Some(caller_request) = self.caller_requests.get_mut(&number) {
+            caller_request.done = true;
+            caller_request.answered = true;
             self.totals.answered += 1;
         }
     }
@@ -351,21 +353,21 @@
         }
         // What was passed on before a failure has to be a true beginning.
         if !exchange.tokens.is_empty() {
-            self.check_beginning(exchange);
+            self.check_partial_stream(exchange);
         }
-        let Some(ask) = self.asks.get_mut(&exchange.ask) else {
+        let Some(caller_request) = self.caller_requests.get_mut(&exchange.caller_request) else {
             return;
         };
         if verdict.code == ErrorCode::NotRepeated {
-            ask.done = true;
+            caller_request.done = true;
             return;
         }
-        let pause = verdict.retry_after.unwrap_or(PAUSE).max(PAUSE);
-        self.try_again(exchange.ask, pause);
+        let pause = verdict.retry_after.unwrap_or(RETRY_DELAY).max(RETRY_DELAY);
+        self.schedule_retry(exchange.caller_request, pause);
     }
 
     /// A router's process ended: its callers' connections broke.
-    pub(super) fn lose_exchanges_of(&mut self, router: usize) {
+    pub(super) fn drop_exchanges_of(&mut self, router: usize) {
         let lost: Vec<u64> = self
             .exchanges
             .iter()
@@ -376,14 +378,14 @@
         for key in lost {
             if let Some(exchange) = self.exchanges.remove(&key) {
                 calls.extend(exchange.call);
-                self.check_beginning(&exchange);
-                self.try_again(exchange.ask, PAUSE * 2);
+                self.check_partial_stream(&exchange);
+                self.schedule_retry(exchange.caller_request, RETRY_DELAY * 2);
             }
         }
         for call in &calls {
             self.calls.remove(call);
         }
-        self.network.forget_channels(&calls);
+        self.network.remove_channels(&calls);
     }
 
     pub(super) fn open_exchanges_of(&self, router: usize) -> usize {
@@ -391,78 +393,81 @@
         self.exchanges.values().filter(of_router).count()
     }
 
-    fn check_answer(&mut self, exchange: &SimExchange, text: &str, promise: Promise) {
-        let Some(ask) = self.asks.get(&exchange.ask) else {
+    fn check_answer(&mut self, exchange: &SimExchange, text: &str, invariant: Invariant) {
+        let Some(caller_request) = self.caller_requests.get(&exchange.caller_request) else {
             return;
         };
-        let expected = ask.request.output_tokens;
-        let right = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
-            let whole: String = (0..expected)
-                .map(|index| token(ask.digest, version, index))
+        let expected = caller_request.workload_request.output_tokens;
+        let correct = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
+            let full_text: String = (0..expected)
+                .map(|index| token(caller_request.digest, version, index))
                 .collect();
-            if ask.streams {
-                exchange.tokens.concat() == whole
+            if caller_request.streams {
+                exchange.tokens.concat() == full_text
             } else {
-                text == whole
+                text == full_text
             }
         });
-        if !right {
+        if !correct {
             let detail = format!(
                 "ask {} got {} of {expected} tokens, or not its own",
-                exchange.ask,
+                exchange.caller_request,
                 exchange.tokens.len()
             );
-            self.fail(promise, detail);
+            self.fail(invariant, detail);
         }
     }
 
     fn check_recorded(&mut self, exchange: &SimExchange, text: &str) {
-        let Some(ask) = self.asks.get(&exchange.ask) else {
+        let Some(caller_request) = self.caller_requests.get(&exchange.caller_request) else {
             return;
         };
-        let expected = ask.request.output_tokens;
-        let right = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
-            let whole: String = (0..expected)
-                .map(|index| token(ask.digest, version, index))
+        let expected = caller_request.workload_request.output_tokens;
+        let correct = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
+            let full_text: String = (0..expected)
+                .map(|index| token(caller_request.digest, version, index))
                 .collect();
-            text == whole
+            text == full_text
         });
-        if !right {
+        if !correct {
             let detail = format!(
                 "ask {} got a recorded answer that is not its own",
-                exchange.ask
+                exchange.caller_request
             );
-            self.fail(Promise::OwnAnswer, detail);
+            self.fail(Invariant::OwnAnswer, detail);
         }
     }
 
-    fn check_beginning(&mut self, exchange: &SimExchange) {
-        let Some(ask) = self.asks.get(&exchange.ask) else {
+    fn check_partial_stream(&mut self, exchange: &SimExchange) {
+        let Some(caller_request) = self.caller_requests.get(&exchange.caller_request) else {
             return;
         };
         // Without streaming nothing reaches a caller before the end.
-        if !ask.streams {
+        if !caller_request.streams {
             return;
         }
         let numbered = || exchange.tokens.iter().zip(0_u32..);
-        let right = (1..=KNOWN_VERSIONS)
-            .map(WeightsVersion)
-            .any(|version| numbered().all(|(text, at)| *text == token(ask.digest, version, at)));
-        if !right {
-            let detail = format!("ask {} got tokens that are not its own", exchange.ask);
-            self.fail(Promise::StreamOrder, detail);
+        let correct = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
+            numbered().all(|(text, at)| *text == token(caller_request.digest, version, at))
+        });
+        if !correct {
+            let detail = format!(
+                "ask {} got tokens that are not its own",
+                exchange.caller_request
+            );
+            self.fail(Invariant::StreamOrder, detail);
         }
     }
 
     /// A router has restarted: a tenant that it has served before asks it at once.
-    pub(super) fn test_restarted(&mut self, router: usize) {
+    pub(super) fn probe_restarted_router(&mut self, router: usize) {
         let Some(tenant) = self.tenant_known_to(router) else {
             self.routers[router].restarted_at = None;
             return;
         };
-        self.new_ask(Some((router, tenant)));
+        self.add_caller_request(Some((router, tenant)));
         let generation = self.routers[router].generation;
-        let at = self.now.plus(SERVES_WITHIN);
+        let at = self.now.plus(FIRST_PLACEMENT_LIMIT);
         let event = Event::CheckRestarted { router, generation };
         self.events.schedule(at, event);
     }
@@ -484,20 +489,24 @@
             return;
         }
         if host.restarted_at.is_some() {
-            let detail = format!("router {router} placed nothing in {SERVES_WITHIN:?}");
-            self.fail(Promise::ServesAfterRestart, detail);
+            let detail = format!("router {router} placed nothing in {FIRST_PLACEMENT_LIMIT:?}");
+            self.fail(Invariant::ServesAfterRestart, detail);
         }
     }
 
     /// At the end, everything that was asked in the calm has to be answered.
-    pub(super) fn check_calm(&mut self) {
+    pub(super) fn check_steady_period(&mut self) {
         const TO_ANSWER: Duration = Duration::from_secs(4);
         let from = self.plan.healed_at.plus(super::plan::RECOVERY);
         let to = Timestamp(self.plan.ends_at.0 - TO_ANSWER.as_micros() as u64);
         let unanswered: Vec<u64> = self
-            .asks
+            .caller_requests
             .iter()
-            .filter(|(_, ask)| ask.asked_at >= from && ask.asked_at < to && !ask.answered)
+            .filter(|(_, caller_request)| {
+                caller_request.created_at >= from
+                    && caller_request.created_at < to
+                    && !caller_request.answered
+            })
             .map(|(number, _)| *number)
             .collect();
         if !unanswered.is_empty() {
@@ -506,14 +515,17 @@
                 "{count} asks of the calm unanswered, first {}",
                 unanswered[0]
             );
-            self.fail(Promise::Recovery, detail);
+            self.fail(Invariant::Recovery, detail);
         }
         let answered = self
-            .asks
+            .caller_requests
             .values()
-            .any(|ask| ask.asked_at >= from && ask.answered);
+            .any(|caller_request| caller_request.created_at >= from && caller_request.answered);
         if !answered {
-            self.fail(Promise::Recovery, "nothing at all was answered in the calm");
+            self.fail(
+                Invariant::Recovery,
+                "nothing at all was answered in the calm",
+            );
         }
     }
 }
--- a/crates/testbed/src/sim/checks.rs
+++ b/crates/testbed/src/sim/checks.rs
@@ -9,7 +9,7 @@
 /// What must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Promise {
+pub enum Invariant {
     /// No trust in the cache of a dead engine, another tenant or older weights.
     CacheTrust,
     /// Streams reach their callers whole and in order.
@@ -40,7 +40,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Failure {
     /// Which.
-    pub promise: Promise,
+    #[serde(rename = "promise")]
+    pub invariant: Invariant,
     /// When, in microseconds of the run.
     pub at: u64,
     /// How.
@@ -58,21 +59,21 @@
 pub(super) struct Checks {
     failures: Vec<Failure>,
     executed: BTreeMap<RequestId, u64>,
-    executed_once: BTreeMap<IdempotencyKey, u64>,
+    executions_by_key: BTreeMap<IdempotencyKey, u64>,
     refused: BTreeMap<RequestId, Timestamp>,
     /// The highest revision that a router of this number was seen to apply.
-    floors: BTreeMap<usize, u64>,
+    applied_revisions: BTreeMap<usize, u64>,
     /// The newest revision that was accepted, and which change made each.
     accepted: BTreeMap<u64, String>,
     accepted_from: BTreeMap<(String, u64), String>,
 }
 
 impl Checks {
-    pub(super) fn fail(&mut self, promise: Promise, at: Timestamp, detail: impl Into<String>) {
-        const KEPT: usize = 20;
-        if self.failures.len() < KEPT {
+    pub(super) fn fail(&mut self, invariant: Invariant, at: Timestamp, detail: impl Into<String>) {
+        const MAX_FAILURES: usize = 20;
+        if self.failures.len() < MAX_FAILURES {
             self.failures.push(Failure {
-                promise,
+                invariant,
                 at: at.0,
                 detail: detail.into(),
             });
@@ -93,16 +94,16 @@
         *self.executed.entry(id).or_default() += 1;
         if self.refused.contains_key(&id) {
             let detail = format!("request {id} ran after it was refused as not run");
-            self.fail(Promise::NotRun, at, detail);
+            self.fail(Invariant::NotRun, at, detail);
         }
         let Some(key) = once else {
             return;
         };
-        let count = self.executed_once.entry(key.clone()).or_default();
+        let count = self.executions_by_key.entry(key.clone()).or_default();
         *count += 1;
         if *count > 1 {
             let detail = format!("work with key {key} ran {count} times");
-            self.fail(Promise::AtMostOnce, at, detail);
+            self.fail(Invariant::AtMostOnce, at, detail);
         }
     }
 
@@ -110,17 +111,17 @@
     pub(super) fn on_not_run(&mut self, id: RequestId, at: Timestamp) {
         if self.executed.contains_key(&id) {
             let detail = format!("request {id} was refused as not run after it ran");
-            self.fail(Promise::NotRun, at, detail);
+            self.fail(Invariant::NotRun, at, detail);
         }
         self.refused.insert(id, at);
     }
 
     /// A router applies a revision.
-    pub(super) fn on_floor(&mut self, router: usize, revision: u64, at: Timestamp) {
-        let highest = self.floors.entry(router).or_default();
+    pub(super) fn on_applied_revision(&mut self, router: usize, revision: u64, at: Timestamp) {
+        let highest = self.applied_revisions.entry(router).or_default();
         if revision < *highest {
             let detail = format!("router {router} went back from revision {highest} to {revision}");
-            self.fail(Promise::ConfigInForce, at, detail);
+            self.fail(Invariant::ConfigInForce, at, detail);
         } else {
             *highest = revision;
         }
@@ -138,7 +139,7 @@
         if let Some(other) = self.accepted.insert(revision, change.to_owned()) {
             if other != change {
                 let detail = format!("changes {other} and {change} both are revision {revision}");
-                self.fail(Promise::ConfigInForce, at, detail);
+                self.fail(Invariant::ConfigInForce, at, detail);
             }
         }
         let from = (name.to_owned(), expected);
@@ -146,7 +147,7 @@
             if other != change {
                 let detail =
                     format!("changes {other} and {change} were both accepted from {expected}");
-                self.fail(Promise::ConfigInForce, at, detail);
+                self.fail(Invariant::ConfigInForce, at, detail);
             }
         }
     }
--- a/crates/testbed/src/sim/cli.rs
+++ b/crates/testbed/src/sim/cli.rs
@@ -10,13 +10,13 @@
 use pico_args::Arguments;
 use serde::Serialize;
 
+use super::cluster::SimReport;
 use super::scenarios::{Scenario, SCENARIOS};
 use super::shrink::shrink;
-use super::world::SimReport;
 use crate::cli::{finish, write_json, LabError};
 
 /// Failing runs that are shown.
-const SHOWN: usize = 3;
+const MAX_SHOWN_RUNS: usize = 3;
 
 struct Options {
     scenarios: Vec<Scenario>,
@@ -138,7 +138,7 @@
         );
     }
     let failing = runs.iter().filter(|run| !run.report.failures.is_empty());
-    for run in failing.take(SHOWN) {
+    for run in failing.take(MAX_SHOWN_RUNS) {
         print_failure(options, run);
     }
     let virtual_seconds: f64 = runs.iter().map(|run| run.report.virtual_seconds).sum();
@@ -162,7 +162,10 @@
     );
     for failure in &run.report.failures {
         let seconds = failure.at as f64 / 1e6;
-        println!("  {seconds:9.4} {:?}: {}", failure.promise, failure.detail);
+        println!(
+            "  {seconds:9.4} {:?}: {}",
+            failure.invariant, failure.detail
+        );
     }
     let Some(first) = run.report.failures.first() else {
         return;
@@ -173,7 +176,7 @@
     let Some(plan) = scenario.plan(run.seed) else {
         return;
     };
-    let smallest = shrink(&plan, run.seed, options.without, first.promise);
+    let smallest = shrink(&plan, run.seed, options.without, first.invariant);
     println!("  faults that are needed:");
     for timed in &smallest.faults {
         println!("  {:9.4} {}", timed.at.0 as f64 / 1e6, timed.fault);
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/cluster.rs
@@ -20,12 +20,12 @@
 use serde::Serialize;
 use stakker::Stakker;
 
-use super::callers::{Ask, CallerTotals, SimExchange};
-use super::checks::{Checks, Failure, Promise};
-use super::controls::{ControlHost, Lateness, Replacement};
-use super::engines::{Call, CallNews, EngineHost};
+use super::callers::{CallerRequest, CallerTotals, SimExchange};
+use super::checks::{Checks, Failure, Invariant};
+use super::controls::{ControlHost, ExtraDelay, Replacement};
+use super::engines::{Call, CallEvent, EngineHost};
 use super::network::{EventQueue, Loss, Network};
-use super::operators::{Asker, Operation, OrderTruth};
+use super::operators::{Operation, ReplyTarget, SenderPosition};
 use super::plan::Plan;
 use super::routers::{RouterHost, SimLink};
 use super::trace::Trace;
@@ -36,13 +36,13 @@
 const PLATFORM_LAG: Duration = Duration::from_secs(1);
 
 /// How often routers are looked at.
-const OBSERVE_EVERY: Duration = Duration::from_millis(100);
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The time of the run at which operators set the fleet up.
 const SET_UP_AT: Duration = Duration::from_millis(1_500);
 
 /// The time of the run at which callers begin.
-const CALLERS_AT: Duration = Duration::from_millis(2_500);
+const CALLERS_START_AT: Duration = Duration::from_millis(2_500);
 
 /// Milliseconds since the Unix epoch at which every run begins.
 const EPOCH_MS: u64 = 1_700_000_000_000;
@@ -84,25 +84,25 @@
     Order {
         engine: usize,
         order: EngineOrder,
-        truth: OrderTruth,
+        sender_position: SenderPosition,
     },
     EngineReceives {
         id: u64,
         call: UpstreamCall,
     },
-    CallNews {
+    CallEvent {
         id: u64,
-        news: CallNews,
+        call_event: CallEvent,
     },
     Stall {
         exchange: u64,
         call: u64,
         progress: u64,
     },
-    NextAsk,
-    TryAsk(u64),
+    NextArrival,
+    SendCallerRequest(u64),
     Race,
-    OperatorGivesUp {
+    OperatorTimeout {
         index: usize,
         sent: u64,
     },
@@ -118,7 +118,7 @@
     StartRouter(usize),
     StartControl(usize, bool),
     StartEngine(usize),
-    EngineTaken(usize),
+    RemoveEngine(usize),
     BackUp,
 }
 
@@ -211,7 +211,7 @@
 /// Something with a chance and an end.
 pub(super) type Chance = Loss;
 
-pub(super) struct World {
+pub(super) struct SimCluster {
     pub(super) plan: Plan,
     pub(super) now: Timestamp,
     pub(super) random: ChaCha8Rng,
@@ -229,20 +229,20 @@
     pub(super) next_link: u64,
     pub(super) calls: BTreeMap<u64, Call>,
     pub(super) next_call: u64,
-    pub(super) asks: BTreeMap<u64, Ask>,
-    pub(super) next_ask_number: u64,
+    pub(super) caller_requests: BTreeMap<u64, CallerRequest>,
+    pub(super) next_caller_request: u64,
     pub(super) exchanges: BTreeMap<u64, SimExchange>,
     pub(super) next_exchange: u64,
     pub(super) generator: WorkloadGenerator,
     pub(super) last_blocks: Option<Vec<u64>>,
     pub(super) hot_offset: f64,
     pub(super) operations: Vec<Operation>,
-    pub(super) askers: BTreeMap<(usize, u64, OperatorTicket), Asker>,
+    pub(super) reply_targets: BTreeMap<(usize, u64, OperatorTicket), ReplyTarget>,
     pub(super) accepted_versions: BTreeMap<ResourceKey, u64>,
     pub(super) replacements: Vec<Replacement>,
     pub(super) next_replica: u64,
-    pub(super) late_requests: Lateness,
-    pub(super) late_orders: Lateness,
+    pub(super) late_requests: ExtraDelay,
+    pub(super) late_orders: ExtraDelay,
     pub(super) flaky: Chance,
     pub(super) disordered: Chance,
     pub(super) surge: Chance,
@@ -256,7 +256,7 @@
 /// Runs a plan with one guard taken out, or none.
 pub fn run(plan: &Plan, seed: u64, without: Option<Guard>) -> SimReport {
     set_removed(without);
-    let outcome = catch_unwind(|| World::new(plan.clone(), seed).run());
+    let outcome = catch_unwind(|| SimCluster::new(plan.clone(), seed).run());
     set_removed(None);
     outcome.unwrap_or_else(|panic| panicked(&panic))
 }
@@ -286,7 +286,7 @@
 
 fn broken_log(detail: String) -> SimReport {
     let failure = Failure {
-        promise: Promise::ReplicatedLog,
+        invariant: Invariant::ReplicatedLog,
         at: 0,
         detail,
     };
@@ -305,7 +305,7 @@
 #[cfg(not(feature = "guards"))]
 fn set_removed(_: Option<Guard>) {}
 
-impl World {
+impl SimCluster {
     fn new(plan: Plan, seed: u64) -> Self {
         let base = Instant::now();
         let generator = WorkloadGenerator::new(plan.workload.clone(), seed);
@@ -328,20 +328,20 @@
             next_link: 0,
             calls: BTreeMap::new(),
             next_call: 0,
-            asks: BTreeMap::new(),
-            next_ask_number: 0,
+            caller_requests: BTreeMap::new(),
+            next_caller_request: 0,
             exchanges: BTreeMap::new(),
             next_exchange: 0,
             generator,
             last_blocks: None,
             hot_offset: 0.0,
             operations: Vec::new(),
-            askers: BTreeMap::new(),
+            reply_targets: BTreeMap::new(),
             accepted_versions: BTreeMap::new(),
             replacements: Vec::new(),
             next_replica: plan.controls as u64,
-            late_requests: Lateness::default(),
-            late_orders: Lateness::default(),
+            late_requests: ExtraDelay::default(),
+            late_orders: ExtraDelay::default(),
             flaky: Chance::default(),
             disordered: Chance::default(),
             surge: Chance::default(),
@@ -361,7 +361,7 @@
             self.settle();
         }
         self.now = end;
-        self.check_calm();
+        self.check_steady_period();
         if !self.restored {
             self.check_converged();
         }
@@ -380,11 +380,12 @@
         }
         let at = |after: Duration| Timestamp(0).plus(after);
         self.events.schedule(at(SET_UP_AT), Event::SetUp);
-        self.events.schedule(at(CALLERS_AT), Event::NextAsk);
-        self.events.schedule(at(CALLERS_AT), Event::Race);
+        self.events
+            .schedule(at(CALLERS_START_AT), Event::NextArrival);
+        self.events.schedule(at(CALLERS_START_AT), Event::Race);
         self.events
             .schedule(at(super::plan::WARM_UP), Event::BackUp);
-        self.events.schedule(at(OBSERVE_EVERY), Event::Observe);
+        self.events.schedule(at(OBSERVE_INTERVAL), Event::Observe);
         for (number, timed) in self.plan.faults.iter().enumerate() {
             self.events.schedule(timed.at, Event::Fault(number));
         }
@@ -408,14 +409,14 @@
         *self.clock_ms.borrow_mut() = EPOCH_MS + self.now.0 / 1_000;
         loop {
             self.run_actors();
-            let mut worked = false;
+            let mut progressed = false;
             while let Some(event) = self.events.pop_due(self.now) {
-                self.handle(event);
-                worked = true;
+                self.handle_event(event);
+                progressed = true;
                 self.run_actors();
             }
             self.advance_engines();
-            if !worked {
+            if !progressed {
                 return;
             }
         }
@@ -430,12 +431,12 @@
                 return;
             }
             for output in outputs {
-                self.carry_out(output);
+                self.handle_output(output);
             }
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Connect {
                 router,
@@ -476,7 +477,7 @@
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::LinkOpened(id) => self.on_link_opened(id),
             Event::LinkReset(id) => self.reset_link(id),
@@ -507,19 +508,19 @@
             Event::Order {
                 engine,
                 order,
-                truth,
-            } => self.deliver_order(engine, &order, truth),
+                sender_position,
+            } => self.deliver_order(engine, &order, sender_position),
             Event::EngineReceives { id, call } => self.engine_receives(id, call),
-            Event::CallNews { id, news } => self.on_call_news(id, news),
+            Event::CallEvent { id, call_event } => self.on_call_event(id, call_event),
             Event::Stall {
                 exchange,
                 call,
                 progress,
             } => self.on_stall(exchange, call, progress),
-            Event::NextAsk => self.next_ask(),
-            Event::TryAsk(number) => self.try_ask(number),
+            Event::NextArrival => self.next_arrival(),
+            Event::SendCallerRequest(number) => self.send_caller_request(number),
             Event::Race => self.race(),
-            Event::OperatorGivesUp { index, sent } => self.operator_gives_up(index, sent),
+            Event::OperatorTimeout { index, sent } => self.on_operator_timeout(index, sent),
             Event::ReplacementStep(index) => self.replacement_step(index),
             Event::CheckInForce(revision) => {
                 if !self.restored {
@@ -535,7 +536,7 @@
             Event::StartRouter(router) => {
                 if self.routers[router].actor.is_none() {
                     self.start_router(router);
-                    self.test_restarted(router);
+                    self.probe_restarted_router(router);
                 }
             }
             Event::StartControl(control, first) => {
@@ -548,19 +549,19 @@
                     self.start_engine(engine);
                 }
             }
-            Event::EngineTaken(engine) => self.take_engine(engine),
+            Event::RemoveEngine(engine) => self.remove_engine(engine),
             Event::BackUp => self.back_up_controls(),
         }
     }
 
     fn observe(&mut self) {
-        self.note_unwell_routers();
+        self.update_degraded_routers();
         self.observe_routers();
         self.events
-            .schedule(self.now.plus(OBSERVE_EVERY), Event::Observe);
+            .schedule(self.now.plus(OBSERVE_INTERVAL), Event::Observe);
     }
 
-    pub(super) fn draw(&mut self) -> u64 {
+    pub(super) fn random_u64(&mut self) -> u64 {
         self.random.next_u64()
     }
 
@@ -568,11 +569,11 @@
         self.trace.note(self.now, line);
     }
 
-    pub(super) fn fail(&mut self, promise: Promise, detail: impl Into<String>) {
+    pub(super) fn fail(&mut self, invariant: Invariant, detail: impl Into<String>) {
         let detail = detail.into();
         self.trace
-            .note(self.now, format!("BROKEN {promise:?}: {detail}"));
-        self.checks.fail(promise, self.now, detail);
+            .note(self.now, format!("BROKEN {invariant:?}: {detail}"));
+        self.checks.fail(invariant, self.now, detail);
     }
 
     fn report(self) -> SimReport {
--- a/crates/testbed/src/sim/controls.rs
+++ b/crates/testbed/src/sim/controls.rs
@@ -17,14 +17,14 @@
 use rand::Rng;
 use stakker::{actor, call, ret_nop, ActorOwn, Fwd};
 
+use super::cluster::{Event, Output, SimCluster};
 use super::network::Node;
-use super::operators::{Asker, OrderTruth};
-use super::world::{Event, Output, World};
+use super::operators::{ReplyTarget, SenderPosition};
 
-const TICK: Duration = Duration::from_millis(50);
-const POLL: Duration = Duration::from_millis(500);
-const PROBE_PATIENCE: Duration = Duration::from_secs(1);
-const REPLACEMENT_PAUSE: Duration = Duration::from_millis(700);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+const REPLACEMENT_STEP_INTERVAL: Duration = Duration::from_millis(700);
 
 /// Clocks run this much too fast or slow, in parts of 1,000.
 const DRIFT_PER_MILLE: u64 = 20;
@@ -62,17 +62,17 @@
             directory: MemoryDirectory::new(),
             backup: None,
             offset_ms: 0,
-            tick: TICK,
+            tick: TICK_INTERVAL,
             next_ticket: 0,
         }
     }
 }
 
-impl World {
+impl SimCluster {
     /// Starts a control machine from its disk. `first` makes an empty disk that of a new
     /// cluster; without it an empty one waits to be added.
     pub(super) fn start_control(&mut self, control: usize, first: bool) {
-        let seed = self.draw();
+        let seed = self.random_u64();
         let drift = self
             .random
             .random_range(1_000 - DRIFT_PER_MILLE..=1_000 + DRIFT_PER_MILLE);
@@ -101,7 +101,7 @@
         };
         host.generation += 1;
         host.offset_ms = offset_ms;
-        host.tick = TICK * drift as u32 / 1_000;
+        host.tick = TICK_INTERVAL * drift as u32 / 1_000;
         let (generation, tick) = (host.generation, host.tick);
         let outputs = outputs(control, generation, offset_ms, &self.clock_ms, &self.outbox);
         let actor = actor!(
@@ -187,7 +187,7 @@
             new,
             step: 0,
         });
-        let at = self.now.plus(REPLACEMENT_PAUSE);
+        let at = self.now.plus(REPLACEMENT_STEP_INTERVAL);
         let index = self.replacements.len() - 1;
         self.events.schedule(at, Event::ReplacementStep(index));
     }
@@ -203,13 +203,13 @@
             _ => return,
         };
         for control in 0..self.controls.len() {
-            self.ask_control(
+            self.send_operator_request(
                 control,
                 OperatorRequest::ChangeMembers(change),
-                Asker::Replacement(index),
+                ReplyTarget::Replacement(index),
             );
         }
-        let at = self.now.plus(REPLACEMENT_PAUSE);
+        let at = self.now.plus(REPLACEMENT_STEP_INTERVAL);
         self.events.schedule(at, Event::ReplacementStep(index));
     }
 
@@ -305,7 +305,7 @@
             control,
             generation,
         };
-        self.events.schedule(self.now.plus(POLL), poll);
+        self.events.schedule(self.now.plus(POLL_INTERVAL), poll);
     }
 
     fn send_probe(&mut self, control: usize, generation: u64, name: EngineName) {
@@ -313,11 +313,11 @@
             return;
         };
         let nodes = (Node::Control(control), Node::Engine(engine));
-        let silent = self.network.is_parted(nodes.0, nodes.1, self.now)
+        let unresponsive = self.network.is_cut_either_way(nodes.0, nodes.1, self.now)
             || self.engines[engine].is_frozen(self.now);
         let round_trip = self.network.delay(nodes.0, nodes.1, &mut self.random) * 2;
-        let (result, after) = if silent {
-            (Err(ProbeFailed), PROBE_PATIENCE)
+        let (result, after) = if unresponsive {
+            (Err(ProbeFailed), PROBE_TIMEOUT)
         } else {
             (self.probe_engine(engine), round_trip)
         };
@@ -393,27 +393,27 @@
         if self.late_orders.until > self.now {
             delay += self.late_orders.by;
         }
-        let truth = self.order_truth(control);
+        let sender_position = self.position_of_sender(control);
         let event = Event::Order {
             engine,
             order,
-            truth,
+            sender_position,
         };
         self.events.schedule(self.now.plus(delay), event);
     }
 }
 
-impl World {
+impl SimCluster {
     /// Term and revision of a sender, whatever fence it writes on its orders.
-    fn order_truth(&mut self, control: usize) -> OrderTruth {
+    fn position_of_sender(&mut self, control: usize) -> SenderPosition {
         let Some(actor) = &self.controls[control].actor else {
             return (0, 0);
         };
-        let truth = actor.query(&mut self.stakker, |actor, _| {
+        let sender_position = actor.query(&mut self.stakker, |actor, _| {
             let status = actor.core().status();
             (status.term, status.revision.0)
         });
-        truth.unwrap_or((0, 0))
+        sender_position.unwrap_or((0, 0))
     }
 }
 
@@ -422,7 +422,7 @@
 
 /// Something that is held back for a while.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Lateness {
+pub(super) struct ExtraDelay {
     pub(super) by: Duration,
     pub(super) until: Timestamp,
 }
--- a/crates/testbed/src/sim/engines.rs
+++ b/crates/testbed/src/sim/engines.rs
@@ -11,9 +11,9 @@
 use drumshore_routing::{AnswerReport, PrefixChain};
 use rand::Rng;
 
-use super::checks::{Promise, LEAVING_LIMIT};
+use super::checks::{Invariant, LEAVING_LIMIT};
+use super::cluster::{Event, SimCluster};
 use super::network::Node;
-use super::world::{Event, World};
 use crate::engine::stream::{done_event, token, token_event, EventContext};
 use crate::engine::{
     EngineCore, EngineOutput, EngineParams, EngineRequest, EngineTiming, Submission, Violation,
@@ -31,7 +31,7 @@
 /// The pool of all engines.
 pub(super) const POOL: &str = "p";
 
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const RESET_DELAY: Duration = Duration::from_millis(1);
 
 pub(super) struct EngineHost {
@@ -45,7 +45,7 @@
     /// Its arithmetic gives other tokens than that of other engines.
     pub(super) varies: bool,
     /// The fence of the last order that it obeyed, as the sender truly stood.
-    obeyed: (u64, u64),
+    newest_executed_order: (u64, u64),
     readers: BTreeMap<RequestId, Vec<u64>>,
     digests: BTreeMap<RequestId, u64>,
 }
@@ -64,7 +64,7 @@
 
 /// What arrives at a router over a connection.
 #[derive(Clone, Debug)]
-pub(super) enum CallNews {
+pub(super) enum CallEvent {
     Head(UpstreamHead),
     Bytes(String),
     End(UpstreamEnd),
@@ -96,7 +96,7 @@
             frozen_until: Timestamp(0),
             leaving_since: None,
             varies: false,
-            obeyed: (0, 0),
+            newest_executed_order: (0, 0),
             readers: BTreeMap::new(),
             digests: BTreeMap::new(),
         }
@@ -112,15 +112,15 @@
     }
 }
 
-impl World {
+impl SimCluster {
     pub(super) fn start_engine(&mut self, engine: usize) {
-        let incarnation = Incarnation(self.draw() >> 16);
+        let incarnation = Incarnation(self.random_u64() >> 16);
         let host = &mut self.engines[engine];
         host.generation += 1;
         host.core = Some(EngineCore::new(host.params.clone(), incarnation));
         host.readers.clear();
         host.digests.clear();
-        host.obeyed = (0, 0);
+        host.newest_executed_order = (0, 0);
         let record = MachineRecord {
             name: host.name.clone(),
             address: format!("{engine}"),
@@ -148,7 +148,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in ended {
-            self.send_news(id, CallNews::End(UpstreamEnd::Ended), RESET_DELAY);
+            self.send_call_event(id, CallEvent::End(UpstreamEnd::Ended), RESET_DELAY);
         }
     }
 
@@ -184,9 +184,9 @@
             },
         );
         let nodes = (Node::Router(router), Node::Engine(engine));
-        if self.network.is_parted(nodes.0, nodes.1, self.now) {
-            let end = CallNews::End(UpstreamEnd::NotConnected);
-            return self.schedule_news(id, end, self.now.plus(CONNECT_PATIENCE));
+        if self.network.is_cut_either_way(nodes.0, nodes.1, self.now) {
+            let end = CallEvent::End(UpstreamEnd::NotConnected);
+            return self.schedule_call_event(id, end, self.now.plus(CONNECT_TIMEOUT));
         }
         let mut delay = self.network.delay(nodes.0, nodes.1, &mut self.random) * 3;
         let late = self.late_requests.until > self.now;
@@ -194,8 +194,8 @@
             // The connection itself is held up: it may meet the engine's next start.
             delay += self.late_requests.by;
         } else if self.engines[engine].core.is_none() {
-            let end = CallNews::End(UpstreamEnd::NotConnected);
-            return self.schedule_news(id, end, self.now.plus(delay));
+            let end = CallEvent::End(UpstreamEnd::NotConnected);
+            return self.schedule_call_event(id, end, self.now.plus(delay));
         }
         let at = self.now.plus(delay);
         self.events.schedule(at, Event::EngineReceives { id, call });
@@ -214,8 +214,8 @@
         }
         let generation = host.generation;
         if host.core.is_none() {
-            let end = CallNews::End(UpstreamEnd::NotConnected);
-            return self.send_news(id, end, RESET_DELAY);
+            let end = CallEvent::End(UpstreamEnd::NotConnected);
+            return self.send_call_event(id, end, RESET_DELAY);
         }
         if let Some(call) = self.calls.get_mut(&id) {
             call.engine_generation = generation;
@@ -252,7 +252,7 @@
                     refusal: Some(refusal.reason.to_owned()),
                     ..UpstreamHead::default()
                 };
-                self.send_news(id, CallNews::Head(head), Duration::ZERO);
+                self.send_call_event(id, CallEvent::Head(head), Duration::ZERO);
             }
         }
         self.settle_engine(engine);
@@ -260,8 +260,8 @@
 
     fn engine_request(&self, id: u64, assignment: &Assignment) -> Option<EngineRequest> {
         let exchange = self.exchanges.get(&self.calls.get(&id)?.exchange)?;
-        let ask = self.asks.get(&exchange.ask)?;
-        let prompt = ask.prompt.as_prompt();
+        let caller_request = self.caller_requests.get(&exchange.caller_request)?;
+        let prompt = caller_request.prompt.as_prompt();
         let chain = PrefixChain::new(assignment.cache_salt, prompt, BLOCK_TOKENS);
         Some(EngineRequest {
             id: assignment.request,
@@ -270,9 +270,9 @@
             priority: assignment.priority,
             prompt_tokens: chain.prompt_tokens(),
             chain: chain.hashes().to_vec(),
-            max_tokens: ask.request.output_tokens,
-            tenant: ask.request.tenant as u64 + 1,
-            once: ask.once.clone(),
+            max_tokens: caller_request.workload_request.output_tokens,
+            tenant: caller_request.workload_request.tenant as u64 + 1,
+            once: caller_request.once.clone(),
         })
     }
 
@@ -282,15 +282,15 @@
         let Some(since) = self.engines[engine].leaving_since else {
             return;
         };
-        let well = self.now.since(self.routers[router].unwell_at) > limit * 2;
+        let healthy = self.now.since(self.routers[router].degraded_at) > limit * 2;
         let late = self.late_requests.until.plus(self.late_requests.by) > self.now;
-        if self.now > since.plus(limit) && well && !late {
+        if self.now > since.plus(limit) && healthy && !late {
             let detail = format!(
                 "engine {engine} leaves since {:.1} s and got request {}",
                 since.0 as f64 / 1e6,
                 assignment.request
             );
-            self.fail(Promise::LeavingIdle, detail);
+            self.fail(Invariant::LeavingIdle, detail);
         }
     }
 
@@ -313,7 +313,7 @@
                 status: 404,
                 ..UpstreamHead::default()
             };
-            return self.send_news(id, CallNews::Head(head), Duration::ZERO);
+            return self.send_call_event(id, CallEvent::Head(head), Duration::ZERO);
         };
         host.readers.entry(assignment.request).or_default().push(id);
         let from = last_event.map_or(0, |event| event as u32 + 1);
@@ -335,11 +335,16 @@
                 load: None,
             };
             self.send_head(id, report);
-            self.send_news(id, CallNews::Bytes(done_event()), Duration::ZERO);
+            self.send_call_event(id, CallEvent::Bytes(done_event()), Duration::ZERO);
         }
     }
 
-    pub(super) fn deliver_order(&mut self, engine: usize, order: &EngineOrder, truth: (u64, u64)) {
+    pub(super) fn deliver_order(
+        &mut self,
+        engine: usize,
+        order: &EngineOrder,
+        sender_position: (u64, u64),
+    ) {
         let host = &mut self.engines[engine];
         let Some(core) = host.core.as_mut() else {
             return;
@@ -347,15 +352,15 @@
         if !core.order(order) {
             return;
         }
-        let before = host.obeyed;
-        host.obeyed = before.max(truth);
+        let before = host.newest_executed_order;
+        host.newest_executed_order = before.max(sender_position);
         let version = order.weights_version;
         self.note(format!(
             "engine {engine} is ordered to load version {version}"
         ));
-        if truth < before {
-            let detail = format!("engine {engine} obeyed {truth:?} after {before:?}");
-            self.fail(Promise::OrderFenced, detail);
+        if sender_position < before {
+            let detail = format!("engine {engine} obeyed {sender_position:?} after {before:?}");
+            self.fail(Invariant::OrderFenced, detail);
         }
         self.settle_engine(engine);
     }
@@ -414,7 +419,7 @@
                 Violation::OtherWeights(id) => format!("{id} used a block of other weights"),
                 Violation::OtherStart(id) => format!("{id} was meant for another start"),
             };
-            self.fail(Promise::CacheTrust, detail);
+            self.fail(Invariant::CacheTrust, detail);
         }
     }
 
@@ -439,17 +444,17 @@
             event += &done_event();
         }
         let disordered = self.disordered.until > self.now;
-        let draw: f64 = self.random.random();
-        if disordered && draw < self.disordered.chance && !output.last {
+        let sample: f64 = self.random.random();
+        if disordered && sample < self.disordered.chance && !output.last {
             return;
         }
-        self.send_news(id, CallNews::Bytes(event.clone()), Duration::ZERO);
-        if disordered && draw > 1.0 - self.disordered.chance {
-            self.send_news(id, CallNews::Bytes(event), Duration::ZERO);
+        self.send_call_event(id, CallEvent::Bytes(event.clone()), Duration::ZERO);
+        if disordered && sample > 1.0 - self.disordered.chance {
+            self.send_call_event(id, CallEvent::Bytes(event), Duration::ZERO);
         }
         let flaky = self.flaky.until > self.now;
         if flaky && self.random.random::<f64>() < self.flaky.chance {
-            self.send_news(id, CallNews::End(UpstreamEnd::Ended), Duration::ZERO);
+            self.send_call_event(id, CallEvent::End(UpstreamEnd::Ended), Duration::ZERO);
             if let Some(call) = self.calls.get_mut(&id) {
                 call.broken = true;
             }
@@ -467,12 +472,12 @@
                 report,
                 ..UpstreamHead::default()
             };
-            self.send_news(id, CallNews::Head(head), Duration::ZERO);
+            self.send_call_event(id, CallEvent::Head(head), Duration::ZERO);
         }
     }
 
     /// Sends something over a connection, behind what was sent before.
-    fn send_news(&mut self, id: u64, news: CallNews, extra: Duration) {
+    fn send_call_event(&mut self, id: u64, call_event: CallEvent, extra: Duration) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -486,20 +491,21 @@
         let delay = self.network.delay(nodes.0, nodes.1, &mut self.random) + extra;
         let channel = (nodes.0, nodes.1, id);
         let at = self.network.ordered_arrival(channel, self.now.plus(delay));
-        self.schedule_news(id, news, at);
+        self.schedule_call_event(id, call_event, at);
     }
 
-    fn schedule_news(&mut self, id: u64, news: CallNews, at: Timestamp) {
-        self.events.schedule(at, Event::CallNews { id, news });
+    fn schedule_call_event(&mut self, id: u64, call_event: CallEvent, at: Timestamp) {
+        self.events
+            .schedule(at, Event::CallEvent { id, call_event });
     }
 
     fn digest_of_call(&self, id: u64) -> u64 {
-        let ask = self
+        let caller_request = self
             .calls
             .get(&id)
             .and_then(|call| self.exchanges.get(&call.exchange))
-            .and_then(|exchange| self.asks.get(&exchange.ask));
-        ask.map_or(0, |ask| ask.digest)
+            .and_then(|exchange| self.caller_requests.get(&exchange.caller_request));
+        caller_request.map_or(0, |caller_request| caller_request.digest)
     }
 
     /// A cancelled request, told to the engine that has it.
@@ -524,6 +530,6 @@
 }
 
 /// The caller's key of a number.
-pub(super) fn once_key(number: u64) -> IdempotencyKey {
+pub(super) fn idempotency_key_of(number: u64) -> IdempotencyKey {
     IdempotencyKey::new(format!("once-{number}"))
 }
--- a/crates/testbed/src/sim/faults.rs
+++ b/crates/testbed/src/sim/faults.rs
@@ -4,19 +4,19 @@
 
 use drumshore_core::RolloutState;
 
+use super::cluster::{Event, SimCluster};
 use super::network::{Loss, Node};
-use super::operators::Wish;
+use super::operators::DesiredChange;
 use super::plan::Fault;
-use super::world::{Event, World};
-use crate::sim::controls::Lateness;
+use crate::sim::controls::ExtraDelay;
 
 /// A machine that leaves is taken away this long after the platform says so.
-const TAKEN_AFTER: Duration = Duration::from_secs(9);
+const REMOVAL_DELAY: Duration = Duration::from_secs(9);
 
 /// A machine that still works when it is to be taken away gets this much more time.
-const TAKEN_PAUSE: Duration = Duration::from_millis(500);
+const REMOVAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-impl World {
+impl SimCluster {
     pub(super) fn apply_fault(&mut self, number: usize) {
         let fault = self.plan.faults[number].fault.clone();
         self.note(format!("FAULT {fault}"));
@@ -34,7 +34,7 @@
             Fault::RouterIsolated { router, lasting } => self.isolate_router(router, lasting),
             Fault::EngineDrained { engine } => {
                 let name = self.engines[engine].name.clone();
-                self.wish(Wish::Drain(name));
+                self.start_operation(DesiredChange::Drain(name));
             }
             Fault::RouterCrash { router, away } => {
                 self.crash_router(router);
@@ -67,16 +67,20 @@
             }
             Fault::LateRequests { by, lasting } => {
                 let until = self.now.plus(lasting);
-                self.late_requests = Lateness { by, until };
+                self.late_requests = ExtraDelay { by, until };
             }
             Fault::LateOrders { by, lasting } => {
                 let until = self.now.plus(lasting);
-                self.late_orders = Lateness { by, until };
+                self.late_orders = ExtraDelay { by, until };
             }
             Fault::Surge { factor, lasting } => self.surge = self.chance(factor, lasting),
             Fault::HotShift => self.hot_offset += self.plan.workload.hot_shift_seconds,
-            Fault::RolloutStarts => self.wish(Wish::Rollout(RolloutState::Running)),
-            Fault::RolloutRollsBack => self.wish(Wish::Rollout(RolloutState::RolledBack)),
+            Fault::RolloutStarts => {
+                self.start_operation(DesiredChange::Rollout(RolloutState::Running))
+            }
+            Fault::RolloutRollsBack => {
+                self.start_operation(DesiredChange::Rollout(RolloutState::RolledBack))
+            }
         }
     }
 
@@ -106,17 +110,17 @@
         // The first sign is the list, and the list lags by a second.
         let shown = self.now.plus(Duration::from_secs(1));
         self.engines[engine].leaving_since.get_or_insert(shown);
-        self.later(TAKEN_AFTER, Event::EngineTaken(engine));
+        self.later(REMOVAL_DELAY, Event::RemoveEngine(engine));
     }
 
     /// The platform takes a machine away once it has nothing more to do.
-    pub(super) fn take_engine(&mut self, engine: usize) {
+    pub(super) fn remove_engine(&mut self, engine: usize) {
         let idle = self.engines[engine]
             .core
             .as_ref()
             .is_none_or(|core| core.open() == 0);
         if !idle {
-            return self.later(TAKEN_PAUSE, Event::EngineTaken(engine));
+            return self.later(REMOVAL_RETRY_INTERVAL, Event::RemoveEngine(engine));
         }
         let now = Duration::from_micros(self.now.0);
         let name = self.engines[engine].name.clone();
@@ -162,24 +166,28 @@
     }
 
     /// A router is well while it is linked to a control machine that reaches a majority.
-    pub(super) fn note_unwell_routers(&mut self) {
+    pub(super) fn update_degraded_routers(&mut self) {
         let majority = self.controls.len() / 2 + 1;
-        let in_touch: Vec<bool> = (0..self.controls.len())
+        let reaches_majority: Vec<bool> = (0..self.controls.len())
             .map(|control| self.reachable_from(control) >= majority)
             .collect();
-        let quorum = in_touch.iter().filter(|in_touch| **in_touch).count() >= majority;
+        let quorum = reaches_majority
+            .iter()
+            .filter(|reaches_majority| **reaches_majority)
+            .count()
+            >= majority;
         for router in 0..self.routers.len() {
             let linked = self.links.values().any(|link| {
                 let nodes = (Node::Router(router), Node::Control(link.control));
                 link.router == router
                     && !link.broken
                     && self.link_is_alive(link)
-                    && in_touch[link.control]
-                    && !self.network.is_parted(nodes.0, nodes.1, self.now)
+                    && reaches_majority[link.control]
+                    && !self.network.is_cut_either_way(nodes.0, nodes.1, self.now)
             });
             let stopping = self.routers[router].stopping;
             if !linked || !quorum || stopping {
-                self.routers[router].unwell_at = self.now;
+                self.routers[router].degraded_at = self.now;
             }
         }
     }
@@ -194,7 +202,7 @@
             .filter(|other| runs(*other))
             .filter(|other| {
                 let pair = (Node::Control(control), Node::Control(*other));
-                *other == control || !self.network.is_parted(pair.0, pair.1, self.now)
+                *other == control || !self.network.is_cut_either_way(pair.0, pair.1, self.now)
             })
             .count()
     }
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -7,6 +7,7 @@
 
 mod callers;
 mod checks;
+mod cluster;
 mod controls;
 mod engines;
 mod faults;
@@ -19,11 +20,10 @@
 mod scenarios;
 mod shrink;
 mod trace;
-mod world;
 
 pub(crate) mod cli;
 
-pub use checks::{Failure, Promise};
+pub use checks::{Failure, Invariant};
+pub use cluster::{run, SimReport};
 pub use plan::{Fault, Plan, TimedFault};
 pub use scenarios::{Scenario, SCENARIOS};
-pub use world::{run, SimReport};
--- a/crates/testbed/src/sim/network.rs
+++ b/crates/testbed/src/sim/network.rs
@@ -65,7 +65,7 @@
     }
 
     /// True when either direction is cut.
-    pub(super) fn is_parted(&self, a: Node, b: Node, now: Timestamp) -> bool {
+    pub(super) fn is_cut_either_way(&self, a: Node, b: Node, now: Timestamp) -> bool {
         self.is_cut(a, b, now) || self.is_cut(b, a, now)
     }
 
@@ -89,7 +89,7 @@
         *last
     }
 
-    pub(super) fn forget_channels(&mut self, ended: &BTreeSet<u64>) {
+    pub(super) fn remove_channels(&mut self, ended: &BTreeSet<u64>) {
         self.channels
             .retain(|(_, _, channel), _| !ended.contains(channel));
     }
--- a/crates/testbed/src/sim/operators.rs
+++ b/crates/testbed/src/sim/operators.rs
@@ -12,26 +12,26 @@
 use stakker::call;
 
 use super::callers::tenant_key;
-use super::checks::{Promise, IN_FORCE_LIMIT};
+use super::checks::{Invariant, IN_FORCE_LIMIT};
+use super::cluster::{Event, SimCluster};
 use super::engines::{BLOCK_TOKENS, MODEL, POOL};
-use super::world::{Event, World};
 
-const ANSWER_PATIENCE: Duration = Duration::from_secs(6);
-const PAUSE: Duration = Duration::from_millis(300);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(6);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Accepted changes that are sent once more, as if the answer had been lost.
-const RESENT: f64 = 0.3;
+const RESEND_PROBABILITY: f64 = 0.3;
 
 /// Who waits for a control machine's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Asker {
+pub(super) enum ReplyTarget {
     Operation(usize),
     Replacement(usize),
 }
 
 /// What an operator wants to have written.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Wish {
+pub(super) enum DesiredChange {
     /// Write this, if nothing is there yet.
     Setup(String, ResourceSpec),
     /// A class that nobody uses, with a new number in it.
@@ -54,26 +54,26 @@
         expected: Revision,
         first: ChangeOutcome,
     },
-    Over,
+    Done,
 }
 
 /// One operator's work on one wish.
 #[derive(Clone, Debug)]
 pub(super) struct Operation {
-    wish: Wish,
+    desired: DesiredChange,
     change: u64,
     stage: Stage,
     sent: u64,
     spec: Option<ResourceSpec>,
 }
 
-impl Wish {
+impl DesiredChange {
     fn key(&self) -> ResourceKey {
         let (kind, name) = match self {
-            Wish::Setup(name, spec) => (spec.kind(), name.as_str()),
-            Wish::Pump(_) => (ResourceKind::PriorityClass, "pump"),
-            Wish::Drain(_) => (ResourceKind::EnginePool, POOL),
-            Wish::Rollout(_) => (ResourceKind::Rollout, "next"),
+            DesiredChange::Setup(name, spec) => (spec.kind(), name.as_str()),
+            DesiredChange::Pump(_) => (ResourceKind::PriorityClass, "pump"),
+            DesiredChange::Drain(_) => (ResourceKind::EnginePool, POOL),
+            DesiredChange::Rollout(_) => (ResourceKind::Rollout, "next"),
         };
         ResourceKey {
             kind,
@@ -84,12 +84,12 @@
     /// What to write over what is there; `None` when nothing needs to be.
     fn spec(&self, current: Option<&ResourceSpec>) -> Option<ResourceSpec> {
         match self {
-            Wish::Setup(_, spec) => current.is_none().then(|| spec.clone()),
-            Wish::Pump(number) => Some(ResourceSpec::PriorityClass(PriorityClassSpec {
+            DesiredChange::Setup(_, spec) => current.is_none().then(|| spec.clone()),
+            DesiredChange::Pump(number) => Some(ResourceSpec::PriorityClass(PriorityClassSpec {
                 priority: Default::default(),
                 deadline_ms: 1_000 + number,
             })),
-            Wish::Drain(engine) => {
+            DesiredChange::Drain(engine) => {
                 let Some(ResourceSpec::EnginePool(pool)) = current else {
                     return None;
                 };
@@ -97,7 +97,7 @@
                 pool.draining.insert(engine.clone());
                 Some(ResourceSpec::EnginePool(pool))
             }
-            Wish::Rollout(state) => Some(ResourceSpec::Rollout(RolloutSpec {
+            DesiredChange::Rollout(state) => Some(ResourceSpec::Rollout(RolloutSpec {
                 model: ModelName::new(MODEL),
                 from_version: WeightsVersion(1),
                 to_version: WeightsVersion(2),
@@ -108,7 +108,7 @@
     }
 }
 
-impl World {
+impl SimCluster {
     /// Writes what the fleet needs to serve.
     pub(super) fn set_up(&mut self) {
         let model = ResourceSpec::Model(ModelSpec {
@@ -120,8 +120,8 @@
             model: ModelName::new(MODEL),
             draining: Default::default(),
         });
-        self.wish(Wish::Setup(MODEL.to_owned(), model));
-        self.wish(Wish::Setup(POOL.to_owned(), pool));
+        self.start_operation(DesiredChange::Setup(MODEL.to_owned(), model));
+        self.start_operation(DesiredChange::Setup(POOL.to_owned(), pool));
         for tenant in 0..self.plan.workload.tenants {
             let spec = ResourceSpec::Tenant(TenantSpec {
                 key_hashes: [SecretKey::new(tenant_key(tenant)).hash()].into(),
@@ -129,7 +129,7 @@
                 limits: Default::default(),
                 default_priority: Default::default(),
             });
-            self.wish(Wish::Setup(format!("tenant-{tenant}"), spec));
+            self.start_operation(DesiredChange::Setup(format!("tenant-{tenant}"), spec));
         }
     }
 
@@ -145,28 +145,28 @@
         let at = self.now.plus(Duration::from_secs_f64(gap / rate));
         self.events.schedule(at, Event::Race);
         let number = self.operations.len() as u64;
-        self.wish(Wish::Pump(number));
-        self.wish(Wish::Pump(number + 1));
+        self.start_operation(DesiredChange::Pump(number));
+        self.start_operation(DesiredChange::Pump(number + 1));
     }
 
     /// An operator sets to work.
-    pub(super) fn wish(&mut self, wish: Wish) {
-        let change = self.draw();
+    pub(super) fn start_operation(&mut self, desired: DesiredChange) {
+        let change = self.random_u64();
         self.operations.push(Operation {
-            wish,
+            desired,
             change,
-            stage: Stage::Over,
+            stage: Stage::Done,
             sent: 0,
             spec: None,
         });
-        self.read_first(self.operations.len() - 1);
+        self.start_read(self.operations.len() - 1);
     }
 
-    fn read_first(&mut self, index: usize) {
-        let newest = self.newest_known(&self.operations[index].wish.key());
+    fn start_read(&mut self, index: usize) {
+        let newest = self.newest_accepted_version(&self.operations[index].desired.key());
         let operation = &mut self.operations[index];
         operation.stage = Stage::Reading { newest };
-        let request = OperatorRequest::Get(operation.wish.key());
+        let request = OperatorRequest::Get(operation.desired.key());
         self.send(index, request);
     }
 
@@ -176,13 +176,18 @@
         let operation = &mut self.operations[index];
         operation.sent += 1;
         let sent = operation.sent;
-        self.ask_control(control, request, Asker::Operation(index));
-        let at = self.now.plus(ANSWER_PATIENCE);
+        self.send_operator_request(control, request, ReplyTarget::Operation(index));
+        let at = self.now.plus(REPLY_TIMEOUT);
         self.events
-            .schedule(at, Event::OperatorGivesUp { index, sent });
+            .schedule(at, Event::OperatorTimeout { index, sent });
     }
 
-    pub(super) fn ask_control(&mut self, control: usize, request: OperatorRequest, asker: Asker) {
+    pub(super) fn send_operator_request(
+        &mut self,
+        control: usize,
+        request: OperatorRequest,
+        reply_target: ReplyTarget,
+    ) {
         let host = &mut self.controls[control];
         let Some(actor) = &host.actor else {
             return;
@@ -191,7 +196,7 @@
         let ticket = OperatorTicket(host.next_ticket);
         let key = (control, host.generation, ticket);
         call!([actor], operator(ticket, request));
-        self.askers.insert(key, asker);
+        self.reply_targets.insert(key, reply_target);
     }
 
     pub(super) fn on_reply(
@@ -201,28 +206,28 @@
         reply: OperatorReply,
     ) {
         let key = (control, self.controls[control].generation, ticket);
-        match self.askers.remove(&key) {
-            Some(Asker::Replacement(index)) => {
+        match self.reply_targets.remove(&key) {
+            Some(ReplyTarget::Replacement(index)) => {
                 if let OperatorReply::Members(result) = reply {
                     self.on_replacement_reply(index, result);
                 }
             }
-            Some(Asker::Operation(index)) => self.on_operation_reply(index, reply),
+            Some(ReplyTarget::Operation(index)) => self.on_operation_reply(index, reply),
             None => {}
         }
     }
 
     /// No answer came: the same is asked again, of another machine.
-    pub(super) fn operator_gives_up(&mut self, index: usize, sent: u64) {
+    pub(super) fn on_operator_timeout(&mut self, index: usize, sent: u64) {
         if self.operations[index].sent == sent {
-            self.ask_again(index);
+            self.retry_operation(index);
         }
     }
 
-    fn ask_again(&mut self, index: usize) {
+    fn retry_operation(&mut self, index: usize) {
         match self.operations[index].stage.clone() {
-            Stage::Over => {}
-            Stage::Reading { .. } => self.read_first(index),
+            Stage::Done => {}
+            Stage::Reading { .. } => self.start_read(index),
             Stage::Writing { expected } | Stage::Resending { expected, .. } => {
                 self.write(index, expected);
             }
@@ -236,33 +241,33 @@
             (Stage::Reading { newest }, OperatorReply::Resource(resource)) => {
                 let version = resource.as_ref().map_or(0, |resource| resource.version.0);
                 let spec = operation
-                    .wish
+                    .desired
                     .spec(resource.as_ref().map(|resource| &resource.spec));
                 operation.spec.clone_from(&spec);
                 if version < newest && !self.restored {
                     let detail = format!("version {version} was read after {newest} was accepted");
-                    self.fail(Promise::ConfigInForce, detail);
+                    self.fail(Invariant::ConfigInForce, detail);
                 }
                 match spec {
                     Some(_) => self.write(index, Revision(version)),
-                    None => self.operations[index].stage = Stage::Over,
+                    None => self.operations[index].stage = Stage::Done,
                 }
             }
             (Stage::Writing { expected }, OperatorReply::Change(outcome)) => {
                 self.on_outcome(index, expected, outcome);
             }
             (Stage::Resending { first, .. }, OperatorReply::Change(outcome)) => {
-                self.operations[index].stage = Stage::Over;
+                self.operations[index].stage = Stage::Done;
                 if outcome != first && !self.restored {
                     let detail = format!("a resent change gave {outcome:?} after {first:?}");
-                    self.fail(Promise::ConfigInForce, detail);
+                    self.fail(Invariant::ConfigInForce, detail);
                 }
             }
             (_, OperatorReply::Unavailable) => {
                 let sent = self.operations[index].sent;
-                let at = self.now.plus(PAUSE);
+                let at = self.now.plus(RETRY_DELAY);
                 self.events
-                    .schedule(at, Event::OperatorGivesUp { index, sent });
+                    .schedule(at, Event::OperatorTimeout { index, sent });
             }
             _ => {}
         }
@@ -273,8 +278,8 @@
         match &outcome {
             ChangeOutcome::Accepted { revision } => {
                 let revision = *revision;
-                let (change, wish) = (operation.change, operation.wish.clone());
-                let key = wish.key();
+                let (change, desired) = (operation.change, operation.desired.clone());
+                let key = desired.key();
                 let name = format!("{}/{}", key.kind.as_str(), key.name);
                 operation.stage = Stage::Resending {
                     expected,
@@ -286,37 +291,37 @@
                         .on_accepted(&name, expected.0, revision.0, &change, self.now);
                 }
                 self.accepted_versions.insert(key, revision.0);
-                self.on_granted(&wish, revision);
+                self.on_change_accepted(&desired, revision);
                 let at = self.now.plus(IN_FORCE_LIMIT);
                 self.events.schedule(at, Event::CheckInForce(revision.0));
-                if self.random.random::<f64>() < RESENT {
-                    self.write_again(index, expected);
+                if self.random.random::<f64>() < RESEND_PROBABILITY {
+                    self.resend_write(index, expected);
                 } else {
-                    self.operations[index].stage = Stage::Over;
+                    self.operations[index].stage = Stage::Done;
                 }
             }
             // Another operator was first; what it wrote is read, and the wish is put on top.
             ChangeOutcome::Conflict { .. } => {
-                let change = self.draw();
+                let change = self.random_u64();
                 self.operations[index].change = change;
-                let once = matches!(self.operations[index].wish, Wish::Pump(_));
+                let once = matches!(self.operations[index].desired, DesiredChange::Pump(_));
                 if once {
-                    self.operations[index].stage = Stage::Over;
+                    self.operations[index].stage = Stage::Done;
                 } else {
-                    self.read_first(index);
+                    self.start_read(index);
                 }
             }
             ChangeOutcome::Invalid { message } => {
                 let detail = format!("a valid document was refused: {message}");
-                self.operations[index].stage = Stage::Over;
-                self.fail(Promise::ConfigInForce, detail);
+                self.operations[index].stage = Stage::Done;
+                self.fail(Invariant::ConfigInForce, detail);
             }
         }
     }
 
-    fn on_granted(&mut self, wish: &Wish, revision: Revision) {
-        self.note(format!("{wish:?} is accepted as revision {revision}"));
-        if let Wish::Drain(engine) = wish {
+    fn on_change_accepted(&mut self, desired: &DesiredChange, revision: Revision) {
+        self.note(format!("{desired:?} is accepted as revision {revision}"));
+        if let DesiredChange::Drain(engine) = desired {
             if let Some(engine) = self.engine_named(engine) {
                 self.engines[engine].leaving_since.get_or_insert(self.now);
             }
@@ -340,29 +345,29 @@
             change_id: ChangeId::new(format!("{:016x}", operation.change)),
             operator: OperatorName::new(format!("operator-{}", index % 2)),
             expected,
-            name: operation.wish.key().name,
+            name: operation.desired.key().name,
             spec,
         };
         self.send(index, request);
     }
 
-    fn write_again(&mut self, index: usize, expected: Revision) {
+    fn resend_write(&mut self, index: usize, expected: Revision) {
         self.write(index, expected);
     }
 
     /// Every router that has been well for long enough applies the revision by now.
     pub(super) fn check_in_force(&mut self, revision: u64) {
         for router in 0..self.routers.len() {
-            let well_for = self.now.since(self.routers[router].unwell_at);
-            if well_for < IN_FORCE_LIMIT {
+            let healthy_for = self.now.since(self.routers[router].degraded_at);
+            if healthy_for < IN_FORCE_LIMIT {
                 continue;
             }
-            let Some(floor) = self.floor_of(router) else {
+            let Some(floor) = self.applied_revision(router) else {
                 continue;
             };
             if floor < revision {
                 let detail = format!("router {router} applies {floor}, {revision} was accepted");
-                self.fail(Promise::ConfigInForce, detail);
+                self.fail(Invariant::ConfigInForce, detail);
             }
         }
     }
@@ -371,24 +376,24 @@
     pub(super) fn check_converged(&mut self) {
         let newest = self.checks.newest_accepted();
         for router in 0..self.routers.len() {
-            match self.floor_of(router) {
+            match self.applied_revision(router) {
                 Some(floor) if floor >= newest => {}
                 Some(floor) => {
                     let detail = format!("router {router} ends with {floor}, newest is {newest}");
-                    self.fail(Promise::ConfigInForce, detail);
+                    self.fail(Invariant::ConfigInForce, detail);
                 }
                 None => {
                     let detail = format!("router {router} does not run at the end");
-                    self.fail(Promise::Recovery, detail);
+                    self.fail(Invariant::Recovery, detail);
                 }
             }
         }
     }
 
-    fn newest_known(&self, key: &ResourceKey) -> u64 {
+    fn newest_accepted_version(&self, key: &ResourceKey) -> u64 {
         self.accepted_versions.get(key).copied().unwrap_or(0)
     }
 }
 
 /// The time of an order's truth, for the checkers: the sender's term and revision.
-pub(super) type OrderTruth = (u64, u64);
+pub(super) type SenderPosition = (u64, u64);
--- a/crates/testbed/src/sim/plan.rs
+++ b/crates/testbed/src/sim/plan.rs
@@ -210,12 +210,12 @@
 pub const RECOVERY: Duration = Duration::from_secs(20);
 
 /// Seconds of the run in which it must.
-pub const CALM: Duration = Duration::from_secs(8);
+pub const STEADY_PERIOD: Duration = Duration::from_secs(8);
 
 impl Plan {
-    /// A fleet to which nothing happens for `faults_last`.
-    pub fn quiet(faults_last: Duration) -> Self {
-        let healed_at = Timestamp(0).plus(WARM_UP + faults_last);
+    /// A fleet to which nothing happens for `fault_period`.
+    pub fn quiet(fault_period: Duration) -> Self {
+        let healed_at = Timestamp(0).plus(WARM_UP + fault_period);
         let level = |children, blocks| Level { children, blocks };
         Self {
             controls: 3,
@@ -239,7 +239,7 @@
             cache_blocks: 80,
             faults: Vec::new(),
             healed_at,
-            ends_at: healed_at.plus(RECOVERY + CALM),
+            ends_at: healed_at.plus(RECOVERY + STEADY_PERIOD),
         }
     }
 
--- a/crates/testbed/src/sim/routers.rs
+++ b/crates/testbed/src/sim/routers.rs
@@ -13,12 +13,12 @@
 use drumshore_wire::Message;
 use stakker::{actor, call, ret_nop, ActorOwn, Fwd, Ret};
 
-use super::checks::Promise;
+use super::checks::Invariant;
+use super::cluster::{Event, Output, SimCluster};
 use super::network::Node;
-use super::world::{Event, Output, World};
 
 /// How long opening a link to a silent machine takes.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A process that has crashed is noticed by its peers after this long.
 const RESET_DELAY: Duration = Duration::from_millis(1);
@@ -30,7 +30,7 @@
     pub(super) generation: u64,
     pub(super) stopping: bool,
     /// When it last was down, cut off or newly started; configuration needs time after that.
-    pub(super) unwell_at: Timestamp,
+    pub(super) degraded_at: Timestamp,
     /// Set at a restart, until its first request is placed.
     pub(super) restarted_at: Option<Timestamp>,
     store: Store,
@@ -55,16 +55,16 @@
             actor: None,
             generation: 0,
             stopping: false,
-            unwell_at: Timestamp(0),
+            degraded_at: Timestamp(0),
             restarted_at: None,
             store: Store::default(),
         }
     }
 }
 
-impl World {
+impl SimCluster {
     pub(super) fn start_router(&mut self, router: usize) {
-        let seed = self.draw();
+        let seed = self.random_u64();
         let stored = {
             let store = self.routers[router].store.borrow();
             let file = |file| store.get(&file).map(Vec::as_slice);
@@ -74,7 +74,7 @@
             Ok(stored) => stored,
             Err(error) => {
                 let detail = format!("router {router} cannot read its own files: {error}");
-                return self.fail(Promise::ServesAfterRestart, detail);
+                return self.fail(Invariant::ServesAfterRestart, detail);
             }
         };
         let first_start = stored.config.is_blank();
@@ -93,7 +93,7 @@
         let host = &mut self.routers[router];
         host.generation += 1;
         host.stopping = false;
-        host.unwell_at = now;
+        host.degraded_at = now;
         host.restarted_at = (!first_start).then_some(now);
         let generation = host.generation;
         let outputs = outputs(router, generation, &host.store, &self.outbox);
@@ -107,7 +107,7 @@
         if self.routers[router].actor.take().is_none() {
             return;
         }
-        self.routers[router].unwell_at = self.now;
+        self.routers[router].degraded_at = self.now;
         self.note(format!("router {router} ends"));
         let at = self.now.plus(RESET_DELAY);
         let ended: Vec<u64> = self
@@ -119,7 +119,7 @@
         for id in ended {
             self.events.schedule(at, Event::LinkReset(id));
         }
-        self.lose_exchanges_of(router);
+        self.drop_exchanges_of(router);
     }
 
     /// A router is told to stop, and ends when it says that it has finished.
@@ -151,7 +151,7 @@
         let open = self.open_exchanges_of(router);
         if open > 0 {
             let detail = format!("router {router} stopped with {open} requests in flight");
-            self.fail(Promise::PlannedStop, detail);
+            self.fail(Invariant::PlannedStop, detail);
         }
         self.crash_router(router);
         let at = self.now.plus(RESTART);
@@ -160,15 +160,15 @@
 
     pub(super) fn on_connect(&mut self, router: usize, generation: u64, link: LinkId, peer: usize) {
         let (from, to) = (Node::Router(router), Node::Control(peer));
-        let reachable =
-            self.controls[peer].actor.is_some() && !self.network.is_parted(from, to, self.now);
+        let reachable = self.controls[peer].actor.is_some()
+            && !self.network.is_cut_either_way(from, to, self.now);
         if !reachable {
-            let patience = if self.controls[peer].actor.is_some() {
-                CONNECT_PATIENCE
+            let timeout = if self.controls[peer].actor.is_some() {
+                CONNECT_TIMEOUT
             } else {
                 RESET_DELAY
             };
-            let at = self.now.plus(patience);
+            let at = self.now.plus(timeout);
             let closed = Event::LinkFailed {
                 router,
                 generation,
@@ -327,13 +327,13 @@
     /// What each router applies, for the checkers.
     pub(super) fn observe_routers(&mut self) {
         for router in 0..self.routers.len() {
-            if let Some(floor) = self.floor_of(router) {
-                self.checks.on_floor(router, floor, self.now);
+            if let Some(floor) = self.applied_revision(router) {
+                self.checks.on_applied_revision(router, floor, self.now);
             }
         }
     }
 
-    pub(super) fn floor_of(&mut self, router: usize) -> Option<u64> {
+    pub(super) fn applied_revision(&mut self, router: usize) -> Option<u64> {
         let actor = self.routers[router].actor.as_ref()?;
         actor.query(&mut self.stakker, |actor, _| {
             actor.core().config().floor().0
--- a/crates/testbed/src/sim/scenario_plans.rs
+++ b/crates/testbed/src/sim/scenario_plans.rs
@@ -10,11 +10,11 @@
 use super::plan::{Fault, Plan, TimedFault};
 
 /// Draws the details of a plan.
-pub(super) struct Draw {
+pub(super) struct Sampler {
     random: ChaCha8Rng,
 }
 
-impl Draw {
+impl Sampler {
     /// The details that a seed gives.
     pub fn new(seed: u64) -> Self {
         Self {
@@ -52,90 +52,90 @@
     Duration::from_secs(count)
 }
 
-pub(super) fn engine_crash(draw: &mut Draw) -> Plan {
+pub(super) fn engine_crash(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(12));
     for _ in 0..4 {
         let fault = Fault::EngineCrash {
-            engine: draw.engine(),
-            away: draw.millis(50, 3_000),
+            engine: sampler.engine(),
+            away: sampler.millis(50, 3_000),
         };
-        plan = plan.with(draw.millis(0, 9_000), fault);
+        plan = plan.with(sampler.millis(0, 9_000), fault);
     }
     plan
 }
 
-pub(super) fn late_requests(draw: &mut Draw) -> Plan {
-    let by = draw.millis(400, 1_500);
+pub(super) fn late_requests(sampler: &mut Sampler) -> Plan {
+    let by = sampler.millis(400, 1_500);
     let lasting = seconds(9);
     let mut plan = Plan::quiet(seconds(13)).with(seconds(0), Fault::LateRequests { by, lasting });
     for engine in 0..6 {
         let fault = Fault::EngineCrash {
             engine,
-            away: draw.millis(50, 300),
+            away: sampler.millis(50, 300),
         };
-        plan = plan.with(draw.millis(0, 8_000), fault);
+        plan = plan.with(sampler.millis(0, 8_000), fault);
     }
     plan
 }
 
-pub(super) fn flaky_streams(draw: &mut Draw) -> Plan {
+pub(super) fn flaky_streams(sampler: &mut Sampler) -> Plan {
     let flaky = Fault::FlakyStreams {
         chance: 0.08,
         lasting: seconds(9),
     };
     let crash = Fault::EngineCrash {
-        engine: draw.engine(),
-        away: draw.millis(200, 2_000),
+        engine: sampler.engine(),
+        away: sampler.millis(200, 2_000),
     };
-    let rollout_at = draw.millis(500, 3_000);
+    let rollout_at = sampler.millis(500, 3_000);
     Plan::quiet(seconds(14))
         .with(seconds(0), flaky)
         .with(rollout_at, Fault::RolloutStarts)
-        .with(draw.millis(3_000, 8_000), crash)
+        .with(sampler.millis(3_000, 8_000), crash)
 }
 
-pub(super) fn disordered_streams(draw: &mut Draw) -> Plan {
+pub(super) fn disordered_streams(sampler: &mut Sampler) -> Plan {
     let fault = Fault::DisorderedStreams {
-        chance: 0.05 + draw.below(10) as f64 / 100.0,
+        chance: 0.05 + sampler.below(10) as f64 / 100.0,
         lasting: seconds(8),
     };
     Plan::quiet(seconds(10)).with(seconds(0), fault)
 }
 
-pub(super) fn router_restarts(draw: &mut Draw) -> Plan {
+pub(super) fn router_restarts(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(12));
     for number in 0..6 {
         let fault = Fault::RouterCrash {
-            router: draw.router(),
-            away: draw.millis(20, 800),
+            router: sampler.router(),
+            away: sampler.millis(20, 800),
         };
-        plan = plan.with(seconds(2 * number) + draw.millis(0, 900), fault);
+        plan = plan.with(seconds(2 * number) + sampler.millis(0, 900), fault);
     }
     plan
 }
 
-pub(super) fn router_herd(draw: &mut Draw) -> Plan {
+pub(super) fn router_herd(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(14));
-    let at = draw.millis(3_000, 5_000);
+    let at = sampler.millis(3_000, 5_000);
     for router in 0..3 {
-        let away = draw.millis(20, 500);
+        let away = sampler.millis(20, 500);
         plan = plan.with(at, Fault::RouterCrash { router, away });
     }
     // Sometimes there is nobody to ask when they return.
-    if draw.below(2) == 0 {
+    if sampler.below(2) == 0 {
         for control in 0..3 {
-            let away = draw.millis(3_000, 5_000);
+            let away = sampler.millis(3_000, 5_000);
             plan = plan.with(at, Fault::ControlCrash { control, away });
         }
     }
     plan
 }
 
-pub(super) fn planned_stop(draw: &mut Draw) -> Plan {
+pub(super) fn planned_stop(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(12));
     for router in 0..3 {
-        let at = seconds(3 * router as u64) + draw.millis(0, 2_000);
-        let again = at + draw.millis(0, 100);
+        let at = seconds(3 * router as u64) + sampler.millis(0, 2_000);
+        let again = at + sampler.millis(0, 100);
         plan = plan
             .with(at, Fault::RouterStop { router })
             .with(again, Fault::RouterStop { router });
@@ -143,39 +143,39 @@
     plan
 }
 
-pub(super) fn hot_shift(draw: &mut Draw) -> Plan {
+pub(super) fn hot_shift(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(10));
     plan.cache_blocks = 12;
     for number in 0..4 {
-        let at = seconds(2 * number) + draw.millis(0, 1_000);
+        let at = seconds(2 * number) + sampler.millis(0, 1_000);
         plan = plan.with(at, Fault::HotShift);
     }
     plan
 }
 
-pub(super) fn leaving_engine(draw: &mut Draw) -> Plan {
-    let engine = draw.engine();
-    let other = (engine + 1 + draw.below(5)) % 6;
+pub(super) fn leaving_engine(sampler: &mut Sampler) -> Plan {
+    let engine = sampler.engine();
+    let other = (engine + 1 + sampler.below(5)) % 6;
     Plan::quiet(seconds(14))
-        .with(draw.millis(0, 2_000), Fault::EngineLeaves { engine })
+        .with(sampler.millis(0, 2_000), Fault::EngineLeaves { engine })
         .with(
-            draw.millis(0, 4_000),
+            sampler.millis(0, 4_000),
             Fault::EngineDrained { engine: other },
         )
 }
 
-pub(super) fn zone_cut(draw: &mut Draw) -> Plan {
+pub(super) fn zone_cut(sampler: &mut Sampler) -> Plan {
     let fault = Fault::ZoneCut {
-        zone: draw.below(3),
-        lasting: draw.millis(2_000, 8_000),
+        zone: sampler.below(3),
+        lasting: sampler.millis(2_000, 8_000),
     };
-    Plan::quiet(seconds(12)).with(draw.millis(0, 2_000), fault)
+    Plan::quiet(seconds(12)).with(sampler.millis(0, 2_000), fault)
 }
 
-pub(super) fn zone_lost(draw: &mut Draw) -> Plan {
-    let zone = draw.below(3);
-    let at = draw.millis(0, 2_000);
-    let away = draw.millis(3_000, 6_000);
+pub(super) fn zone_lost(sampler: &mut Sampler) -> Plan {
+    let zone = sampler.below(3);
+    let at = sampler.millis(0, 2_000);
+    let away = sampler.millis(3_000, 6_000);
     Plan::quiet(seconds(12))
         .with(at, Fault::RouterCrash { router: zone, away })
         .with(
@@ -195,19 +195,19 @@
         )
 }
 
-pub(super) fn overload(draw: &mut Draw) -> Plan {
+pub(super) fn overload(sampler: &mut Sampler) -> Plan {
     let fault = Fault::Surge {
-        factor: 15.0 + draw.below(20) as f64,
+        factor: 15.0 + sampler.below(20) as f64,
         lasting: seconds(6),
     };
-    Plan::quiet(seconds(8)).with(draw.millis(0, 1_000), fault)
+    Plan::quiet(seconds(8)).with(sampler.millis(0, 1_000), fault)
 }
 
-pub(super) fn slow_engine(draw: &mut Draw) -> Plan {
-    let engine = draw.engine();
+pub(super) fn slow_engine(sampler: &mut Sampler) -> Plan {
+    let engine = sampler.engine();
     let slow = Fault::EngineSlow {
         engine,
-        factor: 4.0 + draw.below(8) as f64,
+        factor: 4.0 + sampler.below(8) as f64,
     };
     let healed = Fault::EngineSlow {
         engine,
@@ -215,41 +215,41 @@
     };
     let frozen = Fault::EngineFreeze {
         engine: (engine + 1) % 6,
-        lasting: draw.millis(1_000, 8_000),
+        lasting: sampler.millis(1_000, 8_000),
     };
     Plan::quiet(seconds(12))
-        .with(draw.millis(0, 1_000), slow)
+        .with(sampler.millis(0, 1_000), slow)
         .with(seconds(9), healed)
-        .with(draw.millis(0, 3_000), frozen)
+        .with(sampler.millis(0, 3_000), frozen)
 }
 
-pub(super) fn rollout(draw: &mut Draw) -> Plan {
+pub(super) fn rollout(sampler: &mut Sampler) -> Plan {
     let held = Fault::LateOrders {
-        by: draw.millis(2_000, 6_000),
-        lasting: draw.millis(2_000, 5_000),
+        by: sampler.millis(2_000, 6_000),
+        lasting: sampler.millis(2_000, 5_000),
     };
     let isolated = Fault::ControlIsolated {
-        control: draw.control(),
-        lasting: draw.millis(1_500, 3_000),
+        control: sampler.control(),
+        lasting: sampler.millis(1_500, 3_000),
     };
     Plan::quiet(seconds(26))
         .with(seconds(0), Fault::RolloutStarts)
-        .with(draw.millis(0, 4_000), held)
-        .with(draw.millis(2_000, 6_000), isolated)
-        .with(draw.millis(6_000, 9_000), Fault::RolloutRollsBack)
+        .with(sampler.millis(0, 4_000), held)
+        .with(sampler.millis(2_000, 6_000), isolated)
+        .with(sampler.millis(6_000, 9_000), Fault::RolloutRollsBack)
 }
 
-pub(super) fn rollout_cut_off(draw: &mut Draw) -> Plan {
+pub(super) fn rollout_cut_off(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(18)).with(seconds(1), Fault::RolloutStarts);
     for router in 0..2 {
-        let lasting = draw.millis(4_000, 9_000);
-        let at = draw.millis(500, 1_500);
+        let lasting = sampler.millis(4_000, 9_000);
+        let at = sampler.millis(500, 1_500);
         plan = plan.with(at, Fault::RouterIsolated { router, lasting });
     }
     plan
 }
 
-pub(super) fn varying_engines(draw: &mut Draw) -> Plan {
+pub(super) fn varying_engines(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(12));
     for engine in 0..3 {
         // Before anybody asks: an engine does not change in the middle of an answer.
@@ -259,66 +259,66 @@
     }
     for _ in 0..8 {
         let fault = Fault::EngineCrash {
-            engine: draw.engine(),
-            away: draw.millis(50, 500),
+            engine: sampler.engine(),
+            away: sampler.millis(50, 500),
         };
-        plan = plan.with(draw.millis(0, 10_000), fault);
+        plan = plan.with(sampler.millis(0, 10_000), fault);
     }
     plan
 }
 
-pub(super) fn storm(draw: &mut Draw) -> Plan {
+pub(super) fn storm(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(20));
     plan.changes_per_second = 2.0;
     for _ in 0..12 {
-        let fault = any_fault(draw);
-        plan = plan.with(draw.millis(0, 12_000), fault);
+        let fault = any_fault(sampler);
+        plan = plan.with(sampler.millis(0, 12_000), fault);
     }
     plan
 }
 
-fn any_fault(draw: &mut Draw) -> Fault {
-    let control = draw.control();
-    let engine = draw.engine();
-    match draw.below(13) {
+fn any_fault(sampler: &mut Sampler) -> Fault {
+    let control = sampler.control();
+    let engine = sampler.engine();
+    match sampler.below(13) {
         0 | 1 => Fault::EngineCrash {
             engine,
-            away: draw.millis(50, 3_000),
+            away: sampler.millis(50, 3_000),
         },
         2 => Fault::EngineFreeze {
             engine,
-            lasting: draw.millis(500, 4_000),
+            lasting: sampler.millis(500, 4_000),
         },
         3 | 4 => Fault::RouterCrash {
-            router: draw.router(),
-            away: draw.millis(20, 800),
+            router: sampler.router(),
+            away: sampler.millis(20, 800),
         },
         5 => Fault::RouterStop {
-            router: draw.router(),
+            router: sampler.router(),
         },
         6 => Fault::ControlCrash {
             control,
-            away: draw.millis(100, 2_000),
+            away: sampler.millis(100, 2_000),
         },
         7 => Fault::ControlIsolated {
             control,
-            lasting: draw.millis(500, 5_000),
+            lasting: sampler.millis(500, 5_000),
         },
         8 => Fault::ZoneCut {
-            zone: draw.below(3),
-            lasting: draw.millis(500, 4_000),
+            zone: sampler.below(3),
+            lasting: sampler.millis(500, 4_000),
         },
         9 => Fault::LossyNetwork {
             chance: 0.2,
-            lasting: draw.millis(1_000, 5_000),
+            lasting: sampler.millis(1_000, 5_000),
         },
         10 => Fault::FlakyStreams {
             chance: 0.05,
-            lasting: draw.millis(1_000, 5_000),
+            lasting: sampler.millis(1_000, 5_000),
         },
         11 => Fault::Surge {
             factor: 6.0,
-            lasting: draw.millis(500, 2_000),
+            lasting: sampler.millis(500, 2_000),
         },
         _ => Fault::HotShift,
     }
--- a/crates/testbed/src/sim/scenarios.rs
+++ b/crates/testbed/src/sim/scenarios.rs
@@ -3,6 +3,7 @@
 use drumshore_consensus_harness::{run_schedule, scripts, Violation};
 use drumshore_guard::Guard;
 
+use super::cluster::{run, run_script, SimReport};
 use super::plan::Plan;
 use super::scenario_control_plans::{
     control_restarts, leader_cut_off, lossy_control, one_way_cuts, racing_operators,
@@ -11,9 +12,8 @@
 use super::scenario_plans::{
     disordered_streams, engine_crash, flaky_streams, hot_shift, late_requests, leaving_engine,
     overload, planned_stop, rollout, rollout_cut_off, router_herd, router_restarts, seconds,
-    slow_engine, storm, varying_engines, zone_cut, zone_lost, Draw,
+    slow_engine, storm, varying_engines, zone_cut, zone_lost, Sampler,
 };
-use super::world::{run, run_script, SimReport};
 
 /// A failure of the brief.
 #[derive(Clone, Copy)]
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy)]
 enum Kind {
     /// A whole fleet, under a plan.
-    Fleet(fn(&mut Draw) -> Plan),
+    Fleet(fn(&mut Sampler) -> Plan),
     /// The replicated log alone.
     Log(fn(u64) -> Result<(), Violation>),
 }
@@ -43,9 +43,9 @@
 impl Scenario {
     /// The plan of a seed; none when only the replicated log is exercised.
     pub fn plan(&self, seed: u64) -> Option<Plan> {
-        let mut draw = Draw::new(seed);
+        let mut sampler = Sampler::new(seed);
         match self.kind {
-            Kind::Fleet(build) => Some(build(&mut draw)),
+            Kind::Fleet(build) => Some(build(&mut sampler)),
             Kind::Log(_) => None,
         }
     }
@@ -54,8 +54,8 @@
     pub fn run(&self, seed: u64, without: Option<Guard>) -> SimReport {
         match self.kind {
             Kind::Fleet(build) => {
-                let mut draw = Draw::new(seed);
-                run(&build(&mut draw), seed, without)
+                let mut sampler = Sampler::new(seed);
+                run(&build(&mut sampler), seed, without)
             }
             Kind::Log(script) => run_script(script, seed, without),
         }
--- a/crates/testbed/src/sim/shrink.rs
+++ b/crates/testbed/src/sim/shrink.rs
@@ -2,18 +2,18 @@
 
 use drumshore_guard::Guard;
 
-use super::checks::Promise;
+use super::checks::Invariant;
+use super::cluster::run;
 use super::plan::Plan;
-use super::world::run;
 
 /// The plan without the faults that are not needed to break the promise.
-pub(super) fn shrink(plan: &Plan, seed: u64, without: Option<Guard>, promise: Promise) -> Plan {
+pub(super) fn shrink(plan: &Plan, seed: u64, without: Option<Guard>, invariant: Invariant) -> Plan {
     let breaks = |plan: &Plan| {
         let report = run(plan, seed, without);
         report
             .failures
             .iter()
-            .any(|failure| failure.promise == promise)
+            .any(|failure| failure.invariant == invariant)
     };
     let mut smallest = plan.clone();
     let mut position = 0;
--- a/crates/testbed/src/sim/trace.rs
+++ b/crates/testbed/src/sim/trace.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Lines kept.
-const KEPT: usize = 60;
+const MAX_LINES: usize = 60;
 
 /// The trace of one run.
 pub(super) struct Trace {
@@ -34,7 +34,7 @@
         self.hash.update(text.as_bytes());
         self.events += 1;
         self.lines.push_back(text);
-        if self.lines.len() > KEPT {
+        if self.lines.len() > MAX_LINES {
             self.lines.pop_front();
         }
     }
