--- a/crates/testbed/src/sim/callers.rs
+++ b/crates/testbed/src/sim/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of the simulated fleet: they ask, check what they get, and ask again.
+//! Callers of the simulated fleet: they send requests, check the answers and retry failures.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -23,37 +23,38 @@
 use crate::engine::stream::token;
 use crate::workload::WorkloadRequest;
 
-/// How long an engine may be silent.
+/// Time without data from an engine after which an attempt fails.
 const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pauses before a caller asks again.
+/// Shortest time before a caller retries.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Share of prompts that another tenant has asked before.
+/// Fraction of requests with the prompt blocks of the previous request, whose tenant may differ.
 const SHARED_PROMPTS: f64 = 0.15;
 
-/// A restarted router has to place its first request within this time.
+/// Time within which a restarted router has to place its first request.
 const FIRST_PLACEMENT_LIMIT: Duration = Duration::from_secs(2);
 
-/// Weights that answers may come from.
+/// Answers may come from weights versions 1 to this one.
 const KNOWN_VERSIONS: u64 = 4;
 
-/// What a caller wants.
+/// A request of a caller, retried until it is answered.
 pub(super) struct CallerRequest {
     pub(super) workload_request: WorkloadRequest,
     pub(super) prompt: Arc<PromptInput>,
     pub(super) digest: u64,
-    pub(super) once: Option<IdempotencyKey>,
+    pub(super) idempotency_key: Option<IdempotencyKey>,
     pub(super) created_at: Timestamp,
     streams: bool,
     deterministic: bool,
+    /// The only router it may be sent to; any router if `None`.
     router: Option<usize>,
     tries: u32,
     done: bool,
     answered: bool,
 }
 
-/// A try at it, beside a router.
+/// An attempt of a caller request at one router.
 pub(super) struct SimExchange {
     pub(super) caller_request: u64,
     router: usize,
@@ -61,10 +62,11 @@
     id: Option<RequestId>,
     call: Option<u64>,
     tokens: Vec<String>,
+    /// Number of events received, to detect a stalled engine.
     progress: u64,
 }
 
-/// What callers got, for the report.
+/// Counts of requests and outcomes, for the report.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CallerTotals {
     pub(super) asked: u64,
@@ -74,7 +76,7 @@
 }
 
 impl SimCluster {
-    /// The next caller asks; another one follows.
+    /// Adds a caller request, and schedules the next arrival.
     pub(super) fn next_arrival(&mut self) {
         let factor = if self.surge.until > self.now {
             self.surge.chance
@@ -88,7 +90,8 @@
         self.add_caller_request(None);
     }
 
-    /// Somebody asks, at any router, or a certain tenant at a certain router.
+    /// Creates a request and sends it to a random router; with `at`, a pair of router and tenant,
+    /// to that router on behalf of that tenant.
     pub(super) fn add_caller_request(&mut self, at: Option<(usize, usize)>) {
         let seconds = self.now.0 as f64 / 1e6 + self.hot_offset;
         let mut request = self.generator.next_request(seconds);
@@ -104,11 +107,11 @@
         if let Some((_, tenant)) = at {
             request.tenant = tenant;
         }
-        let once = (request.once && at.is_none()).then(|| idempotency_key_of(number));
+        let idempotency_key = (request.once && at.is_none()).then(|| idempotency_key_of(number));
         let caller_request = CallerRequest {
             digest: prompt_digest(&prompt),
             prompt,
-            once,
+            idempotency_key,
             created_at: self.now,
             streams: self.random.random::<f64>() < 0.7,
             deterministic: self.random.random::<f64>() < 0.6,
@@ -123,7 +126,7 @@
         self.send_caller_request(number);
     }
 
-    /// Asks, for the first time or again.
+    /// Sends a request to a router, for the first time or as a retry.
     pub(super) fn send_caller_request(&mut self, number: u64) {
         const MAX_TRIES: u32 = 80;
         let any_router = self.random.random_range(0..self.routers.len());
@@ -141,7 +144,7 @@
         }
         let params = ExchangeParams {
             streams: caller_request.streams,
-            outlives_caller: caller_request.once.is_some(),
+            outlives_caller: caller_request.idempotency_key.is_some(),
         };
         let admit = AdmitRequest {
             key_hash: Some(
@@ -154,7 +157,7 @@
             priority: Some(caller_request.workload_request.priority),
             priority_class: None,
             deterministic: caller_request.deterministic,
-            idempotency_key: caller_request.once.clone(),
+            idempotency_key: caller_request.idempotency_key.clone(),
             fingerprint: caller_request.digest,
         };
         self.next_exchange += 1;
@@ -193,7 +196,7 @@
         })
     }
 
-    /// The router decided.
+    /// Handles a router's decision on an admission or on a failed attempt.
     pub(super) fn on_admitted(&mut self, key: u64, id: RequestId, outcome: AdmitOutcome) {
         if let AdmitOutcome::Assigned(assignment) = &outcome {
             self.trace
@@ -214,7 +217,7 @@
         self.drive(key, next);
     }
 
-    /// Something arrived over a connection.
+    /// Handles data or an end that arrives from an engine.
     pub(super) fn on_call_event(&mut self, id: u64, call_event: CallEvent) {
         let Some(key) = self.calls.get(&id).map(|call| call.exchange) else {
             return;
@@ -244,7 +247,7 @@
         self.drive(key, next);
     }
 
-    /// An engine has been silent for as long as it may.
+    /// Fails the attempt if nothing has arrived from its engine since the timeout was set.
     pub(super) fn on_stall(&mut self, key: u64, call: u64, progress: u64) {
         let Some(exchange) = self.exchanges.get_mut(&key) else {
             return;
@@ -351,7 +354,7 @@
             self.totals.refused += 1;
             self.checks.on_not_run(id, self.now);
         }
-        // What was passed on before a failure has to be a true beginning.
+        // The part of the answer that was passed on before the failure has to be correct.
         if !exchange.tokens.is_empty() {
             self.check_partial_stream(exchange);
         }
@@ -366,7 +369,7 @@
         self.schedule_retry(exchange.caller_request, pause);
     }
 
-    /// A router's process ended: its callers' connections broke.
+    /// Drops the exchanges of a router whose process has terminated; their callers retry.
     pub(super) fn drop_exchanges_of(&mut self, router: usize) {
         let lost: Vec<u64> = self
             .exchanges
@@ -442,7 +445,7 @@
         let Some(caller_request) = self.caller_requests.get(&exchange.caller_request) else {
             return;
         };
-        // Without streaming nothing reaches a caller before the end.
+        // Without streaming a caller receives nothing before the end.
         if !caller_request.streams {
             return;
         }
@@ -459,7 +462,8 @@
         }
     }
 
-    /// A router has restarted: a tenant that it has served before asks it at once.
+    /// Sends a request to a restarted router at once, on behalf of a tenant in its stored
+    /// configuration, and schedules a check that it was placed.
     pub(super) fn probe_restarted_router(&mut self, router: usize) {
         let Some(tenant) = self.tenant_known_to(router) else {
             self.routers[router].restarted_at = None;
@@ -494,7 +498,8 @@
         }
     }
 
-    /// At the end, everything that was asked in the calm has to be answered.
+    /// Checks at the end that all requests of the steady period were answered, except those of the
+    /// last 4 seconds.
     pub(super) fn check_steady_period(&mut self) {
         const TO_ANSWER: Duration = Duration::from_secs(4);
         let from = self.plan.healed_at.plus(super::plan::RECOVERY);
@@ -530,12 +535,12 @@
     }
 }
 
-/// The bearer key of a tenant.
+/// The API key of a tenant.
 pub(super) fn tenant_key(tenant: usize) -> String {
     format!("key-{tenant}")
 }
 
-/// The text of a token's event; none for the event that ends a stream.
+/// Text of a token event; `None` for the event that ends a stream.
 fn text_of(data: &str) -> Option<String> {
     let document: serde_json::Value = serde_json::from_str(data).ok()?;
     let text = document.get("choices")?.get(0)?.get("text")?.as_str()?;
--- a/crates/testbed/src/sim/checks.rs
+++ b/crates/testbed/src/sim/checks.rs
@@ -1,4 +1,4 @@
-//! The promises of the brief, checked from outside.
+//! The invariants that every run has to keep, checked by what is observable from outside.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,65 +6,67 @@
 use drumshore_core::{IdempotencyKey, RequestId, Timestamp};
 use serde::Serialize;
 
-/// What must always hold.
+/// A property that holds in every run, whatever fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Invariant {
-    /// No trust in the cache of a dead engine, another tenant or older weights.
+    /// A request never uses cache contents of an earlier start of an engine, of another tenant or
+    /// of other weights.
     CacheTrust,
-    /// Streams reach their callers whole and in order.
+    /// Callers receive streams complete and in order.
     StreamOrder,
-    /// A restarted router serves at once.
+    /// A restarted router reads its stored files and places requests right away.
     ServesAfterRestart,
-    /// A caller gets the whole answer to its own request.
+    /// A caller that repeats a request gets the complete recorded answer to that same request.
     OwnAnswer,
-    /// "Not run" means that it did not run.
+    /// A request that was refused with "not run" never runs at an engine.
     NotRun,
-    /// Work that may not be repeated runs at most once.
+    /// A request with an idempotency key runs at most once.
     AtMostOnce,
-    /// A leaving engine gets no new work after a few seconds.
+    /// An engine that leaves gets no new requests after a few seconds.
     LeavingIdle,
-    /// A planned stop cuts off no request.
+    /// A router that stops gracefully completes all its requests first.
     PlannedStop,
-    /// Accepted configuration is in force everywhere in seconds and never reverts.
+    /// Accepted configuration applies at all healthy routers within seconds and is never reverted.
     ConfigInForce,
-    /// After the last fault the fleet serves again.
+    /// The fleet serves normally again some time after the last fault.
     Recovery,
-    /// An order of an older leader is not obeyed.
+    /// Engines do not execute orders of an earlier leader after those of a later one.
     OrderFenced,
-    /// The replicated log forgets nothing and says the same everywhere.
+    /// The replicated log loses no committed entry and is the same at all replicas.
     ReplicatedLog,
 }
 
-/// A promise that was broken.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Failure {
-    /// Which.
+    /// The invariant that was violated.
     #[serde(rename = "promise")]
     pub invariant: Invariant,
-    /// When, in microseconds of the run.
+    /// Time since the start of the run, in microseconds.
     pub at: u64,
-    /// How.
+    /// What was observed, as text.
     pub detail: String,
 }
 
-/// A leaving engine may still begin work for this long after the first sign.
+/// Time after the first sign that an engine leaves in which it may still start new requests.
 pub(super) const LEAVING_LIMIT: Duration = Duration::from_secs(3);
 
-/// Accepted configuration is in force everywhere within this time.
+/// Time within which accepted configuration applies at all healthy routers.
 pub(super) const IN_FORCE_LIMIT: Duration = Duration::from_secs(5);
 
-/// What the checkers know.
+/// Observations of the checkers and the violations found so far.
 #[derive(Debug, Default)]
 pub(super) struct Checks {
     failures: Vec<Failure>,
     executed: BTreeMap<RequestId, u64>,
     executions_by_key: BTreeMap<IdempotencyKey, u64>,
     refused: BTreeMap<RequestId, Timestamp>,
-    /// The highest revision that a router of this number was seen to apply.
+    /// The highest revision that each router was seen to apply, by router index.
     applied_revisions: BTreeMap<usize, u64>,
-    /// The newest revision that was accepted, and which change made each.
+    /// Accepted revisions, each with the id of the change that made it.
     accepted: BTreeMap<u64, String>,
+    /// Accepted changes by resource name and expected version.
     accepted_from: BTreeMap<(String, u64), String>,
 }
 
@@ -84,11 +86,11 @@
         &self.failures
     }
 
-    /// An engine began to run a request.
+    /// Records that an engine started to run a request.
     pub(super) fn on_execution(
         &mut self,
         id: RequestId,
-        once: Option<&IdempotencyKey>,
+        idempotency_key: Option<&IdempotencyKey>,
         at: Timestamp,
     ) {
         *self.executed.entry(id).or_default() += 1;
@@ -96,7 +98,7 @@
             let detail = format!("request {id} ran after it was refused as not run");
             self.fail(Invariant::NotRun, at, detail);
         }
-        let Some(key) = once else {
+        let Some(key) = idempotency_key else {
             return;
         };
         let count = self.executions_by_key.entry(key.clone()).or_default();
@@ -107,7 +109,7 @@
         }
     }
 
-    /// A caller was told "not run".
+    /// Records that a caller received a refusal with "not run".
     pub(super) fn on_not_run(&mut self, id: RequestId, at: Timestamp) {
         if self.executed.contains_key(&id) {
             let detail = format!("request {id} was refused as not run after it ran");
@@ -116,7 +118,7 @@
         self.refused.insert(id, at);
     }
 
-    /// A router applies a revision.
+    /// Records the revision that a router applies, which must never decrease.
     pub(super) fn on_applied_revision(&mut self, router: usize, revision: u64, at: Timestamp) {
         let highest = self.applied_revisions.entry(router).or_default();
         if revision < *highest {
@@ -127,7 +129,8 @@
         }
     }
 
-    /// An operator's change was accepted.
+    /// Records an accepted change. No two changes may get the same revision, or be accepted for the
+    /// same resource with the same expected version.
     pub(super) fn on_accepted(
         &mut self,
         name: &str,
@@ -152,12 +155,12 @@
         }
     }
 
-    /// The newest revision that was accepted so far.
+    /// The newest revision accepted so far, 0 if there is none.
     pub(super) fn newest_accepted(&self) -> u64 {
         self.accepted.keys().last().copied().unwrap_or(0)
     }
 
-    /// Requests that ran at all.
+    /// Number of times that engines started to run a request.
     pub(super) fn executions(&self) -> u64 {
         self.executed.values().sum()
     }
--- a/crates/testbed/src/sim/cli.rs
+++ b/crates/testbed/src/sim/cli.rs
@@ -1,4 +1,4 @@
-//! `drumshore-lab sim`.
+//! Command line of `drumshore-lab sim`.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,7 +15,7 @@
 use super::shrink::shrink;
 use crate::cli::{finish, write_json, LabError};
 
-/// Failing runs that are shown.
+/// Maximum number of failing runs whose details are printed.
 const MAX_SHOWN_RUNS: usize = 3;
 
 struct Options {
@@ -26,7 +26,7 @@
     json: Option<PathBuf>,
 }
 
-/// One run of one seed.
+/// Result of one scenario with one seed.
 #[derive(Serialize)]
 struct Run {
     scenario: &'static str,
@@ -87,7 +87,7 @@
     Ok(options)
 }
 
-/// All runs, on all cores; their order is that of scenario and seed.
+/// Runs all scenarios and seeds on all cores; the results are ordered by scenario, then by seed.
 fn run_all(options: &Options) -> Vec<Run> {
     let jobs: Vec<(Scenario, u64)> = options
         .scenarios
--- a/crates/testbed/src/sim/cluster.rs
+++ b/crates/testbed/src/sim/cluster.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet and its clock.
+//! The simulated fleet, its clock and its event loop.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -32,22 +32,22 @@
 use crate::platform::Platform;
 use crate::workload::WorkloadGenerator;
 
-/// How far the platform's list lags.
+/// Lag of the platform's list of machines.
 const PLATFORM_LAG: Duration = Duration::from_secs(1);
 
-/// How often routers are looked at.
+/// Interval at which the checkers observe the routers.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time of the run at which operators set the fleet up.
+/// Time of the run at which operators write the initial configuration.
 const SET_UP_AT: Duration = Duration::from_millis(1_500);
 
-/// The time of the run at which callers begin.
+/// Time of the run at which callers and concurrent changes start.
 const CALLERS_START_AT: Duration = Duration::from_millis(2_500);
 
-/// Milliseconds since the Unix epoch at which every run begins.
+/// Wall-clock time at which every run starts, in milliseconds since the Unix epoch.
 const EPOCH_MS: u64 = 1_700_000_000_000;
 
-/// What is to happen.
+/// A scheduled event.
 #[derive(Debug)]
 pub(super) enum Event {
     LinkOpened(u64),
@@ -101,7 +101,7 @@
     },
     NextArrival,
     SendCallerRequest(u64),
-    Race,
+    ConcurrentChanges,
     OperatorTimeout {
         index: usize,
         sent: u64,
@@ -122,7 +122,7 @@
     BackUp,
 }
 
-/// What the product's actors say.
+/// An output of the production actors, handled after they have run.
 #[derive(Debug)]
 pub(super) enum Output {
     Connect {
@@ -162,30 +162,30 @@
     },
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct SimReport {
-    /// Promises broken, in order of time.
+    /// Violations of invariants, in order of time.
     pub failures: Vec<Failure>,
-    /// Equal for equal seeds.
+    /// Hash over all events; runs of one build with the same plan and seed have the same hash.
     pub trace_hash: String,
-    /// Events that the hash covers.
+    /// Number of events that the hash covers.
     pub events: u64,
-    /// Virtual seconds.
+    /// Duration of the run on the virtual clock.
     pub virtual_seconds: f64,
-    /// Requests that callers made.
+    /// Requests that callers made, without retries.
     pub asked: u64,
-    /// Of these, answered.
+    /// Of these, those that got a complete answer.
     pub answered: u64,
-    /// Refusals as not run.
+    /// Refusals with "not run" that callers received.
     pub refused: u64,
-    /// Tries, the first ones included.
+    /// Attempts by callers, first attempts included.
     pub tries: u64,
-    /// Requests that engines began to run.
+    /// Number of times that engines started to run a request.
     pub executions: u64,
-    /// Changes of configuration accepted.
+    /// The newest accepted configuration revision.
     pub changes: u64,
-    /// The last things that happened.
+    /// The last lines of the trace.
     #[serde(skip)]
     pub last_lines: Vec<String>,
 }
@@ -208,7 +208,7 @@
     }
 }
 
-/// Something with a chance and an end.
+/// A probability that applies until a time; as `SimCluster::surge`, a factor of the request rate.
 pub(super) type Chance = Loss;
 
 pub(super) struct SimCluster {
@@ -234,7 +234,9 @@
     pub(super) exchanges: BTreeMap<u64, SimExchange>,
     pub(super) next_exchange: u64,
     pub(super) generator: WorkloadGenerator,
+    /// Prompt blocks of the previous request, for prompts that several tenants share.
     pub(super) last_blocks: Option<Vec<u64>>,
+    /// Virtual seconds that the workload generator is ahead, which makes other prefixes hot.
     pub(super) hot_offset: f64,
     pub(super) operations: Vec<Operation>,
     pub(super) reply_targets: BTreeMap<(usize, u64, OperatorTicket), ReplyTarget>,
@@ -246,14 +248,15 @@
     pub(super) flaky: Chance,
     pub(super) disordered: Chance,
     pub(super) surge: Chance,
-    /// The store itself was taken back by operators; only routers are bound to what was accepted.
+    /// Operators restored the control machines from older copies. Accepted changes may be lost, so
+    /// from then on only the revision that a router applies is checked for never decreasing.
     pub(super) restored: bool,
     pub(super) checks: Checks,
     pub(super) totals: CallerTotals,
     pub(super) trace: Trace,
 }
 
-/// Runs a plan with one guard taken out, or none.
+/// Runs a plan, with the guard `without` disabled if there is one.
 pub fn run(plan: &Plan, seed: u64, without: Option<Guard>) -> SimReport {
     set_removed(without);
     let outcome = catch_unwind(|| SimCluster::new(plan.clone(), seed).run());
@@ -261,7 +264,7 @@
     outcome.unwrap_or_else(|panic| panicked(&panic))
 }
 
-/// Runs a script of the replicated log.
+/// Runs a script of the replicated log, with the guard `without` disabled if there is one.
 pub(super) fn run_script(
     script: fn(u64) -> Result<(), Violation>,
     seed: u64,
@@ -277,7 +280,7 @@
     }
 }
 
-/// The product refuses impossible states by a panic: somebody has broken a rule.
+/// Reports a panic as a violation: production code panics on states that its invariants exclude.
 fn panicked(panic: &(dyn Any + Send)) -> SimReport {
     let text = panic.downcast_ref::<String>().cloned();
     let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
@@ -301,7 +304,7 @@
     drumshore_guard::set_removed(guard);
 }
 
-/// A normal build holds every guard.
+/// Without the feature `guards` no guard can be disabled.
 #[cfg(not(feature = "guards"))]
 fn set_removed(_: Option<Guard>) {}
 
@@ -358,7 +361,7 @@
         let end = self.plan.ends_at;
         while let Some(at) = self.next_at().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            self.settle();
+            self.process_due_events();
         }
         self.now = end;
         self.check_steady_period();
@@ -382,7 +385,8 @@
         self.events.schedule(at(SET_UP_AT), Event::SetUp);
         self.events
             .schedule(at(CALLERS_START_AT), Event::NextArrival);
-        self.events.schedule(at(CALLERS_START_AT), Event::Race);
+        self.events
+            .schedule(at(CALLERS_START_AT), Event::ConcurrentChanges);
         self.events
             .schedule(at(super::plan::WARM_UP), Event::BackUp);
         self.events.schedule(at(OBSERVE_INTERVAL), Event::Observe);
@@ -404,8 +408,8 @@
             .min()
     }
 
-    /// Does all that is due now, until nothing more follows from it.
-    fn settle(&mut self) {
+    /// Processes everything that is due now, until it causes no further events at this time.
+    fn process_due_events(&mut self) {
         *self.clock_ms.borrow_mut() = EPOCH_MS + self.now.0 / 1_000;
         loop {
             self.run_actors();
@@ -519,7 +523,7 @@
             } => self.on_stall(exchange, call, progress),
             Event::NextArrival => self.next_arrival(),
             Event::SendCallerRequest(number) => self.send_caller_request(number),
-            Event::Race => self.race(),
+            Event::ConcurrentChanges => self.start_concurrent_changes(),
             Event::OperatorTimeout { index, sent } => self.on_operator_timeout(index, sent),
             Event::ReplacementStep(index) => self.replacement_step(index),
             Event::CheckInForce(revision) => {
@@ -539,9 +543,9 @@
                     self.probe_restarted_router(router);
                 }
             }
-            Event::StartControl(control, first) => {
+            Event::StartControl(control, bootstrap) => {
                 if self.controls[control].actor.is_none() {
-                    self.start_control(control, first);
+                    self.start_control(control, bootstrap);
                 }
             }
             Event::StartEngine(engine) => {
--- a/crates/testbed/src/sim/controls.rs
+++ b/crates/testbed/src/sim/controls.rs
@@ -1,4 +1,5 @@
-//! Control machines of the simulated fleet, their disks, and what they ask of the outside.
+//! Control machines of the simulated fleet, their disks, and their calls to the platform and to
+//! engines.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,15 +22,19 @@
 use super::network::Node;
 use super::operators::{ReplyTarget, SenderPosition};
 
+/// Tick interval of a control machine whose clock does not drift.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which a control machine polls the platform and the engines.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Time until a probe of an unresponsive engine fails.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between the requests for the steps of a replacement.
 const REPLACEMENT_STEP_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Clocks run this much too fast or slow, in parts of 1,000.
+/// Maximum clock drift of a control machine in either direction, in thousandths.
 const DRIFT_PER_MILLE: u64 = 20;
 
-/// Control machines' clocks differ by up to this much, in milliseconds.
+/// Upper bound of the difference between control machines' wall clocks, in milliseconds.
 const CLOCK_OFFSET_MS: u64 = 3_000;
 
 pub(super) struct ControlHost {
@@ -37,14 +42,14 @@
     pub(super) actor: Option<ActorOwn<ControlActor<MemoryDirectory>>>,
     pub(super) generation: u64,
     directory: MemoryDirectory,
-    /// A copy of the disk, for operators who restore it.
+    /// A copy of the disk that operators can restore.
     backup: Option<MemoryDirectory>,
     offset_ms: u64,
     tick: Duration,
     pub(super) next_ticket: u64,
 }
 
-/// A machine that is being replaced, and the step that comes next.
+/// A machine that is being replaced, and the number of steps done.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Replacement {
     pub(super) control: usize,
@@ -69,9 +74,9 @@
 }
 
 impl SimCluster {
-    /// Starts a control machine from its disk. `first` makes an empty disk that of a new
-    /// cluster; without it an empty one waits to be added.
-    pub(super) fn start_control(&mut self, control: usize, first: bool) {
+    /// Starts a control machine from its disk. With `bootstrap`, an empty disk is initialized with the
+    /// membership of a new cluster; otherwise a machine with an empty disk waits to be added.
+    pub(super) fn start_control(&mut self, control: usize, bootstrap: bool) {
         let seed = self.random_u64();
         let drift = self
             .random
@@ -83,7 +88,7 @@
             cluster: "sim".to_owned(),
             replica: host.id,
         };
-        let membership = if first {
+        let membership = if bootstrap {
             Membership::of_voters(ids)
         } else {
             Membership::default()
@@ -118,7 +123,8 @@
         self.note(format!("control {control} starts"));
     }
 
-    /// A control machine's process ends at once; what was not synced is lost, or torn.
+    /// Terminates a control machine's process at once. Writes that were not synced are lost, or a
+    /// part of them remains.
     pub(super) fn crash_control(&mut self, control: usize) {
         let torn = self.random.random_range(0..200);
         let host = &mut self.controls[control];
@@ -139,23 +145,23 @@
         }
     }
 
-    /// The disk is lost, and an empty one comes back under the old number.
+    /// Wipes the disk of a control machine, which restarts under its old replica number.
     pub(super) fn wipe_control(&mut self, control: usize) {
         self.crash_control(control);
         self.controls[control].directory.wipe();
-        // What a careless operator would do: start it as if the cluster were new.
+        // Reproduces an operating error: the machine is started as if the cluster were new.
         let at = self.now.plus(Duration::from_millis(300));
         self.events.schedule(at, Event::StartControl(control, true));
     }
 
-    /// Copies of all disks are taken, for a later restore.
+    /// Copies the disks of all control machines for a later restore.
     pub(super) fn back_up_controls(&mut self) {
         for host in &mut self.controls {
             host.backup = Some(copy_of(&host.directory));
         }
     }
 
-    /// All machines come back from the copies.
+    /// Crashes all control machines and restarts them from the copies of their disks.
     pub(super) fn restore_controls(&mut self) {
         for control in 0..self.controls.len() {
             self.crash_control(control);
@@ -170,8 +176,8 @@
         self.note("control machines are restored from older copies");
     }
 
-    /// The disk is lost; a machine with an empty one is added under a new number, and the old
-    /// number is removed.
+    /// Replaces a control machine whose disk is lost by one with an empty disk and a new replica
+    /// number, and schedules the membership changes.
     pub(super) fn replace_control(&mut self, control: usize) {
         self.crash_control(control);
         let old = self.controls[control].id;
@@ -192,8 +198,9 @@
         self.events.schedule(at, Event::ReplacementStep(index));
     }
 
-    /// The next step, asked of every machine, for only the leader takes it. The old number goes
-    /// before the new one votes, so that a majority of those that live is a majority.
+    /// Requests the next step from every machine, because only the leader can execute it. The old
+    /// replica is removed before the new one votes, so that a lost replica does not count towards
+    /// the majority that is needed.
     pub(super) fn replacement_step(&mut self, index: usize) {
         let Replacement { old, new, step, .. } = self.replacements[index];
         let change = match step {
@@ -213,12 +220,12 @@
         self.events.schedule(at, Event::ReplacementStep(index));
     }
 
-    /// A machine took a step, or said why not.
+    /// Handles a control machine's reply to a step of a replacement.
     pub(super) fn on_replacement_reply(&mut self, index: usize, result: Result<(), String>) {
         let replacement = &mut self.replacements[index];
         let done = match &result {
             Ok(()) => true,
-            // It was done before, and the answer was lost.
+            // An earlier request executed the step, and its reply was lost.
             Err(reason) => {
                 (replacement.step == 0 && reason.contains("is not a member"))
                     || (replacement.step == 1 && reason.contains("is a member already"))
@@ -283,7 +290,7 @@
         }
     }
 
-    /// A control machine asks the platform, and each engine that it knows.
+    /// Passes the platform's list to a control machine, and probes each engine it knows.
     pub(super) fn poll(&mut self, control: usize, generation: u64) {
         let host = &self.controls[control];
         if host.generation != generation {
@@ -335,7 +342,8 @@
         self.events.schedule(self.now.plus(after), event);
     }
 
-    /// What an engine's cache reports to a machine that asks for what it is missing.
+    /// The cache report of an engine with what the control machine lacks; `None` if the machine
+    /// does not index this engine.
     fn report_cache(
         &mut self,
         control: usize,
@@ -404,7 +412,7 @@
 }
 
 impl SimCluster {
-    /// Term and revision of a sender, whatever fence it writes on its orders.
+    /// Term and revision of a control machine, independent of the fence it writes into its orders.
     fn position_of_sender(&mut self, control: usize) -> SenderPosition {
         let Some(actor) = &self.controls[control].actor else {
             return (0, 0);
@@ -417,10 +425,10 @@
     }
 }
 
-/// Small, so that short runs meet snapshots too.
+/// Log entries between snapshots; small, so that short runs take snapshots too.
 const SNAPSHOT_ENTRIES: u64 = 40;
 
-/// Something that is held back for a while.
+/// An additional delay `by` that applies to messages until a time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ExtraDelay {
     pub(super) by: Duration,
--- a/crates/testbed/src/sim/engines.rs
+++ b/crates/testbed/src/sim/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of the simulated fleet, and the connections to them.
+//! Engines of the simulated fleet, and routers' connections to them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,19 +19,22 @@
     EngineCore, EngineOutput, EngineParams, EngineRequest, EngineTiming, Submission, Violation,
 };
 
-/// Tokens in a block.
+/// Tokens per cache block.
 pub(super) const BLOCK_TOKENS: u32 = 16;
 
-/// A prompt token takes as long as 25 of the users' engines, so that short prompts weigh.
+/// 25 times the default of [`EngineTiming`], so that prefill takes a relevant time although the
+/// simulated prompts are short.
 pub(super) const PREFILL_US_PER_TOKEN: f64 = 500.0;
 
-/// The model that the engines serve.
+/// Name of the model that all engines serve.
 pub(super) const MODEL: &str = "m";
 
-/// The pool of all engines.
+/// Name of the pool that all engines belong to.
 pub(super) const POOL: &str = "p";
 
+/// Time until a connection attempt to an unreachable engine fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time until a peer notices that a process has terminated.
 const RESET_DELAY: Duration = Duration::from_millis(1);
 
 pub(super) struct EngineHost {
@@ -40,13 +43,16 @@
     pub(super) params: EngineParams,
     pub(super) generation: u64,
     pub(super) frozen_until: Timestamp,
-    /// When the first sign showed that it leaves.
+    /// When routers and control machines could first learn that it leaves.
     pub(super) leaving_since: Option<Timestamp>,
-    /// Its arithmetic gives other tokens than that of other engines.
+    /// It generates other tokens than the other engines for the same prompt.
     pub(super) varies: bool,
-    /// The fence of the last order that it obeyed, as the sender truly stood.
+    /// The greatest position that the sender of an executed order really had, regardless of the
+    /// fence in the order.
     newest_executed_order: (u64, u64),
+    /// Calls that receive the tokens of each running request.
     readers: BTreeMap<RequestId, Vec<u64>>,
+    /// Digests of the requests' prompts, from which tokens are derived.
     digests: BTreeMap<RequestId, u64>,
 }
 
@@ -56,13 +62,13 @@
     pub(super) exchange: u64,
     pub(super) router: usize,
     pub(super) engine: usize,
-    /// 0 until the request has arrived.
+    /// Start of the engine that received the request; 0 until it has arrived.
     engine_generation: u64,
     head_sent: bool,
     broken: bool,
 }
 
-/// What arrives at a router over a connection.
+/// Data or an end that arrives at a router over a connection to an engine.
 #[derive(Clone, Debug)]
 pub(super) enum CallEvent {
     Head(UpstreamHead),
@@ -162,7 +168,7 @@
         Ok(core.probe(now))
     }
 
-    /// Opens a connection for an exchange.
+    /// Opens a connection to the assigned engine and sends the request.
     pub(super) fn open_call(&mut self, exchange: u64, router: usize, call: UpstreamCall) {
         let assignment = match &call {
             UpstreamCall::Start(assignment) | UpstreamCall::Resume { assignment, .. } => assignment,
@@ -191,7 +197,8 @@
         let mut delay = self.network.delay(nodes.0, nodes.1, &mut self.random) * 3;
         let late = self.late_requests.until > self.now;
         if late && self.random.random::<f64>() < 0.3 {
-            // The connection itself is held up: it may meet the engine's next start.
+            // The connection attempt itself is delayed, so the request may reach the next start of
+            // the engine.
             delay += self.late_requests.by;
         } else if self.engines[engine].core.is_none() {
             let end = CallEvent::End(UpstreamEnd::NotConnected);
@@ -201,7 +208,7 @@
         self.events.schedule(at, Event::EngineReceives { id, call });
     }
 
-    /// A request reaches its engine.
+    /// Handles a request that reaches its engine. A frozen engine receives it when it resumes.
     pub(super) fn engine_receives(&mut self, id: u64, call: UpstreamCall) {
         let Some(known) = self.calls.get(&id) else {
             return;
@@ -255,7 +262,7 @@
                 self.send_call_event(id, CallEvent::Head(head), Duration::ZERO);
             }
         }
-        self.settle_engine(engine);
+        self.update_engine(engine);
     }
 
     fn engine_request(&self, id: u64, assignment: &Assignment) -> Option<EngineRequest> {
@@ -272,11 +279,12 @@
             chain: chain.hashes().to_vec(),
             max_tokens: caller_request.workload_request.output_tokens,
             tenant: caller_request.workload_request.tenant as u64 + 1,
-            once: caller_request.once.clone(),
+            once: caller_request.idempotency_key.clone(),
         })
     }
 
-    /// A leaving engine got work. That counts when the router had every means to know better.
+    /// Checks a request that an engine accepted while it leaves. This is a violation if the router
+    /// was healthy for long enough to learn of it and requests are not being delayed.
     fn check_leaving(&mut self, engine: usize, router: usize, assignment: &Assignment) {
         let limit = LEAVING_LIMIT;
         let Some(since) = self.engines[engine].leaving_since else {
@@ -362,10 +370,10 @@
             let detail = format!("engine {engine} obeyed {sender_position:?} after {before:?}");
             self.fail(Invariant::OrderFenced, detail);
         }
-        self.settle_engine(engine);
+        self.update_engine(engine);
     }
 
-    /// Lets every engine that is due produce its tokens.
+    /// Advances every engine that has an event due.
     pub(super) fn advance_engines(&mut self) {
         for engine in 0..self.engines.len() {
             let due = self.engines[engine]
@@ -392,11 +400,12 @@
                 self.engines[engine].readers.remove(&output.id);
             }
         }
-        self.settle_engine(engine);
+        self.update_engine(engine);
     }
 
-    /// Books what an engine did, and lets it load when it wants to.
-    fn settle_engine(&mut self, engine: usize) {
+    /// Passes an engine's executions and violations to the checkers, and starts loading weights if
+    /// the engine is ready to.
+    fn update_engine(&mut self, engine: usize) {
         let now = self.now;
         let Some(core) = self.engines[engine].core.as_mut() else {
             return;
@@ -476,7 +485,8 @@
         }
     }
 
-    /// Sends something over a connection, behind what was sent before.
+    /// Sends data over a connection, ordered after what was sent before. A cut breaks the
+    /// connection for good.
     fn send_call_event(&mut self, id: u64, call_event: CallEvent, extra: Duration) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -508,7 +518,7 @@
         caller_request.map_or(0, |caller_request| caller_request.digest)
     }
 
-    /// A cancelled request, told to the engine that has it.
+    /// Cancels a request at the engine that it is assigned to.
     pub(super) fn cancel_at_engine(&mut self, assignment: &Assignment) {
         if let Some(engine) = self.engine_named(&assignment.engine) {
             if let Some(core) = self.engines[engine].core.as_mut() {
@@ -518,7 +528,8 @@
     }
 }
 
-/// The tokens of an engine that varies are those of weights that nobody has.
+/// The weights version from which tokens are derived. For an engine that varies this is one that no
+/// engine loads, so its tokens differ from those of the other engines.
 fn apparent_version(host: &EngineHost, output: &EngineOutput) -> WeightsVersion {
     const VARIATION: u64 = 2;
     let version = output.weights_version.0;
@@ -529,7 +540,7 @@
     })
 }
 
-/// The caller's key of a number.
+/// The idempotency key of the caller request with this number.
 pub(super) fn idempotency_key_of(number: u64) -> IdempotencyKey {
     IdempotencyKey::new(format!("once-{number}"))
 }
--- a/crates/testbed/src/sim/faults.rs
+++ b/crates/testbed/src/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out what a plan says goes wrong.
+//! Applies the faults of a plan to the simulated cluster.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use super::plan::Fault;
 use crate::sim::controls::ExtraDelay;
 
-/// A machine that leaves is taken away this long after the platform says so.
+/// Time between the platform's announcement that a machine leaves and its removal.
 const REMOVAL_DELAY: Duration = Duration::from_secs(9);
 
-/// A machine that still works when it is to be taken away gets this much more time.
+/// Retry interval for removing a machine that still has open requests.
 const REMOVAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl SimCluster {
@@ -23,7 +23,7 @@
         match fault {
             Fault::EngineCrash { engine, away } => {
                 self.crash_engine(engine);
-                self.later(away, Event::StartEngine(engine));
+                self.schedule_after(away, Event::StartEngine(engine));
             }
             Fault::EngineSlow { engine, factor } => self.slow_engine(engine, factor),
             Fault::EngineFreeze { engine, lasting } => {
@@ -38,12 +38,12 @@
             }
             Fault::RouterCrash { router, away } => {
                 self.crash_router(router);
-                self.later(away, Event::StartRouter(router));
+                self.schedule_after(away, Event::StartRouter(router));
             }
             Fault::RouterStop { router } => self.stop_router(router),
             Fault::ControlCrash { control, away } => {
                 self.crash_control(control);
-                self.later(away, Event::StartControl(control, false));
+                self.schedule_after(away, Event::StartControl(control, false));
             }
             Fault::ControlReplaced { control } => self.replace_control(control),
             Fault::ControlWiped { control } => self.wipe_control(control),
@@ -84,7 +84,7 @@
         }
     }
 
-    fn later(&mut self, after: Duration, event: Event) {
+    fn schedule_after(&mut self, after: Duration, event: Event) {
         self.events.schedule(self.now.plus(after), event);
     }
 
@@ -107,20 +107,21 @@
         let now = Duration::from_micros(self.now.0);
         let name = self.engines[engine].name.clone();
         self.platform.leave(&name, now);
-        // The first sign is the list, and the list lags by a second.
+        // Control machines can learn of it from the platform's list at the earliest, which lags by
+        // one second.
         let shown = self.now.plus(Duration::from_secs(1));
         self.engines[engine].leaving_since.get_or_insert(shown);
-        self.later(REMOVAL_DELAY, Event::RemoveEngine(engine));
+        self.schedule_after(REMOVAL_DELAY, Event::RemoveEngine(engine));
     }
 
-    /// The platform takes a machine away once it has nothing more to do.
+    /// Removes a machine that leaves from the platform as soon as it has no open requests.
     pub(super) fn remove_engine(&mut self, engine: usize) {
         let idle = self.engines[engine]
             .core
             .as_ref()
             .is_none_or(|core| core.open() == 0);
         if !idle {
-            return self.later(REMOVAL_RETRY_INTERVAL, Event::RemoveEngine(engine));
+            return self.schedule_after(REMOVAL_RETRY_INTERVAL, Event::RemoveEngine(engine));
         }
         let now = Duration::from_micros(self.now.0);
         let name = self.engines[engine].name.clone();
@@ -165,7 +166,8 @@
         routers.chain(controls).chain(engines).collect()
     }
 
-    /// A router is well while it is linked to a control machine that reaches a majority.
+    /// Records which routers are degraded now. A router is healthy while it is not stopping and is
+    /// linked to a control machine that reaches a majority, and a majority of them does.
     pub(super) fn update_degraded_routers(&mut self) {
         let majority = self.controls.len() / 2 + 1;
         let reaches_majority: Vec<bool> = (0..self.controls.len())
@@ -192,7 +194,8 @@
         }
     }
 
-    /// Control machines that run and hear this one, itself included.
+    /// Number of running control machines that this one can exchange messages with, itself
+    /// included; 0 if it does not run.
     fn reachable_from(&self, control: usize) -> usize {
         let runs = |host: usize| self.controls[host].actor.is_some();
         if !runs(control) {
--- a/crates/testbed/src/sim/mod.rs
+++ b/crates/testbed/src/sim/mod.rs
@@ -1,9 +1,11 @@
-//! The whole fleet on one virtual clock.
+//! Deterministic simulation of a whole fleet on one virtual clock.
 //!
-//! Routers and control machines are the product's own actors on one `stakker`; requests are
-//! carried by the product's exchanges. Around them are engines, a platform, callers, operators,
-//! a network and disks that fail as a plan says. One seed decides everything. Checkers judge by
-//! what callers, engines and operators saw, never by the product's own books.
+//! Routers and control machines are the production actors, run on one `stakker` executor, and
+//! requests go through the production `Exchange`. Engines, the platform, callers, operators, the
+//! network and disks are simulated and fail as the plan specifies. The seed determines the whole
+//! run. Checkers judge by what callers, engines and operators observe; of the production code's
+//! state they read only the revision that a router applies, and the term and revision of a control
+//! machine that sends orders.
 
 mod callers;
 mod checks;
--- a/crates/testbed/src/sim/network.rs
+++ b/crates/testbed/src/sim/network.rs
@@ -1,4 +1,4 @@
-//! A network with delays, losses and cuts, and the queue of what is to happen.
+//! Simulated network with delays, losses and cuts, and the queue of scheduled events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// A process or machine.
+/// A process on the network, by its index within its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Node {
     Router(usize),
@@ -27,20 +27,21 @@
 const OTHER_ZONE: Duration = Duration::from_micros(700);
 const JITTER_US: u64 = 400;
 
-/// What may be lost among control machines, which tolerate it.
+/// A probability that applies until a time; as `Network::loss`, that of losing, duplicating or
+/// delaying a message between control machines, whose protocol tolerates it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Loss {
     pub(super) chance: f64,
     pub(super) until: Timestamp,
 }
 
-/// Delays and cuts.
+/// Link state between nodes: cuts, losses and the order of deliveries.
 #[derive(Debug)]
 pub(super) struct Network {
     zones: usize,
     cuts: BTreeMap<(Node, Node), Timestamp>,
     pub(super) loss: Loss,
-    /// The time of the last delivery on each ordered channel.
+    /// Time of the last scheduled delivery on each ordered channel (sender, receiver, channel id).
     channels: BTreeMap<(Node, Node, u64), Timestamp>,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Loses everything from one node to another until a time.
+    /// Drops all messages from one node to another until the given time.
     pub(super) fn cut(&mut self, from: Node, to: Node, until: Timestamp) {
         let end = self.cuts.entry((from, to)).or_insert(until);
         *end = (*end).max(until);
@@ -64,7 +65,7 @@
         self.cuts.get(&(from, to)).is_some_and(|until| *until > now)
     }
 
-    /// True when either direction is cut.
+    /// Whether at least one direction between two nodes is cut.
     pub(super) fn is_cut_either_way(&self, a: Node, b: Node, now: Timestamp) -> bool {
         self.is_cut(a, b, now) || self.is_cut(b, a, now)
     }
@@ -78,7 +79,8 @@
         base + Duration::from_micros(random.random_range(0..JITTER_US))
     }
 
-    /// The time at which a message on an ordered channel arrives: never before an earlier one.
+    /// Arrival time of a message on an ordered channel: at `earliest`, but after every message sent
+    /// on the channel before.
     pub(super) fn ordered_arrival(
         &mut self,
         channel: (Node, Node, u64),
@@ -95,7 +97,7 @@
     }
 }
 
-/// Things that will happen, by time and then in the order in which they were scheduled.
+/// Scheduled events, ordered by time and, at equal times, by the order of scheduling.
 #[derive(Debug)]
 pub(super) struct EventQueue<E> {
     next: u64,
@@ -119,7 +121,7 @@
         self.events.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// The next event that is due.
+    /// Removes and returns the next event if it is due.
     pub(super) fn pop_due(&mut self, now: Timestamp) -> Option<E> {
         if self.next_at()? > now {
             return None;
--- a/crates/testbed/src/sim/operators.rs
+++ b/crates/testbed/src/sim/operators.rs
@@ -1,4 +1,5 @@
-//! Operators of the simulated fleet: they race, resend, and read back what was accepted.
+//! Operators of the simulated fleet: they make concurrent changes, resend them, and read the
+//! resulting configuration.
 
 use std::time::Duration;
 
@@ -16,33 +17,37 @@
 use super::cluster::{Event, SimCluster};
 use super::engines::{BLOCK_TOKENS, MODEL, POOL};
 
+/// Time after which an operator repeats a request that got no reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Delay before an operator repeats a request that was answered with "unavailable".
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Accepted changes that are sent once more, as if the answer had been lost.
+/// Fraction of accepted changes that are sent once more, as if the reply had been lost.
 const RESEND_PROBABILITY: f64 = 0.3;
 
-/// Who waits for a control machine's answer.
+/// The operation or replacement, by index, that a control machine's reply belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplyTarget {
     Operation(usize),
     Replacement(usize),
 }
 
-/// What an operator wants to have written.
+/// A configuration change that an operator wants to make.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum DesiredChange {
-    /// Write this, if nothing is there yet.
+    /// Create a resource of this name, unless it exists.
     Setup(String, ResourceSpec),
-    /// A class that nobody uses, with a new number in it.
+    /// Overwrite a priority class that no request uses, with this number in its deadline, to create
+    /// changes that have no other effect.
     Pump(u64),
-    /// One more engine gets nothing new.
+    /// Drain one more engine of the pool.
     Drain(EngineName),
-    /// A rollout in this state.
+    /// Set the rollout to this state.
     Rollout(RolloutState),
 }
 
 #[derive(Clone, Debug, PartialEq)]
+/// The step of an operation that waits for a reply.
 enum Stage {
     Reading {
         newest: u64,
@@ -57,12 +62,14 @@
     Done,
 }
 
-/// One operator's work on one wish.
+/// Progress of one desired change of one operator.
 #[derive(Clone, Debug)]
 pub(super) struct Operation {
     desired: DesiredChange,
+    /// Source of the change id; retries of one write keep it.
     change: u64,
     stage: Stage,
+    /// Counts requests and replies, so that outdated timeouts are recognized.
     sent: u64,
     spec: Option<ResourceSpec>,
 }
@@ -81,7 +88,7 @@
         }
     }
 
-    /// What to write over what is there; `None` when nothing needs to be.
+    /// The spec to write in place of the current one; `None` if no write is needed.
     fn spec(&self, current: Option<&ResourceSpec>) -> Option<ResourceSpec> {
         match self {
             DesiredChange::Setup(_, spec) => current.is_none().then(|| spec.clone()),
@@ -109,7 +116,7 @@
 }
 
 impl SimCluster {
-    /// Writes what the fleet needs to serve.
+    /// Writes the model, pool and tenants that the fleet needs to serve requests.
     pub(super) fn set_up(&mut self) {
         let model = ResourceSpec::Model(ModelSpec {
             weights_version: WeightsVersion(1),
@@ -133,23 +140,23 @@
         }
     }
 
-    /// Two operators change the same thing at the same time; another pair follows.
-    pub(super) fn race(&mut self) {
+    /// Starts two concurrent changes of the same resource, and schedules the next pair.
+    pub(super) fn start_concurrent_changes(&mut self) {
         let rate = self.plan.changes_per_second;
-        // The last changes get the time to come into force before the run ends.
-        let settled = self.now.plus(IN_FORCE_LIMIT) < self.plan.ends_at;
-        if rate <= 0.0 || !settled {
+        // No changes start near the end, so that the last ones can come into force before it.
+        let in_time = self.now.plus(IN_FORCE_LIMIT) < self.plan.ends_at;
+        if rate <= 0.0 || !in_time {
             return;
         }
         let gap: f64 = self.random.random_range(0.5..1.5);
         let at = self.now.plus(Duration::from_secs_f64(gap / rate));
-        self.events.schedule(at, Event::Race);
+        self.events.schedule(at, Event::ConcurrentChanges);
         let number = self.operations.len() as u64;
         self.start_operation(DesiredChange::Pump(number));
         self.start_operation(DesiredChange::Pump(number + 1));
     }
 
-    /// An operator sets to work.
+    /// Starts an operation for a desired change: reads the resource, then writes it.
     pub(super) fn start_operation(&mut self, desired: DesiredChange) {
         let change = self.random_u64();
         self.operations.push(Operation {
@@ -170,7 +177,7 @@
         self.send(index, request);
     }
 
-    /// Sends the operation's request to some control machine, and watches for the answer.
+    /// Sends the operation's request to a random control machine, and schedules a timeout.
     fn send(&mut self, index: usize, request: OperatorRequest) {
         let control = self.random.random_range(0..self.controls.len());
         let operation = &mut self.operations[index];
@@ -217,7 +224,7 @@
         }
     }
 
-    /// No answer came: the same is asked again, of another machine.
+    /// Repeats the request at a random control machine if it has had no reply.
     pub(super) fn on_operator_timeout(&mut self, index: usize, sent: u64) {
         if self.operations[index].sent == sent {
             self.retry_operation(index);
@@ -300,7 +307,8 @@
                     self.operations[index].stage = Stage::Done;
                 }
             }
-            // Another operator was first; what it wrote is read, and the wish is put on top.
+            // Another operator changed the resource first. The operation reads the new version and
+            // applies its change to that; a `Pump` is not repeated.
             ChangeOutcome::Conflict { .. } => {
                 let change = self.random_u64();
                 self.operations[index].change = change;
@@ -355,7 +363,7 @@
         self.write(index, expected);
     }
 
-    /// Every router that has been well for long enough applies the revision by now.
+    /// Checks that every router that has been healthy for [`IN_FORCE_LIMIT`] applies the revision.
     pub(super) fn check_in_force(&mut self, revision: u64) {
         for router in 0..self.routers.len() {
             let healthy_for = self.now.since(self.routers[router].degraded_at);
@@ -372,7 +380,7 @@
         }
     }
 
-    /// At the end every router applies the newest revision.
+    /// Checks at the end that every router runs and applies the newest accepted revision.
     pub(super) fn check_converged(&mut self) {
         let newest = self.checks.newest_accepted();
         for router in 0..self.routers.len() {
@@ -395,5 +403,5 @@
     }
 }
 
-/// The time of an order's truth, for the checkers: the sender's term and revision.
+/// Term and revision of the control machine that sends an order, compared in this order.
 pub(super) type SenderPosition = (u64, u64);
--- a/crates/testbed/src/sim/plan.rs
+++ b/crates/testbed/src/sim/plan.rs
@@ -1,4 +1,4 @@
-//! What a simulated run consists of.
+//! The plan of a simulated run: fleet size, workload and faults.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,157 +7,162 @@
 
 use crate::workload::{Level, WorkloadParams};
 
-/// Something that goes wrong, or that somebody does.
+/// A failure, or an action of an operator or the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// An engine crashes and comes back empty after a while.
+    /// An engine crashes and restarts with an empty cache.
     EngineCrash {
-        /// Which.
+        /// Index of the engine.
         engine: usize,
-        /// For how long it is away.
+        /// Time until it restarts.
         away: Duration,
     },
-    /// An engine does everything this many times slower, until it is healed.
+    /// All operations of an engine take `factor` times as long until another fault of this kind
+    /// resets the factor.
     EngineSlow {
-        /// Which.
+        /// Index of the engine.
         engine: usize,
-        /// How much slower.
+        /// Multiplier of all its times; 1 is normal speed.
         factor: f64,
     },
-    /// An engine stands still, connections open, for a while.
+    /// An engine makes no progress while its connections stay open.
     EngineFreeze {
-        /// Which.
+        /// Index of the engine.
         engine: usize,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// The platform will take an engine away; the list shows it with its lag.
+    /// The platform announces that it will remove an engine; its list shows this after the list's
+    /// lag.
     EngineLeaves {
-        /// Which.
+        /// Index of the engine.
         engine: usize,
     },
-    /// From now on an engine's arithmetic gives other tokens than that of the others, as other
-    /// hardware may.
+    /// From now on an engine generates other tokens than the others for the same prompt, as
+    /// different hardware may.
     EngineVaries {
-        /// Which.
+        /// Index of the engine.
         engine: usize,
     },
-    /// A router hears and reaches no control machine.
+    /// A router is cut off from all control machines in both directions.
     RouterIsolated {
-        /// Which.
+        /// Index of the router.
         router: usize,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
     /// An operator drains an engine.
     EngineDrained {
-        /// Which.
+        /// Index of the engine.
         engine: usize,
     },
     /// A router crashes and restarts.
     RouterCrash {
-        /// Which.
+        /// Index of the router.
         router: usize,
-        /// For how long it is away.
+        /// Time until it restarts.
         away: Duration,
     },
-    /// A router is told to stop, and is started again once it has.
+    /// A router is asked to stop gracefully and is started again after it has stopped.
     RouterStop {
-        /// Which.
+        /// Index of the router.
         router: usize,
     },
-    /// A control machine crashes, losing what was not synced, and restarts.
+    /// A control machine crashes, loses writes that were not synced, and restarts.
     ControlCrash {
-        /// Which.
+        /// Index of the control machine.
         control: usize,
-        /// For how long it is away.
+        /// Time until it restarts.
         away: Duration,
     },
-    /// A control machine loses its disk and is replaced under a new number, step by step.
+    /// A control machine loses its disk and is replaced under a new replica number by a sequence of
+    /// membership changes.
     ControlReplaced {
-        /// Which.
+        /// Index of the control machine.
         control: usize,
     },
-    /// A control machine loses its disk and comes back with an empty one under its old number,
-    /// as nobody should do.
+    /// A control machine loses its disk and restarts with an empty one under its old replica
+    /// number, an operating error.
     ControlWiped {
-        /// Which.
+        /// Index of the control machine.
         control: usize,
     },
-    /// All control machines come back from copies of their disks that were taken at the start of
-    /// the run's faults.
+    /// All control machines restart from copies of their disks that were taken at the end of
+    /// the warm-up.
     ControlsRestored,
-    /// A control machine hears and reaches no other control machine; routers and engines still
-    /// reach it.
+    /// A control machine is cut off from the other control machines in both directions; routers and
+    /// engines can still reach it.
     ControlIsolated {
-        /// Which.
+        /// Index of the control machine.
         control: usize,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// A zone is cut off from the others.
+    /// All nodes of a zone are cut off from the nodes of other zones.
     ZoneCut {
-        /// Which.
+        /// Index of the zone.
         zone: usize,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// One direction between a control machine and another fails.
+    /// Messages from one control machine to another are lost; the other direction works.
     OneWayCut {
         /// The sender whose messages are lost.
         from: usize,
         /// The receiver.
         to: usize,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// Messages among control machines are lost, doubled and reordered this often.
+    /// Messages between control machines are lost, duplicated and delayed, each with this
+    /// probability.
     LossyNetwork {
-        /// The chance.
+        /// Probability, from 0 to 1.
         chance: f64,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// Connections between routers and engines break this often at each event.
+    /// A connection between a router and an engine breaks with this probability at each stream
+    /// event.
     FlakyStreams {
-        /// The chance.
+        /// Probability, from 0 to 1.
         chance: f64,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// Events within streams are skipped or arrive twice this often.
+    /// A stream event is skipped with this probability, and duplicated with the same.
     DisorderedStreams {
-        /// The chance.
+        /// Probability, from 0 to 1.
         chance: f64,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// Requests on their way to an engine are held and arrive late.
+    /// Some requests are delayed on their way to an engine.
     LateRequests {
-        /// How late.
+        /// Additional delay.
         by: Duration,
-        /// For how long this goes on.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// Orders on their way to engines are held and arrive late.
+    /// Control machines' orders are delayed on their way to engines.
     LateOrders {
-        /// How late.
+        /// Additional delay.
         by: Duration,
-        /// For how long this goes on.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// Callers ask this many times more often.
+    /// Callers send requests at `factor` times the normal rate.
     Surge {
-        /// How much.
+        /// Multiplier of the request rate.
         factor: f64,
-        /// For how long.
+        /// Duration of the fault.
         lasting: Duration,
     },
-    /// Other prefixes are hot from now on.
+    /// From now on other prompt prefixes are the most requested ones.
     HotShift,
-    /// An operator starts a rollout to the next version.
+    /// An operator starts a rollout to the next weights version.
     RolloutStarts,
-    /// An operator rolls it back.
+    /// An operator rolls the rollout back.
     RolloutRollsBack,
 }
 
@@ -167,53 +172,54 @@
     }
 }
 
-/// A fault and its time.
+/// A fault scheduled at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedFault {
-    /// When, since the start of the run.
+    /// Time since the start of the run.
     pub at: Timestamp,
-    /// What.
+    /// The fault to apply.
     pub fault: Fault,
 }
 
-/// A simulated run.
+/// Parameters of a simulated run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Control machines.
+    /// Number of control machines.
     pub controls: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Zones; everything is spread over them in turn.
+    /// Number of zones; nodes of each kind are assigned to them round-robin.
     pub zones: usize,
-    /// Requests a second.
+    /// Mean rate of requests from callers.
     pub requests_per_second: f64,
-    /// What callers ask.
+    /// Tenants, prompts and lengths of the callers' requests.
     pub workload: WorkloadParams,
-    /// Changes of configuration a second that operators race for.
+    /// Rate of configuration changes that pairs of operators submit concurrently.
     pub changes_per_second: f64,
-    /// Blocks an engine holds.
+    /// Cache capacity of an engine, in blocks.
     pub cache_blocks: usize,
-    /// What goes wrong.
+    /// Faults by time.
     pub faults: Vec<TimedFault>,
-    /// When the last fault has healed.
+    /// Time by which the last fault has ended.
     pub healed_at: Timestamp,
-    /// When the run ends. From some seconds after the last fault on, the fleet has to serve.
+    /// Time at which the run ends. The fleet has to serve normally from 20 s after
+    /// `healed_at` on (`RECOVERY`).
     pub ends_at: Timestamp,
 }
 
-/// Seconds of the run before anything goes wrong.
+/// Start of the run, without faults.
 pub const WARM_UP: Duration = Duration::from_secs(4);
 
-/// The fleet has to serve normally this long after the last fault has healed.
+/// Time after the end of the last fault by which the fleet has to serve normally again.
 pub const RECOVERY: Duration = Duration::from_secs(20);
 
-/// Seconds of the run in which it must.
+/// Final part of the run, in which the fleet has to serve normally.
 pub const STEADY_PERIOD: Duration = Duration::from_secs(8);
 
 impl Plan {
-    /// A fleet to which nothing happens for `fault_period`.
+    /// A plan without faults that reserves `fault_period` after the warm-up for faults to be added.
     pub fn quiet(fault_period: Duration) -> Self {
         let healed_at = Timestamp(0).plus(WARM_UP + fault_period);
         let level = |children, blocks| Level { children, blocks };
@@ -243,7 +249,7 @@
         }
     }
 
-    /// Adds a fault.
+    /// Adds a fault at a time after the warm-up.
     pub fn with(mut self, after_warm_up: Duration, fault: Fault) -> Self {
         let at = Timestamp(0).plus(WARM_UP + after_warm_up);
         self.faults.push(TimedFault { at, fault });
--- a/crates/testbed/src/sim/routers.rs
+++ b/crates/testbed/src/sim/routers.rs
@@ -17,26 +17,29 @@
 use super::cluster::{Event, Output, SimCluster};
 use super::network::Node;
 
-/// How long opening a link to a silent machine takes.
+/// Time until a connection attempt to an unreachable control machine fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A process that has crashed is noticed by its peers after this long.
+/// Time until a peer notices that a process has terminated.
 const RESET_DELAY: Duration = Duration::from_millis(1);
 
+/// Files that a router has stored; they survive its crashes.
 type Store = Rc<RefCell<BTreeMap<StoredFile, Vec<u8>>>>;
 
 pub(super) struct RouterHost {
     pub(super) actor: Option<ActorOwn<RouterActor>>,
     pub(super) generation: u64,
     pub(super) stopping: bool,
-    /// When it last was down, cut off or newly started; configuration needs time after that.
+    /// Last time at which it was down, cut off, stopping or just started; changes of configuration
+    /// need some time after that to reach it.
     pub(super) degraded_at: Timestamp,
-    /// Set at a restart, until its first request is placed.
+    /// Time of a restart, until the first request after it is placed.
     pub(super) restarted_at: Option<Timestamp>,
     store: Store,
 }
 
-/// A link as the network sees it.
+/// A connection between a router and a control machine, with the starts of both that it belongs
+/// to.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SimLink {
     pub(super) router: usize,
@@ -45,7 +48,8 @@
     pub(super) control: usize,
     pub(super) control_generation: u64,
     pub(super) connection: ConnectionId,
-    /// Something was lost on it; TCP will never deliver what follows.
+    /// A message was lost in a cut. Later messages are never delivered, as on a TCP connection, and
+    /// the next one that is sent outside a cut resets the link.
     pub(super) broken: bool,
 }
 
@@ -102,7 +106,7 @@
         self.note(format!("router {router} starts"));
     }
 
-    /// A router's process ends at once; all its connections break.
+    /// Terminates a router's process at once; all its connections break.
     pub(super) fn crash_router(&mut self, router: usize) {
         if self.routers[router].actor.take().is_none() {
             return;
@@ -122,7 +126,7 @@
         self.drop_exchanges_of(router);
     }
 
-    /// A router is told to stop, and ends when it says that it has finished.
+    /// Asks a router to stop gracefully; its process terminates when it reports that it has drained.
     pub(super) fn stop_router(&mut self, router: usize) {
         let outbox = Rc::clone(&self.outbox);
         let host = &mut self.routers[router];
@@ -141,7 +145,8 @@
         self.note(format!("router {router} is told to stop"));
     }
 
-    /// A stopping router has nothing left to do.
+    /// Handles a stopping router's report that it has drained: checks that it has no open requests,
+    /// and schedules its restart.
     pub(super) fn on_drained(&mut self, router: usize, generation: u64) {
         const RESTART: Duration = Duration::from_millis(500);
         let host = &self.routers[router];
@@ -216,7 +221,7 @@
             && control.generation == link.control_generation
     }
 
-    /// Both ends learn that a link is over.
+    /// Removes a link and closes it at both ends, unless they have restarted since.
     pub(super) fn reset_link(&mut self, id: u64) {
         let Some(link) = self.links.remove(&id) else {
             return;
@@ -324,7 +329,7 @@
         }
     }
 
-    /// What each router applies, for the checkers.
+    /// Passes the revision that each router applies to the checkers.
     pub(super) fn observe_routers(&mut self) {
         for router in 0..self.routers.len() {
             if let Some(floor) = self.applied_revision(router) {
--- a/crates/testbed/src/sim/scenario_control_plans.rs
+++ b/crates/testbed/src/sim/scenario_control_plans.rs
@@ -1,4 +1,4 @@
-//! Plans of scenarios that strike control machines: cuts, lost disks, restarts, races.
+//! Plans of the scenarios for control machines: cuts, lost disks, restarts, concurrent changes.
 
 use drumshore_core::Timestamp;
 
@@ -7,7 +7,7 @@
 
 pub(super) fn leader_cut_off(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(14));
-    // Two machines in turn, so that a leader is among them most of the time.
+    // Isolates two machines one after the other, so that one of them is likely to be the leader.
     let first = sampler.control();
     for (number, control) in [first, (first + 1) % 3].into_iter().enumerate() {
         let lasting = sampler.millis(3_000, 5_500);
@@ -70,7 +70,8 @@
     let first = sampler.control();
     let other = (first + 1 + sampler.below(2)) % 3;
     let lasting = sampler.millis(2_000, 4_000);
-    // The machine that knows what was committed is cut off when the forgetful one returns.
+    // `other`, which has the committed entries, is isolated while `first` returns with an empty
+    // disk.
     let mut plan = Plan::quiet(seconds(14));
     for round in 0..2 {
         let at = seconds(6 * round) + sampler.millis(0, 500);
@@ -82,7 +83,8 @@
             .with(at, isolated)
             .with(at + seconds(1), Fault::ControlWiped { control: first });
     }
-    // Nothing brings the forgotten number back, so its machine is replaced as the page says.
+    // A replica number whose disk was lost is never usable again, so the machine is replaced under
+    // a new number, as the operating instructions require.
     let mut plan = plan.with(seconds(12), Fault::ControlReplaced { control: first });
     plan.healed_at = Timestamp(0).plus(WARM_UP + seconds(20));
     plan.ends_at = plan.healed_at.plus(RECOVERY + STEADY_PERIOD);
--- a/crates/testbed/src/sim/scenario_plans.rs
+++ b/crates/testbed/src/sim/scenario_plans.rs
@@ -1,4 +1,4 @@
-//! What each scenario does to the fleet: its plan, with details drawn from the seed.
+//! Plans of the scenarios, with details sampled from the seed.
 
 use std::time::Duration;
 
@@ -9,40 +9,40 @@
 
 use super::plan::{Fault, Plan, TimedFault};
 
-/// Draws the details of a plan.
+/// Samples the details of a plan.
 pub(super) struct Sampler {
     random: ChaCha8Rng,
 }
 
 impl Sampler {
-    /// The details that a seed gives.
+    /// Creates a sampler whose values are determined by the seed.
     pub fn new(seed: u64) -> Self {
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// A number below the limit.
+    /// A number from 0 to below `limit`.
     pub fn below(&mut self, limit: usize) -> usize {
         self.random.random_range(0..limit)
     }
 
-    /// A time within the bounds, both included.
+    /// A duration in milliseconds, both bounds included.
     pub fn millis(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_millis(self.random.random_range(from..=to))
     }
 
-    /// One of the engines.
+    /// Index of one of the 6 engines of [`Plan::quiet`].
     pub fn engine(&mut self) -> usize {
         self.below(6)
     }
 
-    /// One of the routers.
+    /// Index of one of its 3 routers.
     pub fn router(&mut self) -> usize {
         self.below(3)
     }
 
-    /// One of the control machines.
+    /// Index of one of its 3 control machines.
     pub fn control(&mut self) -> usize {
         self.below(3)
     }
@@ -121,7 +121,7 @@
         let away = sampler.millis(20, 500);
         plan = plan.with(at, Fault::RouterCrash { router, away });
     }
-    // Sometimes there is nobody to ask when they return.
+    // In half of the seeds no control machine is running when the routers restart.
     if sampler.below(2) == 0 {
         for control in 0..3 {
             let away = sampler.millis(3_000, 5_000);
@@ -252,7 +252,7 @@
 pub(super) fn varying_engines(sampler: &mut Sampler) -> Plan {
     let mut plan = Plan::quiet(seconds(12));
     for engine in 0..3 {
-        // Before anybody asks: an engine does not change in the middle of an answer.
+        // Before callers start, because a real engine does not change in the middle of an answer.
         let at = Timestamp(0).plus(seconds(1));
         let fault = Fault::EngineVaries { engine };
         plan.faults.push(TimedFault { at, fault });
--- a/crates/testbed/src/sim/scenarios.rs
+++ b/crates/testbed/src/sim/scenarios.rs
@@ -1,4 +1,5 @@
-//! The failures of the brief, each as a scenario whose details follow from the seed.
+//! The failures that the fleet is required to survive, each as a scenario with details sampled
+//! from the seed.
 
 use drumshore_consensus_harness::{run_schedule, scripts, Violation};
 use drumshore_guard::Guard;
@@ -15,22 +16,22 @@
     slow_engine, storm, varying_engines, zone_cut, zone_lost, Sampler,
 };
 
-/// A failure of the brief.
+/// A named failure scenario.
 #[derive(Clone, Copy)]
 pub struct Scenario {
-    /// Its name on the command line.
+    /// The value of `--scenario` that selects it.
     pub name: &'static str,
-    /// What happens.
+    /// One-line description for `--list`.
     pub about: &'static str,
     kind: Kind,
 }
 
-/// What a scenario exercises.
+/// The system that a scenario exercises.
 #[derive(Clone, Copy)]
 enum Kind {
-    /// A whole fleet, under a plan.
+    /// A whole fleet, with a plan that is sampled from the seed.
     Fleet(fn(&mut Sampler) -> Plan),
-    /// The replicated log alone.
+    /// Only the replicated log, with a script that takes the seed.
     Log(fn(u64) -> Result<(), Violation>),
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl Scenario {
-    /// The plan of a seed; none when only the replicated log is exercised.
+    /// The plan for a seed; `None` if the scenario exercises only the replicated log.
     pub fn plan(&self, seed: u64) -> Option<Plan> {
         let mut sampler = Sampler::new(seed);
         match self.kind {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Runs a seed with one guard taken out, or none.
+    /// Runs the scenario with a seed, with the guard `without` disabled if there is one.
     pub fn run(&self, seed: u64, without: Option<Guard>) -> SimReport {
         match self.kind {
             Kind::Fleet(build) => {
@@ -61,16 +62,16 @@
         }
     }
 
-    /// A scenario by name.
+    /// Finds a scenario by its name.
     pub fn from_name(name: &str) -> Option<Self> {
         SCENARIOS.iter().find(|known| known.name == name).copied()
     }
 }
 
-/// Steps of a random schedule.
+/// Number of steps in a random schedule of the replicated log.
 const LOG_STEPS: usize = 6_000;
 
-/// All scenarios.
+/// All scenarios, in the order in which `all` runs them.
 pub const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "quiet",
--- a/crates/testbed/src/sim/shrink.rs
+++ b/crates/testbed/src/sim/shrink.rs
@@ -1,4 +1,4 @@
-//! Makes a failing plan smaller: leaves out faults as long as the same promise breaks.
+//! Reduces a failing plan: removes faults as long as the same invariant is violated.
 
 use drumshore_guard::Guard;
 
@@ -6,7 +6,7 @@
 use super::cluster::run;
 use super::plan::Plan;
 
-/// The plan without the faults that are not needed to break the promise.
+/// Removes, one after the other, faults without which the plan still violates the invariant.
 pub(super) fn shrink(plan: &Plan, seed: u64, without: Option<Guard>, invariant: Invariant) -> Plan {
     let breaks = |plan: &Plan| {
         let report = run(plan, seed, without);
--- a/crates/testbed/src/sim/trace.rs
+++ b/crates/testbed/src/sim/trace.rs
@@ -1,4 +1,4 @@
-//! What happened, as a hash for comparing runs and as the last lines for people.
+//! Trace of a run: a hash over all events for comparing runs, and the last lines as text.
 
 use std::collections::VecDeque;
 use std::fmt::Write;
@@ -6,10 +6,10 @@
 use drumshore_core::Timestamp;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Lines kept.
+/// Text lines that are retained; older ones are discarded.
 const MAX_LINES: usize = 60;
 
-/// The trace of one run.
+/// Hash, event count and last lines of one run.
 pub(super) struct Trace {
     hash: Xxh3,
     lines: VecDeque<String>,
@@ -25,11 +25,11 @@
         }
     }
 
-    /// Notes something that people want to read when a run fails.
+    /// Adds a line to the hash and to the lines that are shown when a run fails.
     pub(super) fn note(&mut self, at: Timestamp, line: impl AsRef<str>) {
         let mut text = String::new();
         let seconds = at.0 as f64 / 1e6;
-        // Writing into a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = write!(text, "{seconds:9.4} {}", line.as_ref());
         self.hash.update(text.as_bytes());
         self.events += 1;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Notes something for the hash only.
+    /// Adds an event to the hash only.
     pub(super) fn mark(&mut self, at: Timestamp, kind: &str, number: u64) {
         self.hash.update(&at.0.to_le_bytes());
         self.hash.update(kind.as_bytes());
