--- a/crates/testbed/src/sim/callers.rs
+++ b/crates/testbed/src/sim/callers.rs
@@ -413,7 +413,7 @@
         });
         if !correct {
             let detail = format!(
-                "ask {} got {} of {expected} tokens, or not its own",
+                "caller request {} got {} of {expected} tokens, or tokens of another answer",
                 exchange.caller_request,
                 exchange.tokens.len()
             );
@@ -434,7 +434,7 @@
         });
         if !correct {
             let detail = format!(
-                "ask {} got a recorded answer that is not its own",
+                "caller request {} got a recorded answer that is not its own",
                 exchange.caller_request
             );
             self.fail(Invariant::OwnAnswer, detail);
@@ -455,7 +455,7 @@
         });
         if !correct {
             let detail = format!(
-                "ask {} got tokens that are not its own",
+                "caller request {} got tokens that are not its own",
                 exchange.caller_request
             );
             self.fail(Invariant::StreamOrder, detail);
@@ -493,7 +493,8 @@
             return;
         }
         if host.restarted_at.is_some() {
-            let detail = format!("router {router} placed nothing in {FIRST_PLACEMENT_LIMIT:?}");
+            let detail =
+                format!("router {router} placed no request within {FIRST_PLACEMENT_LIMIT:?}");
             self.fail(Invariant::ServesAfterRestart, detail);
         }
     }
@@ -517,7 +518,7 @@
         if !unanswered.is_empty() {
             let count = unanswered.len();
             let detail = format!(
-                "{count} asks of the calm unanswered, first {}",
+                "{count} caller requests of the steady period were not answered, the first is {}",
                 unanswered[0]
             );
             self.fail(Invariant::Recovery, detail);
@@ -529,7 +530,7 @@
         if !answered {
             self.fail(
                 Invariant::Recovery,
-                "nothing at all was answered in the calm",
+                "no caller request of the steady period was answered",
             );
         }
     }
--- a/crates/testbed/src/sim/checks.rs
+++ b/crates/testbed/src/sim/checks.rs
@@ -104,7 +104,7 @@
         let count = self.executions_by_key.entry(key.clone()).or_default();
         *count += 1;
         if *count > 1 {
-            let detail = format!("work with key {key} ran {count} times");
+            let detail = format!("request with idempotency key {key} ran {count} times");
             self.fail(Invariant::AtMostOnce, at, detail);
         }
     }
@@ -141,7 +141,9 @@
     ) {
         if let Some(other) = self.accepted.insert(revision, change.to_owned()) {
             if other != change {
-                let detail = format!("changes {other} and {change} both are revision {revision}");
+                let detail = format!(
+                    "changes {other} and {change} were both accepted as revision {revision}"
+                );
                 self.fail(Invariant::ConfigInForce, at, detail);
             }
         }
@@ -149,7 +151,7 @@
         if let Some(other) = self.accepted_from.insert(from, change.to_owned()) {
             if other != change {
                 let detail =
-                    format!("changes {other} and {change} were both accepted from {expected}");
+                    format!("changes {other} and {change} were both accepted with expected version {expected}");
                 self.fail(Invariant::ConfigInForce, at, detail);
             }
         }
--- a/crates/testbed/src/sim/cli.rs
+++ b/crates/testbed/src/sim/cli.rs
@@ -65,7 +65,8 @@
         SCENARIOS.to_vec()
     } else {
         let scenario = Scenario::from_name(&name);
-        vec![scenario.ok_or_else(|| LabError::Usage(format!("no scenario {name:?}")))?]
+        vec![scenario
+            .ok_or_else(|| LabError::Usage(format!("unknown scenario {name:?}; see --list")))?]
     };
     let without: Option<String> = arguments.opt_value_from_str("--without")?;
     let without = without
@@ -73,7 +74,7 @@
         .transpose()
         .map_err(|error| LabError::Usage(error.to_string()))?;
     if without.is_some() && !cfg!(feature = "guards") {
-        let message = "--without needs a build with --features guards; a normal one holds them all";
+        let message = "--without requires a build with --features guards; other builds cannot disable a guard";
         return Err(LabError::Usage(message.to_owned()));
     }
     let options = Options {
@@ -177,7 +178,7 @@
         return;
     };
     let smallest = shrink(&plan, run.seed, options.without, first.invariant);
-    println!("  faults that are needed:");
+    println!("  faults needed to reproduce the first failure:");
     for timed in &smallest.faults {
         println!("  {:9.4} {}", timed.at.0 as f64 / 1e6, timed.fault);
     }
--- a/crates/testbed/src/sim/controls.rs
+++ b/crates/testbed/src/sim/controls.rs
@@ -101,7 +101,7 @@
         let core = match opened {
             Ok(core) => core,
             Err(error) => {
-                return self.note(format!("control {control} does not start: {error}"));
+                return self.note(format!("control {control} cannot start: {error}"));
             }
         };
         host.generation += 1;
@@ -132,7 +132,7 @@
             return;
         }
         host.directory.crash(torn);
-        self.note(format!("control {control} ends"));
+        self.note(format!("control {control} terminates"));
         let at = self.now.plus(Duration::from_millis(1));
         let ended: Vec<u64> = self
             .links
@@ -235,7 +235,7 @@
             replacement.step += 1;
             let (control, step) = (replacement.control, replacement.step);
             self.note(format!(
-                "replacement of control {control}: step {step} taken"
+                "replacement of control {control}: step {step} done"
             ));
         }
     }
--- a/crates/testbed/src/sim/engines.rs
+++ b/crates/testbed/src/sim/engines.rs
@@ -139,14 +139,14 @@
         if host.leaving_since.is_none() {
             self.platform.put(record, Duration::from_micros(self.now.0));
         }
-        self.note(format!("engine {engine} starts, empty"));
+        self.note(format!("engine {engine} starts with an empty cache"));
     }
 
     pub(super) fn crash_engine(&mut self, engine: usize) {
         if self.engines[engine].core.take().is_none() {
             return;
         }
-        self.note(format!("engine {engine} ends"));
+        self.note(format!("engine {engine} terminates"));
         let ended: Vec<u64> = self
             .calls
             .iter()
@@ -294,7 +294,7 @@
         let late = self.late_requests.until.plus(self.late_requests.by) > self.now;
         if self.now > since.plus(limit) && healthy && !late {
             let detail = format!(
-                "engine {engine} leaves since {:.1} s and got request {}",
+                "engine {engine} has been leaving since {:.1} s and accepted request {}",
                 since.0 as f64 / 1e6,
                 assignment.request
             );
@@ -364,10 +364,10 @@
         host.newest_executed_order = before.max(sender_position);
         let version = order.weights_version;
         self.note(format!(
-            "engine {engine} is ordered to load version {version}"
+            "engine {engine} executes an order to load weights version {version}"
         ));
         if sender_position < before {
-            let detail = format!("engine {engine} obeyed {sender_position:?} after {before:?}");
+            let detail = format!("engine {engine} executed an order of term and revision {sender_position:?} after {before:?}");
             self.fail(Invariant::OrderFenced, detail);
         }
         self.update_engine(engine);
@@ -425,8 +425,12 @@
         for violation in violations {
             let detail = match violation {
                 Violation::OtherTenant(id) => format!("{id} used another tenant's block"),
-                Violation::OtherWeights(id) => format!("{id} used a block of other weights"),
-                Violation::OtherStart(id) => format!("{id} was meant for another start"),
+                Violation::OtherWeights(id) => {
+                    format!("{id} used a block computed with other weights")
+                }
+                Violation::OtherStart(id) => {
+                    format!("{id} was meant for another start of the engine")
+                }
             };
             self.fail(Invariant::CacheTrust, detail);
         }
--- a/crates/testbed/src/sim/operators.rs
+++ b/crates/testbed/src/sim/operators.rs
@@ -252,7 +252,9 @@
                     .spec(resource.as_ref().map(|resource| &resource.spec));
                 operation.spec.clone_from(&spec);
                 if version < newest && !self.restored {
-                    let detail = format!("version {version} was read after {newest} was accepted");
+                    let detail = format!(
+                        "a read returned version {version} after version {newest} was accepted"
+                    );
                     self.fail(Invariant::ConfigInForce, detail);
                 }
                 match spec {
@@ -266,7 +268,7 @@
             (Stage::Resending { first, .. }, OperatorReply::Change(outcome)) => {
                 self.operations[index].stage = Stage::Done;
                 if outcome != first && !self.restored {
-                    let detail = format!("a resent change gave {outcome:?} after {first:?}");
+                    let detail = format!("a resent change got {outcome:?} after {first:?}");
                     self.fail(Invariant::ConfigInForce, detail);
                 }
             }
@@ -320,7 +322,7 @@
                 }
             }
             ChangeOutcome::Invalid { message } => {
-                let detail = format!("a valid document was refused: {message}");
+                let detail = format!("a valid resource was refused as invalid: {message}");
                 self.operations[index].stage = Stage::Done;
                 self.fail(Invariant::ConfigInForce, detail);
             }
@@ -328,7 +330,7 @@
     }
 
     fn on_change_accepted(&mut self, desired: &DesiredChange, revision: Revision) {
-        self.note(format!("{desired:?} is accepted as revision {revision}"));
+        self.note(format!("{desired:?} was accepted as revision {revision}"));
         if let DesiredChange::Drain(engine) = desired {
             if let Some(engine) = self.engine_named(engine) {
                 self.engines[engine].leaving_since.get_or_insert(self.now);
@@ -374,7 +376,9 @@
                 continue;
             };
             if floor < revision {
-                let detail = format!("router {router} applies {floor}, {revision} was accepted");
+                let detail = format!(
+                    "router {router} applies revision {floor}, but {revision} was accepted"
+                );
                 self.fail(Invariant::ConfigInForce, detail);
             }
         }
@@ -387,11 +391,11 @@
             match self.applied_revision(router) {
                 Some(floor) if floor >= newest => {}
                 Some(floor) => {
-                    let detail = format!("router {router} ends with {floor}, newest is {newest}");
+                    let detail = format!("router {router} applies revision {floor} at the end, but the newest is {newest}");
                     self.fail(Invariant::ConfigInForce, detail);
                 }
                 None => {
-                    let detail = format!("router {router} does not run at the end");
+                    let detail = format!("router {router} is not running at the end");
                     self.fail(Invariant::Recovery, detail);
                 }
             }
--- a/crates/testbed/src/sim/routers.rs
+++ b/crates/testbed/src/sim/routers.rs
@@ -77,7 +77,7 @@
         let stored = match stored {
             Ok(stored) => stored,
             Err(error) => {
-                let detail = format!("router {router} cannot read its own files: {error}");
+                let detail = format!("router {router} cannot read its stored files: {error}");
                 return self.fail(Invariant::ServesAfterRestart, detail);
             }
         };
@@ -112,7 +112,7 @@
             return;
         }
         self.routers[router].degraded_at = self.now;
-        self.note(format!("router {router} ends"));
+        self.note(format!("router {router} terminates"));
         let at = self.now.plus(RESET_DELAY);
         let ended: Vec<u64> = self
             .links
@@ -142,7 +142,7 @@
             }
         });
         call!([actor], stop(drained));
-        self.note(format!("router {router} is told to stop"));
+        self.note(format!("router {router} is asked to stop"));
     }
 
     /// Handles a stopping router's report that it has drained: checks that it has no open requests,
--- a/crates/testbed/src/sim/scenarios.rs
+++ b/crates/testbed/src/sim/scenarios.rs
@@ -75,17 +75,17 @@
 pub const SCENARIOS: &[Scenario] = &[
     Scenario {
         name: "quiet",
-        about: "nothing goes wrong",
+        about: "no faults",
         kind: Kind::Fleet(|_| Plan::quiet(seconds(5))),
     },
     Scenario {
         name: "engine-crash",
-        about: "engines crash and come back empty, some at once and some later",
+        about: "engines crash and restart with empty caches, some sooner and some later",
         kind: Kind::Fleet(engine_crash),
     },
     Scenario {
         name: "late-requests",
-        about: "connections to engines are held up and meet the next start of an engine",
+        about: "connections to engines are delayed and reach the next start of an engine",
         kind: Kind::Fleet(late_requests),
     },
     Scenario {
@@ -105,22 +105,22 @@
     },
     Scenario {
         name: "router-herd",
-        about: "all routers crash at once and return together, while control is cut off or gone",
+        about: "all routers crash at once and restart together, in some seeds while no control machine runs",
         kind: Kind::Fleet(router_herd),
     },
     Scenario {
         name: "planned-stop",
-        about: "routers are told to stop, one after the other, and told again",
+        about: "routers are asked to stop one after the other, each of them twice",
         kind: Kind::Fleet(planned_stop),
     },
     Scenario {
         name: "hot-shift",
-        about: "other prefixes are hot from one moment to the next, in a small cache",
+        about: "the most requested prefixes change suddenly, with small caches",
         kind: Kind::Fleet(hot_shift),
     },
     Scenario {
         name: "leader-cut-off",
-        about: "a control machine is cut off from the others for long and does not know",
+        about: "control machines are isolated from the others for seconds without noticing it",
         kind: Kind::Fleet(leader_cut_off),
     },
     Scenario {
@@ -130,37 +130,37 @@
     },
     Scenario {
         name: "lossy-control",
-        about: "messages among control machines are lost, doubled and reordered",
+        about: "messages among control machines are lost, duplicated and reordered",
         kind: Kind::Fleet(lossy_control),
     },
     Scenario {
         name: "racing-operators",
-        about: "operators change the same thing at the same time and resend",
+        about: "operators change the same resource concurrently and resend changes",
         kind: Kind::Fleet(racing_operators),
     },
     Scenario {
         name: "second-machine-lost",
-        about: "a second control machine is lost right after the first one's repair",
+        about: "a second control machine is lost right after the first one is replaced",
         kind: Kind::Fleet(second_machine_lost),
     },
     Scenario {
         name: "wiped-disk",
-        about: "a control machine returns with an empty disk under its old number",
+        about: "a control machine restarts with an empty disk under its old replica number",
         kind: Kind::Fleet(wiped_disk),
     },
     Scenario {
         name: "restored-from-copy",
-        about: "all control machines are taken back to older copies of their disks",
+        about: "all control machines are restored from older copies of their disks",
         kind: Kind::Fleet(restored_from_copy),
     },
     Scenario {
         name: "control-restarts",
-        about: "control machines crash after many changes, also all at once",
+        about: "control machines crash after many changes, finally all of them at once",
         kind: Kind::Fleet(control_restarts),
     },
     Scenario {
         name: "leaving-engine",
-        about: "an engine leaves, by the platform's lagging list or by an operator's order",
+        about: "engines leave, one by the platform's lagging list and one by an operator's change",
         kind: Kind::Fleet(leaving_engine),
     },
     Scenario {
@@ -170,32 +170,32 @@
     },
     Scenario {
         name: "zone-lost",
-        about: "everything in a zone crashes at once",
+        about: "all processes of a zone crash at once",
         kind: Kind::Fleet(zone_lost),
     },
     Scenario {
         name: "overload",
-        about: "callers ask many times more than the engines can do",
+        about: "callers send many times more requests than the engines can serve",
         kind: Kind::Fleet(overload),
     },
     Scenario {
         name: "slow-engine",
-        about: "engines become slow, or stand still with connections open",
+        about: "an engine becomes slow, and another freezes with its connections open",
         kind: Kind::Fleet(slow_engine),
     },
     Scenario {
         name: "rollout",
-        about: "weights change engine by engine, and back, with orders that arrive late",
+        about: "weights are rolled out engine by engine and rolled back, with delayed orders",
         kind: Kind::Fleet(rollout),
     },
     Scenario {
         name: "rollout-cut-off",
-        about: "weights change while routers hear nothing of it",
+        about: "weights are rolled out while routers are cut off from control machines",
         kind: Kind::Fleet(rollout_cut_off),
     },
     Scenario {
         name: "varying-engines",
-        about: "engines whose arithmetic differs crash in the middle of answers",
+        about: "engines that generate different tokens crash in the middle of answers",
         kind: Kind::Fleet(varying_engines),
     },
     Scenario {
@@ -205,7 +205,7 @@
     },
     Scenario {
         name: "log-lost-disk",
-        about: "the replicated log: a replica returns with an empty disk under its old number",
+        about: "the replicated log: a replica restarts with an empty disk under its old number",
         kind: Kind::Log(scripts::lost_disk),
     },
     Scenario {
@@ -215,12 +215,12 @@
     },
     Scenario {
         name: "log-older-term",
-        about: "the replicated log: an entry of an older term is found on a majority",
+        about: "the replicated log: an entry of an older term is stored on a majority",
         kind: Kind::Log(scripts::old_term_is_counted),
     },
     Scenario {
         name: "storm",
-        about: "a random mix of everything",
+        about: "a random mix of faults",
         kind: Kind::Fleet(storm),
     },
 ];
