--- a/crates/testbed/src/sim/callers.rs
+++ b/crates/testbed/src/sim/callers.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    fn schedule_retry(&mut self, number: u64, pause: Duration) {
-        let at = self.now.plus(pause);
+    fn schedule_retry(&mut self, number: u64, delay: Duration) {
+        let at = self.now.plus(delay);
         self.events.schedule(at, Event::SendCallerRequest(number));
     }
 
@@ -365,8 +365,8 @@
             caller_request.done = true;
             return;
         }
-        let pause = verdict.retry_after.unwrap_or(RETRY_DELAY).max(RETRY_DELAY);
-        self.schedule_retry(exchange.caller_request, pause);
+        let delay = verdict.retry_after.unwrap_or(RETRY_DELAY).max(RETRY_DELAY);
+        self.schedule_retry(exchange.caller_request, delay);
     }
 
     /// Drops the exchanges of a router whose process has terminated; their callers retry.
--- a/crates/testbed/src/sim/checks.rs
+++ b/crates/testbed/src/sim/checks.rs
@@ -150,8 +150,9 @@
         let from = (name.to_owned(), expected);
         if let Some(other) = self.accepted_from.insert(from, change.to_owned()) {
             if other != change {
-                let detail =
-                    format!("changes {other} and {change} were both accepted with expected version {expected}");
+                let detail = format!(
+                    "changes {other} and {change} were both accepted at version {expected}"
+                );
                 self.fail(Invariant::ConfigInForce, at, detail);
             }
         }
--- a/crates/testbed/src/sim/cli.rs
+++ b/crates/testbed/src/sim/cli.rs
@@ -74,7 +74,8 @@
         .transpose()
         .map_err(|error| LabError::Usage(error.to_string()))?;
     if without.is_some() && !cfg!(feature = "guards") {
-        let message = "--without requires a build with --features guards; other builds cannot disable a guard";
+        let message =
+            "--without requires a build with --features guards; others cannot disable any";
         return Err(LabError::Usage(message.to_owned()));
     }
     let options = Options {
--- a/crates/testbed/src/sim/cluster.rs
+++ b/crates/testbed/src/sim/cluster.rs
@@ -97,6 +97,7 @@
     Stall {
         exchange: u64,
         call: u64,
+        /// Progress of the exchange when the timeout was set.
         progress: u64,
     },
     NextArrival,
@@ -104,9 +105,12 @@
     ConcurrentChanges,
     OperatorTimeout {
         index: usize,
+        /// Value of the operation's counter when the timeout was set.
         sent: u64,
     },
+    /// Index of the replacement.
     ReplacementStep(usize),
+    /// The accepted revision.
     CheckInForce(u64),
     CheckRestarted {
         router: usize,
@@ -114,8 +118,10 @@
     },
     Observe,
     SetUp,
+    /// Index of the fault in the plan.
     Fault(usize),
     StartRouter(usize),
+    /// The control machine, and whether an empty disk bootstraps a new cluster.
     StartControl(usize, bool),
     StartEngine(usize),
     RemoveEngine(usize),
@@ -211,11 +217,13 @@
 /// A probability that applies until a time; as `SimCluster::surge`, a factor of the request rate.
 pub(super) type Chance = Loss;
 
+/// The simulated fleet with everything around it, and the event loop's state.
 pub(super) struct SimCluster {
     pub(super) plan: Plan,
     pub(super) now: Timestamp,
     pub(super) random: ChaCha8Rng,
     pub(super) stakker: Stakker,
+    /// The instant of `stakker` at which virtual time is 0.
     base: Instant,
     pub(super) clock_ms: Rc<RefCell<u64>>,
     pub(super) outbox: Rc<RefCell<Vec<Output>>>,
@@ -261,7 +269,7 @@
     set_removed(without);
     let outcome = catch_unwind(|| SimCluster::new(plan.clone(), seed).run());
     set_removed(None);
-    outcome.unwrap_or_else(|panic| panicked(&panic))
+    outcome.unwrap_or_else(|panic| panic_report(&panic))
 }
 
 /// Runs a script of the replicated log, with the guard `without` disabled if there is one.
@@ -275,19 +283,19 @@
     set_removed(None);
     match outcome {
         Ok(Ok(())) => SimReport::empty(),
-        Ok(Err(violation)) => broken_log(format!("{violation:?}")),
-        Err(panic) => panicked(&panic),
+        Ok(Err(violation)) => log_violation_report(format!("{violation:?}")),
+        Err(panic) => panic_report(&panic),
     }
 }
 
 /// Reports a panic as a violation: production code panics on states that its invariants exclude.
-fn panicked(panic: &(dyn Any + Send)) -> SimReport {
+fn panic_report(panic: &(dyn Any + Send)) -> SimReport {
     let text = panic.downcast_ref::<String>().cloned();
     let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
-    broken_log(format!("panic: {}", text.unwrap_or_default()))
+    log_violation_report(format!("panic: {}", text.unwrap_or_default()))
 }
 
-fn broken_log(detail: String) -> SimReport {
+fn log_violation_report(detail: String) -> SimReport {
     let failure = Failure {
         invariant: Invariant::ReplicatedLog,
         at: 0,
--- a/crates/testbed/src/sim/controls.rs
+++ b/crates/testbed/src/sim/controls.rs
@@ -31,7 +31,7 @@
 /// Time between the requests for the steps of a replacement.
 const REPLACEMENT_STEP_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Maximum clock drift of a control machine in either direction, in thousandths.
+/// Maximum clock drift of a control machine in either direction, in parts per 1,000.
 const DRIFT_PER_MILLE: u64 = 20;
 
 /// Upper bound of the difference between control machines' wall clocks, in milliseconds.
@@ -40,6 +40,7 @@
 pub(super) struct ControlHost {
     pub(super) id: ReplicaId,
     pub(super) actor: Option<ActorOwn<ControlActor<MemoryDirectory>>>,
+    /// Number of starts; events for earlier starts are ignored.
     pub(super) generation: u64,
     directory: MemoryDirectory,
     /// A copy of the disk that operators can restore.
@@ -74,8 +75,8 @@
 }
 
 impl SimCluster {
-    /// Starts a control machine from its disk. With `bootstrap`, an empty disk is initialized with the
-    /// membership of a new cluster; otherwise a machine with an empty disk waits to be added.
+    /// Starts a control machine from its disk. With `bootstrap`, an empty disk is initialized with
+    /// the membership of a new cluster; otherwise a machine with an empty disk waits to be added.
     pub(super) fn start_control(&mut self, control: usize, bootstrap: bool) {
         let seed = self.random_u64();
         let drift = self
--- a/crates/testbed/src/sim/engines.rs
+++ b/crates/testbed/src/sim/engines.rs
@@ -22,7 +22,7 @@
 /// Tokens per cache block.
 pub(super) const BLOCK_TOKENS: u32 = 16;
 
-/// 25 times the default of [`EngineTiming`], so that prefill takes a relevant time although the
+/// 25 times the default of [`EngineTiming`], so that prefill takes a noticeable time although
 /// simulated prompts are short.
 pub(super) const PREFILL_US_PER_TOKEN: f64 = 500.0;
 
@@ -41,6 +41,7 @@
     pub(super) name: EngineName,
     pub(super) core: Option<EngineCore>,
     pub(super) params: EngineParams,
+    /// Number of starts.
     pub(super) generation: u64,
     pub(super) frozen_until: Timestamp,
     /// When routers and control machines could first learn that it leaves.
@@ -367,7 +368,9 @@
             "engine {engine} executes an order to load weights version {version}"
         ));
         if sender_position < before {
-            let detail = format!("engine {engine} executed an order of term and revision {sender_position:?} after {before:?}");
+            let detail = format!(
+                "engine {engine} executed {sender_position:?} after {before:?} (term, revision)"
+            );
             self.fail(Invariant::OrderFenced, detail);
         }
         self.update_engine(engine);
@@ -490,7 +493,7 @@
     }
 
     /// Sends data over a connection, ordered after what was sent before. A cut breaks the
-    /// connection for good.
+    /// connection permanently.
     fn send_call_event(&mut self, id: u64, call_event: CallEvent, extra: Duration) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/testbed/src/sim/network.rs
+++ b/crates/testbed/src/sim/network.rs
@@ -23,8 +23,11 @@
     }
 }
 
+/// One-way delay between nodes of one zone, without jitter.
 const SAME_ZONE: Duration = Duration::from_micros(200);
+/// One-way delay between nodes of different zones, without jitter.
 const OTHER_ZONE: Duration = Duration::from_micros(700);
+/// Upper bound of the random delay added to each message, in microseconds.
 const JITTER_US: u64 = 400;
 
 /// A probability that applies until a time; as `Network::loss`, that of losing, duplicating or
--- a/crates/testbed/src/sim/operators.rs
+++ b/crates/testbed/src/sim/operators.rs
@@ -46,10 +46,11 @@
     Rollout(RolloutState),
 }
 
+/// The request of an operation whose reply is outstanding.
 #[derive(Clone, Debug, PartialEq)]
-/// The step of an operation that waits for a reply.
 enum Stage {
     Reading {
+        /// Newest version accepted before the read, which must not return an older one.
         newest: u64,
     },
     Writing {
@@ -391,7 +392,9 @@
             match self.applied_revision(router) {
                 Some(floor) if floor >= newest => {}
                 Some(floor) => {
-                    let detail = format!("router {router} applies revision {floor} at the end, but the newest is {newest}");
+                    let detail = format!(
+                        "router {router} ends at revision {floor}, but the newest is {newest}"
+                    );
                     self.fail(Invariant::ConfigInForce, detail);
                 }
                 None => {
--- a/crates/testbed/src/sim/plan.rs
+++ b/crates/testbed/src/sim/plan.rs
@@ -32,8 +32,8 @@
         /// Duration of the fault.
         lasting: Duration,
     },
-    /// The platform announces that it will remove an engine; its list shows this after the list's
-    /// lag.
+    /// The platform announces that it will remove an engine; its list shows this with its
+    /// usual lag.
     EngineLeaves {
         /// Index of the engine.
         engine: usize,
--- a/crates/testbed/src/sim/routers.rs
+++ b/crates/testbed/src/sim/routers.rs
@@ -28,6 +28,7 @@
 
 pub(super) struct RouterHost {
     pub(super) actor: Option<ActorOwn<RouterActor>>,
+    /// Number of starts; events for earlier starts are ignored.
     pub(super) generation: u64,
     pub(super) stopping: bool,
     /// Last time at which it was down, cut off, stopping or just started; changes of configuration
@@ -126,7 +127,8 @@
         self.drop_exchanges_of(router);
     }
 
-    /// Asks a router to stop gracefully; its process terminates when it reports that it has drained.
+    /// Asks a router to stop gracefully; its process terminates when it reports that it has
+    /// drained.
     pub(super) fn stop_router(&mut self, router: usize) {
         let outbox = Rc::clone(&self.outbox);
         let host = &mut self.routers[router];
--- a/crates/testbed/src/sim/scenarios.rs
+++ b/crates/testbed/src/sim/scenarios.rs
@@ -105,7 +105,7 @@
     },
     Scenario {
         name: "router-herd",
-        about: "all routers crash at once and restart together, in some seeds while no control machine runs",
+        about: "all routers crash at once and restart together, at times without control machines",
         kind: Kind::Fleet(router_herd),
     },
     Scenario {
