--- a/crates/testbed/src/sim/cluster.rs
+++ b/crates/testbed/src/sim/cluster.rs
@@ -90,7 +90,7 @@
         id: u64,
         call: UpstreamCall,
     },
-    CallEvent {
+    RouterReceives {
         id: u64,
         call_event: CallEvent,
     },
@@ -523,7 +523,7 @@
                 sender_position,
             } => self.deliver_order(engine, &order, sender_position),
             Event::EngineReceives { id, call } => self.engine_receives(id, call),
-            Event::CallEvent { id, call_event } => self.on_call_event(id, call_event),
+            Event::RouterReceives { id, call_event } => self.on_call_event(id, call_event),
             Event::Stall {
                 exchange,
                 call,
--- a/crates/testbed/src/sim/engines.rs
+++ b/crates/testbed/src/sim/engines.rs
@@ -513,7 +513,7 @@
 
     fn schedule_call_event(&mut self, id: u64, call_event: CallEvent, at: Timestamp) {
         self.events
-            .schedule(at, Event::CallEvent { id, call_event });
+            .schedule(at, Event::RouterReceives { id, call_event });
     }
 
     fn digest_of_call(&self, id: u64) -> u64 {
