--- a/crates/testbed/src/sim/callers.rs
+++ b/crates/testbed/src/sim/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of the simulated fleet: they ask, check what they get, and ask again.
+//! Callers of the simulated fleet: they send requests, check the answers and retry failures.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -16,55 +16,57 @@
 use rand::Rng;
 use stakker::{call, Ret};
 
-use super::checks::Promise;
-use super::engines::{once_key, CallNews, BLOCK_TOKENS, MODEL};
-use super::world::{Event, Output, World};
+use super::checks::Invariant;
+use super::cluster::{Event, Output, SimCluster};
+use super::engines::{idempotency_key_of, CallEvent, BLOCK_TOKENS, MODEL};
 use crate::engine::http::prompt_digest;
 use crate::engine::stream::token;
 use crate::workload::WorkloadRequest;
 
-/// How long an engine may be silent.
-const STALL: Duration = Duration::from_secs(5);
+/// Time without data from an engine after which an attempt fails.
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pauses before a caller asks again.
-const PAUSE: Duration = Duration::from_millis(400);
+/// Shortest time before a caller retries.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Share of prompts that another tenant has asked before.
+/// Fraction of requests with the prompt blocks of the previous request, whose tenant may differ.
 const SHARED_PROMPTS: f64 = 0.15;
 
-/// A restarted router has to place its first request within this time.
-const SERVES_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which a restarted router has to place its first request.
+const FIRST_PLACEMENT_LIMIT: Duration = Duration::from_secs(2);
 
-/// Weights that answers may come from.
+/// Answers may come from weights versions 1 to this one.
 const KNOWN_VERSIONS: u64 = 4;
 
-/// What a caller wants.
-pub(super) struct Ask {
-    pub(super) request: WorkloadRequest,
+/// A request of a caller, retried until it is answered.
+pub(super) struct CallerRequest {
+    pub(super) workload_request: WorkloadRequest,
     pub(super) prompt: Arc<PromptInput>,
     pub(super) digest: u64,
-    pub(super) once: Option<IdempotencyKey>,
-    pub(super) asked_at: Timestamp,
+    pub(super) idempotency_key: Option<IdempotencyKey>,
+    pub(super) created_at: Timestamp,
     streams: bool,
     deterministic: bool,
+    /// The only router it may be sent to; any router if `None`.
     router: Option<usize>,
     tries: u32,
     done: bool,
     answered: bool,
 }
 
-/// A try at it, beside a router.
+/// An attempt of a caller request at one router.
 pub(super) struct SimExchange {
-    pub(super) ask: u64,
+    pub(super) caller_request: u64,
     router: usize,
     exchange: Exchange,
     id: Option<RequestId>,
     call: Option<u64>,
     tokens: Vec<String>,
+    /// Number of events received, to detect a stalled engine.
     progress: u64,
 }
 
-/// What callers got, for the report.
+/// Counts of requests and outcomes, for the report.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct CallerTotals {
     pub(super) asked: u64,
@@ -73,9 +75,9 @@
     pub(super) tries: u64,
 }
 
-impl World {
-    /// The next caller asks; another one follows.
-    pub(super) fn next_ask(&mut self) {
+impl SimCluster {
+    /// Adds a caller request, and schedules the next arrival.
+    pub(super) fn next_arrival(&mut self) {
         let factor = if self.surge.until > self.now {
             self.surge.chance
         } else {
@@ -84,16 +86,17 @@
         let rate = self.plan.requests_per_second * factor;
         let gap = self.generator.next_gap(rate);
         let at = self.now.plus(Duration::from_secs_f64(gap));
-        self.events.schedule(at, Event::NextAsk);
-        self.new_ask(None);
+        self.events.schedule(at, Event::NextArrival);
+        self.add_caller_request(None);
     }
 
-    /// Somebody asks, at any router, or a certain tenant at a certain router.
-    pub(super) fn new_ask(&mut self, at: Option<(usize, usize)>) {
+    /// Creates a request and sends it to a random router; with `at`, a pair of router and tenant,
+    /// to that router on behalf of that tenant.
+    pub(super) fn add_caller_request(&mut self, at: Option<(usize, usize)>) {
         let seconds = self.now.0 as f64 / 1e6 + self.hot_offset;
         let mut request = self.generator.next_request(seconds);
-        self.next_ask_number += 1;
-        let number = self.next_ask_number;
+        self.next_caller_request += 1;
+        let number = self.next_caller_request;
         if self.random.random::<f64>() < SHARED_PROMPTS {
             if let Some(blocks) = &self.last_blocks {
                 request.blocks.clone_from(blocks);
@@ -104,61 +107,63 @@
         if let Some((_, tenant)) = at {
             request.tenant = tenant;
         }
-        let once = (request.once && at.is_none()).then(|| once_key(number));
-        let ask = Ask {
+        let idempotency_key = (request.once && at.is_none()).then(|| idempotency_key_of(number));
+        let caller_request = CallerRequest {
             digest: prompt_digest(&prompt),
             prompt,
-            once,
-            asked_at: self.now,
+            idempotency_key,
+            created_at: self.now,
             streams: self.random.random::<f64>() < 0.7,
             deterministic: self.random.random::<f64>() < 0.6,
             router: at.map(|(router, _)| router),
             tries: 0,
             done: false,
             answered: false,
-            request,
+            workload_request: request,
         };
-        self.asks.insert(number, ask);
+        self.caller_requests.insert(number, caller_request);
         self.totals.asked += 1;
-        self.try_ask(number);
+        self.send_caller_request(number);
     }
 
-    /// Asks, for the first time or again.
-    pub(super) fn try_ask(&mut self, number: u64) {
+    /// Sends a request to a router, for the first time or as a retry.
+    pub(super) fn send_caller_request(&mut self, number: u64) {
         const MAX_TRIES: u32 = 80;
         let any_router = self.random.random_range(0..self.routers.len());
-        let Some(ask) = self.asks.get_mut(&number) else {
+        let Some(caller_request) = self.caller_requests.get_mut(&number) else {
             return;
         };
-        if ask.done || ask.tries >= MAX_TRIES {
+        if caller_request.done || caller_request.tries >= MAX_TRIES {
             return;
         }
-        ask.tries += 1;
+        caller_request.tries += 1;
         self.totals.tries += 1;
-        let router = ask.router.unwrap_or(any_router);
+        let router = caller_request.router.unwrap_or(any_router);
         if self.routers[router].actor.is_none() {
-            return self.try_again(number, PAUSE);
+            return self.schedule_retry(number, RETRY_DELAY);
         }
         let params = ExchangeParams {
-            streams: ask.streams,
-            outlives_caller: ask.once.is_some(),
+            streams: caller_request.streams,
+            outlives_caller: caller_request.idempotency_key.is_some(),
         };
         let admit = AdmitRequest {
-            key_hash: Some(SecretKey::new(tenant_key(ask.request.tenant)).hash()),
+            key_hash: Some(
+                SecretKey::new(tenant_key(caller_request.workload_request.tenant)).hash(),
+            ),
             purpose: Purpose::Complete,
             model: ModelName::new(MODEL),
             adapter: None,
-            prompt: Arc::clone(&ask.prompt),
-            priority: Some(ask.request.priority),
+            prompt: Arc::clone(&caller_request.prompt),
+            priority: Some(caller_request.workload_request.priority),
             priority_class: None,
-            deterministic: ask.deterministic,
-            idempotency_key: ask.once.clone(),
-            fingerprint: ask.digest,
+            deterministic: caller_request.deterministic,
+            idempotency_key: caller_request.idempotency_key.clone(),
+            fingerprint: caller_request.digest,
         };
         self.next_exchange += 1;
         let key = self.next_exchange;
         let exchange = SimExchange {
-            ask: number,
+            caller_request: number,
             router,
             exchange: Exchange::new(params),
             id: None,
@@ -173,9 +178,9 @@
         }
     }
 
-    fn try_again(&mut self, number: u64, pause: Duration) {
-        let at = self.now.plus(pause);
-        self.events.schedule(at, Event::TryAsk(number));
+    fn schedule_retry(&mut self, number: u64, delay: Duration) {
+        let at = self.now.plus(delay);
+        self.events.schedule(at, Event::SendCallerRequest(number));
     }
 
     fn admitted(&self, exchange: u64) -> Ret<(RequestId, AdmitOutcome)> {
@@ -191,7 +196,7 @@
         })
     }
 
-    /// The router decided.
+    /// Handles a router's decision on an admission or on a failed attempt.
     pub(super) fn on_admitted(&mut self, key: u64, id: RequestId, outcome: AdmitOutcome) {
         if let AdmitOutcome::Assigned(assignment) = &outcome {
             self.trace
@@ -212,8 +217,8 @@
         self.drive(key, next);
     }
 
-    /// Something arrived over a connection.
-    pub(super) fn on_call_news(&mut self, id: u64, news: CallNews) {
+    /// Handles data or an end that arrives from an engine.
+    pub(super) fn on_call_event(&mut self, id: u64, call_event: CallEvent) {
         let Some(key) = self.calls.get(&id).map(|call| call.exchange) else {
             return;
         };
@@ -226,12 +231,12 @@
         }
         exchange.progress += 1;
         let tokens = &mut exchange.tokens;
-        let next = match news {
-            CallNews::Head(head) => exchange.exchange.on_head(&head),
-            CallNews::Bytes(bytes) => exchange.exchange.on_bytes(bytes.as_bytes(), &mut |event| {
+        let next = match call_event {
+            CallEvent::Head(head) => exchange.exchange.on_head(&head),
+            CallEvent::Bytes(bytes) => exchange.exchange.on_bytes(bytes.as_bytes(), &mut |event| {
                 tokens.extend(text_of(event.data));
             }),
-            CallNews::End(end) => exchange.exchange.on_end(end),
+            CallEvent::End(end) => exchange.exchange.on_end(end),
         };
         if let Some(first) = exchange.exchange.take_first_token() {
             let request = exchange.id.unwrap_or_default();
@@ -242,7 +247,7 @@
         self.drive(key, next);
     }
 
-    /// An engine has been silent for as long as it may.
+    /// Fails the attempt if nothing has arrived from its engine since the timeout was set.
     pub(super) fn on_stall(&mut self, key: u64, call: u64, progress: u64) {
         let Some(exchange) = self.exchanges.get_mut(&key) else {
             return;
@@ -264,7 +269,7 @@
             call,
             progress,
         };
-        self.events.schedule(self.now.plus(STALL), event);
+        self.events.schedule(self.now.plus(STALL_TIMEOUT), event);
     }
 
     fn drive(&mut self, key: u64, next: Next) {
@@ -318,12 +323,12 @@
         }
         match conclusion {
             Conclusion::Answered => {
-                self.check_answer(&exchange, &answer.text, Promise::StreamOrder);
-                self.finish_ask(exchange.ask);
+                self.check_answer(&exchange, &answer.text, Invariant::StreamOrder);
+                self.finish_caller_request(exchange.caller_request);
             }
             Conclusion::Recorded(recorded) => {
                 self.check_recorded(&exchange, &recorded.text);
-                self.finish_ask(exchange.ask);
+                self.finish_caller_request(exchange.caller_request);
             }
             Conclusion::Failed(verdict) => self.on_failed(&exchange, id, &verdict),
             Conclusion::CallerGone => {
@@ -334,10 +339,10 @@
         }
     }
 
-    fn finish_ask(&mut self, number: u64) {
-        if let Some(ask) = self.asks.get_mut(&number) {
-            ask.done = true;
-            ask.answered = true;
+    fn finish_caller_request(&mut self, number: u64) {
+        if let Some(caller_request) = self.caller_requests.get_mut(&number) {
+            caller_request.done = true;
+            caller_request.answered = true;
             self.totals.answered += 1;
         }
     }
@@ -349,23 +354,23 @@
             self.totals.refused += 1;
             self.checks.on_not_run(id, self.now);
         }
-        // What was passed on before a failure has to be a true beginning.
+        // The part of the answer that was passed on before the failure has to be correct.
         if !exchange.tokens.is_empty() {
-            self.check_beginning(exchange);
+            self.check_partial_stream(exchange);
         }
-        let Some(ask) = self.asks.get_mut(&exchange.ask) else {
+        let Some(caller_request) = self.caller_requests.get_mut(&exchange.caller_request) else {
             return;
         };
         if verdict.code == ErrorCode::NotRepeated {
-            ask.done = true;
+            caller_request.done = true;
             return;
         }
-        let pause = verdict.retry_after.unwrap_or(PAUSE).max(PAUSE);
-        self.try_again(exchange.ask, pause);
+        let delay = verdict.retry_after.unwrap_or(RETRY_DELAY).max(RETRY_DELAY);
+        self.schedule_retry(exchange.caller_request, delay);
     }
 
-    /// A router's process ended: its callers' connections broke.
-    pub(super) fn lose_exchanges_of(&mut self, router: usize) {
+    /// Drops the exchanges of a router whose process has terminated; their callers retry.
+    pub(super) fn drop_exchanges_of(&mut self, router: usize) {
         let lost: Vec<u64> = self
             .exchanges
             .iter()
@@ -376,14 +381,14 @@
         for key in lost {
             if let Some(exchange) = self.exchanges.remove(&key) {
                 calls.extend(exchange.call);
-                self.check_beginning(&exchange);
-                self.try_again(exchange.ask, PAUSE * 2);
+                self.check_partial_stream(&exchange);
+                self.schedule_retry(exchange.caller_request, RETRY_DELAY * 2);
             }
         }
         for call in &calls {
             self.calls.remove(call);
         }
-        self.network.forget_channels(&calls);
+        self.network.remove_channels(&calls);
     }
 
     pub(super) fn open_exchanges_of(&self, router: usize) -> usize {
@@ -391,78 +396,82 @@
         self.exchanges.values().filter(of_router).count()
     }
 
-    fn check_answer(&mut self, exchange: &SimExchange, text: &str, promise: Promise) {
-        let Some(ask) = self.asks.get(&exchange.ask) else {
+    fn check_answer(&mut self, exchange: &SimExchange, text: &str, invariant: Invariant) {
+        let Some(caller_request) = self.caller_requests.get(&exchange.caller_request) else {
             return;
         };
-        let expected = ask.request.output_tokens;
-        let right = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
-            let whole: String = (0..expected)
-                .map(|index| token(ask.digest, version, index))
+        let expected = caller_request.workload_request.output_tokens;
+        let correct = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
+            let full_text: String = (0..expected)
+                .map(|index| token(caller_request.digest, version, index))
                 .collect();
-            if ask.streams {
-                exchange.tokens.concat() == whole
+            if caller_request.streams {
+                exchange.tokens.concat() == full_text
             } else {
-                text == whole
+                text == full_text
             }
         });
-        if !right {
+        if !correct {
             let detail = format!(
-                "ask {} got {} of {expected} tokens, or not its own",
-                exchange.ask,
+                "caller request {} got {} of {expected} tokens, or tokens of another answer",
+                exchange.caller_request,
                 exchange.tokens.len()
             );
-            self.fail(promise, detail);
+            self.fail(invariant, detail);
         }
     }
 
     fn check_recorded(&mut self, exchange: &SimExchange, text: &str) {
-        let Some(ask) = self.asks.get(&exchange.ask) else {
+        let Some(caller_request) = self.caller_requests.get(&exchange.caller_request) else {
             return;
         };
-        let expected = ask.request.output_tokens;
-        let right = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
-            let whole: String = (0..expected)
-                .map(|index| token(ask.digest, version, index))
+        let expected = caller_request.workload_request.output_tokens;
+        let correct = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
+            let full_text: String = (0..expected)
+                .map(|index| token(caller_request.digest, version, index))
                 .collect();
-            text == whole
+            text == full_text
         });
-        if !right {
+        if !correct {
             let detail = format!(
-                "ask {} got a recorded answer that is not its own",
-                exchange.ask
+                "caller request {} got a recorded answer that is not its own",
+                exchange.caller_request
             );
-            self.fail(Promise::OwnAnswer, detail);
+            self.fail(Invariant::OwnAnswer, detail);
         }
     }
 
-    fn check_beginning(&mut self, exchange: &SimExchange) {
-        let Some(ask) = self.asks.get(&exchange.ask) else {
+    fn check_partial_stream(&mut self, exchange: &SimExchange) {
+        let Some(caller_request) = self.caller_requests.get(&exchange.caller_request) else {
             return;
         };
-        // Without streaming nothing reaches a caller before the end.
-        if !ask.streams {
+        // Without streaming a caller receives nothing before the end.
+        if !caller_request.streams {
             return;
         }
         let numbered = || exchange.tokens.iter().zip(0_u32..);
-        let right = (1..=KNOWN_VERSIONS)
-            .map(WeightsVersion)
-            .any(|version| numbered().all(|(text, at)| *text == token(ask.digest, version, at)));
-        if !right {
-            let detail = format!("ask {} got tokens that are not its own", exchange.ask);
-            self.fail(Promise::StreamOrder, detail);
+        let correct = (1..=KNOWN_VERSIONS).map(WeightsVersion).any(|version| {
+            numbered().all(|(text, at)| *text == token(caller_request.digest, version, at))
+        });
+        if !correct {
+            let detail = format!(
+                "caller request {} got tokens that are not its own",
+                exchange.caller_request
+            );
+            self.fail(Invariant::StreamOrder, detail);
         }
     }
 
-    /// A router has restarted: a tenant that it has served before asks it at once.
-    pub(super) fn test_restarted(&mut self, router: usize) {
+    /// Sends a request to a restarted router at once, on behalf of a tenant in its stored
+    /// configuration, and schedules a check that it was placed.
+    pub(super) fn probe_restarted_router(&mut self, router: usize) {
         let Some(tenant) = self.tenant_known_to(router) else {
             self.routers[router].restarted_at = None;
             return;
         };
-        self.new_ask(Some((router, tenant)));
+        self.add_caller_request(Some((router, tenant)));
         let generation = self.routers[router].generation;
-        let at = self.now.plus(SERVES_WITHIN);
+        let at = self.now.plus(FIRST_PLACEMENT_LIMIT);
         let event = Event::CheckRestarted { router, generation };
         self.events.schedule(at, event);
     }
@@ -484,46 +493,55 @@
             return;
         }
         if host.restarted_at.is_some() {
-            let detail = format!("router {router} placed nothing in {SERVES_WITHIN:?}");
-            self.fail(Promise::ServesAfterRestart, detail);
+            let detail =
+                format!("router {router} placed no request within {FIRST_PLACEMENT_LIMIT:?}");
+            self.fail(Invariant::ServesAfterRestart, detail);
         }
     }
 
-    /// At the end, everything that was asked in the calm has to be answered.
-    pub(super) fn check_calm(&mut self) {
+    /// Checks at the end that all requests of the steady period were answered, except those of the
+    /// last 4 seconds.
+    pub(super) fn check_steady_period(&mut self) {
         const TO_ANSWER: Duration = Duration::from_secs(4);
         let from = self.plan.healed_at.plus(super::plan::RECOVERY);
         let to = Timestamp(self.plan.ends_at.0 - TO_ANSWER.as_micros() as u64);
         let unanswered: Vec<u64> = self
-            .asks
+            .caller_requests
             .iter()
-            .filter(|(_, ask)| ask.asked_at >= from && ask.asked_at < to && !ask.answered)
+            .filter(|(_, caller_request)| {
+                caller_request.created_at >= from
+                    && caller_request.created_at < to
+                    && !caller_request.answered
+            })
             .map(|(number, _)| *number)
             .collect();
         if !unanswered.is_empty() {
             let count = unanswered.len();
             let detail = format!(
-                "{count} asks of the calm unanswered, first {}",
+                "{count} caller requests of the steady period were not answered, the first is {}",
                 unanswered[0]
             );
-            self.fail(Promise::Recovery, detail);
+            self.fail(Invariant::Recovery, detail);
         }
         let answered = self
-            .asks
+            .caller_requests
             .values()
-            .any(|ask| ask.asked_at >= from && ask.answered);
+            .any(|caller_request| caller_request.created_at >= from && caller_request.answered);
         if !answered {
-            self.fail(Promise::Recovery, "nothing at all was answered in the calm");
+            self.fail(
+                Invariant::Recovery,
+                "no caller request of the steady period was answered",
+            );
         }
     }
 }
 
-/// The bearer key of a tenant.
+/// The API key of a tenant.
 pub(super) fn tenant_key(tenant: usize) -> String {
     format!("key-{tenant}")
 }
 
-/// The text of a token's event; none for the event that ends a stream.
+/// Text of a token event; `None` for the event that ends a stream.
 fn text_of(data: &str) -> Option<String> {
     let document: serde_json::Value = serde_json::from_str(data).ok()?;
     let text = document.get("choices")?.get(0)?.get("text")?.as_str()?;
--- a/crates/testbed/src/sim/cli.rs
+++ b/crates/testbed/src/sim/cli.rs
@@ -1,4 +1,4 @@
-//! `drumshore-lab sim`.
+//! Command line of `drumshore-lab sim`.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,13 +10,13 @@
 use pico_args::Arguments;
 use serde::Serialize;
 
+use super::cluster::SimReport;
 use super::scenarios::{Scenario, SCENARIOS};
 use super::shrink::shrink;
-use super::world::SimReport;
 use crate::cli::{finish, write_json, LabError};
 
-/// Failing runs that are shown.
-const SHOWN: usize = 3;
+/// Maximum number of failing runs whose details are printed.
+const MAX_SHOWN_RUNS: usize = 3;
 
 struct Options {
     scenarios: Vec<Scenario>,
@@ -26,7 +26,7 @@
     json: Option<PathBuf>,
 }
 
-/// One run of one seed.
+/// Result of one scenario with one seed.
 #[derive(Serialize)]
 struct Run {
     scenario: &'static str,
@@ -65,7 +65,8 @@
         SCENARIOS.to_vec()
     } else {
         let scenario = Scenario::from_name(&name);
-        vec![scenario.ok_or_else(|| LabError::Usage(format!("no scenario {name:?}")))?]
+        vec![scenario
+            .ok_or_else(|| LabError::Usage(format!("unknown scenario {name:?}; see --list")))?]
     };
     let without: Option<String> = arguments.opt_value_from_str("--without")?;
     let without = without
@@ -73,7 +74,8 @@
         .transpose()
         .map_err(|error| LabError::Usage(error.to_string()))?;
     if without.is_some() && !cfg!(feature = "guards") {
-        let message = "--without needs a build with --features guards; a normal one holds them all";
+        let message =
+            "--without requires a build with --features guards; others cannot disable any";
         return Err(LabError::Usage(message.to_owned()));
     }
     let options = Options {
@@ -87,7 +89,7 @@
     Ok(options)
 }
 
-/// All runs, on all cores; their order is that of scenario and seed.
+/// Runs all scenarios and seeds on all cores; the results are ordered by scenario, then by seed.
 fn run_all(options: &Options) -> Vec<Run> {
     let jobs: Vec<(Scenario, u64)> = options
         .scenarios
@@ -138,7 +140,7 @@
         );
     }
     let failing = runs.iter().filter(|run| !run.report.failures.is_empty());
-    for run in failing.take(SHOWN) {
+    for run in failing.take(MAX_SHOWN_RUNS) {
         print_failure(options, run);
     }
     let virtual_seconds: f64 = runs.iter().map(|run| run.report.virtual_seconds).sum();
@@ -162,7 +164,10 @@
     );
     for failure in &run.report.failures {
         let seconds = failure.at as f64 / 1e6;
-        println!("  {seconds:9.4} {:?}: {}", failure.promise, failure.detail);
+        println!(
+            "  {seconds:9.4} {:?}: {}",
+            failure.invariant, failure.detail
+        );
     }
     let Some(first) = run.report.failures.first() else {
         return;
@@ -173,8 +178,8 @@
     let Some(plan) = scenario.plan(run.seed) else {
         return;
     };
-    let smallest = shrink(&plan, run.seed, options.without, first.promise);
-    println!("  faults that are needed:");
+    let smallest = shrink(&plan, run.seed, options.without, first.invariant);
+    println!("  faults needed to reproduce the first failure:");
     for timed in &smallest.faults {
         println!("  {:9.4} {}", timed.at.0 as f64 / 1e6, timed.fault);
     }
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/cluster.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet and its clock.
+//! The simulated fleet, its clock and its event loop.
 
 use std::any::Any;
 use std::cell::RefCell;
@@ -20,34 +20,34 @@
 use serde::Serialize;
 use stakker::Stakker;
 
-use super::callers::{Ask, CallerTotals, SimExchange};
-use super::checks::{Checks, Failure, Promise};
-use super::controls::{ControlHost, Lateness, Replacement};
-use super::engines::{Call, CallNews, EngineHost};
+use super::callers::{CallerRequest, CallerTotals, SimExchange};
+use super::checks::{Checks, Failure, Invariant};
+use super::controls::{ControlHost, ExtraDelay, Replacement};
+use super::engines::{Call, CallEvent, EngineHost};
 use super::network::{EventQueue, Loss, Network};
-use super::operators::{Asker, Operation, OrderTruth};
+use super::operators::{Operation, ReplyTarget, SenderPosition};
 use super::plan::Plan;
 use super::routers::{RouterHost, SimLink};
 use super::trace::Trace;
 use crate::platform::Platform;
 use crate::workload::WorkloadGenerator;
 
-/// How far the platform's list lags.
+/// Lag of the platform's list of machines.
 const PLATFORM_LAG: Duration = Duration::from_secs(1);
 
-/// How often routers are looked at.
-const OBSERVE_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the checkers observe the routers.
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time of the run at which operators set the fleet up.
+/// Time of the run at which operators write the initial configuration.
 const SET_UP_AT: Duration = Duration::from_millis(1_500);
 
-/// The time of the run at which callers begin.
-const CALLERS_AT: Duration = Duration::from_millis(2_500);
+/// Time of the run at which callers and concurrent changes start.
+const CALLERS_START_AT: Duration = Duration::from_millis(2_500);
 
-/// Milliseconds since the Unix epoch at which every run begins.
+/// Wall-clock time at which every run starts, in milliseconds since the Unix epoch.
 const EPOCH_MS: u64 = 1_700_000_000_000;
 
-/// What is to happen.
+/// A scheduled event.
 #[derive(Debug)]
 pub(super) enum Event {
     LinkOpened(u64),
@@ -84,29 +84,33 @@
     Order {
         engine: usize,
         order: EngineOrder,
-        truth: OrderTruth,
+        sender_position: SenderPosition,
     },
     EngineReceives {
         id: u64,
         call: UpstreamCall,
     },
-    CallNews {
+    RouterReceives {
         id: u64,
-        news: CallNews,
+        call_event: CallEvent,
     },
     Stall {
         exchange: u64,
         call: u64,
+        /// Progress of the exchange when the timeout was set.
         progress: u64,
     },
-    NextAsk,
-    TryAsk(u64),
-    Race,
-    OperatorGivesUp {
+    NextArrival,
+    SendCallerRequest(u64),
+    ConcurrentChanges,
+    OperatorTimeout {
         index: usize,
+        /// Value of the operation's counter when the timeout was set.
         sent: u64,
     },
+    /// Index of the replacement.
     ReplacementStep(usize),
+    /// The accepted revision.
     CheckInForce(u64),
     CheckRestarted {
         router: usize,
@@ -114,15 +118,17 @@
     },
     Observe,
     SetUp,
+    /// Index of the fault in the plan.
     Fault(usize),
     StartRouter(usize),
+    /// The control machine, and whether an empty disk bootstraps a new cluster.
     StartControl(usize, bool),
     StartEngine(usize),
-    EngineTaken(usize),
+    RemoveEngine(usize),
     BackUp,
 }
 
-/// What the product's actors say.
+/// An output of the production actors, handled after they have run.
 #[derive(Debug)]
 pub(super) enum Output {
     Connect {
@@ -162,30 +168,30 @@
     },
 }
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct SimReport {
-    /// Promises broken, in order of time.
+    /// Violations of invariants, in order of time.
     pub failures: Vec<Failure>,
-    /// Equal for equal seeds.
+    /// Hash over all events; runs of one build with the same plan and seed have the same hash.
     pub trace_hash: String,
-    /// Events that the hash covers.
+    /// Number of events that the hash covers.
     pub events: u64,
-    /// Virtual seconds.
+    /// Duration of the run on the virtual clock.
     pub virtual_seconds: f64,
-    /// Requests that callers made.
+    /// Requests that callers made, without retries.
     pub asked: u64,
-    /// Of these, answered.
+    /// Of these, those that got a complete answer.
     pub answered: u64,
-    /// Refusals as not run.
+    /// Refusals with "not run" that callers received.
     pub refused: u64,
-    /// Tries, the first ones included.
+    /// Attempts by callers, first attempts included.
     pub tries: u64,
-    /// Requests that engines began to run.
+    /// Number of times that engines started to run a request.
     pub executions: u64,
-    /// Changes of configuration accepted.
+    /// The newest accepted configuration revision.
     pub changes: u64,
-    /// The last things that happened.
+    /// The last lines of the trace.
     #[serde(skip)]
     pub last_lines: Vec<String>,
 }
@@ -208,14 +214,16 @@
     }
 }
 
-/// Something with a chance and an end.
+/// A probability that applies until a time; as `SimCluster::surge`, a factor of the request rate.
 pub(super) type Chance = Loss;
 
-pub(super) struct World {
+/// The simulated fleet with everything around it, and the event loop's state.
+pub(super) struct SimCluster {
     pub(super) plan: Plan,
     pub(super) now: Timestamp,
     pub(super) random: ChaCha8Rng,
     pub(super) stakker: Stakker,
+    /// The instant of `stakker` at which virtual time is 0.
     base: Instant,
     pub(super) clock_ms: Rc<RefCell<u64>>,
     pub(super) outbox: Rc<RefCell<Vec<Output>>>,
@@ -229,39 +237,42 @@
     pub(super) next_link: u64,
     pub(super) calls: BTreeMap<u64, Call>,
     pub(super) next_call: u64,
-    pub(super) asks: BTreeMap<u64, Ask>,
-    pub(super) next_ask_number: u64,
+    pub(super) caller_requests: BTreeMap<u64, CallerRequest>,
+    pub(super) next_caller_request: u64,
     pub(super) exchanges: BTreeMap<u64, SimExchange>,
     pub(super) next_exchange: u64,
     pub(super) generator: WorkloadGenerator,
+    /// Prompt blocks of the previous request, for prompts that several tenants share.
     pub(super) last_blocks: Option<Vec<u64>>,
+    /// Virtual seconds that the workload generator is ahead, which makes other prefixes hot.
     pub(super) hot_offset: f64,
     pub(super) operations: Vec<Operation>,
-    pub(super) askers: BTreeMap<(usize, u64, OperatorTicket), Asker>,
+    pub(super) reply_targets: BTreeMap<(usize, u64, OperatorTicket), ReplyTarget>,
     pub(super) accepted_versions: BTreeMap<ResourceKey, u64>,
     pub(super) replacements: Vec<Replacement>,
     pub(super) next_replica: u64,
-    pub(super) late_requests: Lateness,
-    pub(super) late_orders: Lateness,
+    pub(super) late_requests: ExtraDelay,
+    pub(super) late_orders: ExtraDelay,
     pub(super) flaky: Chance,
     pub(super) disordered: Chance,
     pub(super) surge: Chance,
-    /// The store itself was taken back by operators; only routers are bound to what was accepted.
+    /// Operators restored the control machines from older copies. Accepted changes may be lost, so
+    /// from then on only the revision that a router applies is checked for never decreasing.
     pub(super) restored: bool,
     pub(super) checks: Checks,
     pub(super) totals: CallerTotals,
     pub(super) trace: Trace,
 }
 
-/// Runs a plan with one guard taken out, or none.
+/// Runs a plan, with the guard `without` disabled if there is one.
 pub fn run(plan: &Plan, seed: u64, without: Option<Guard>) -> SimReport {
     set_removed(without);
-    let outcome = catch_unwind(|| World::new(plan.clone(), seed).run());
+    let outcome = catch_unwind(|| SimCluster::new(plan.clone(), seed).run());
     set_removed(None);
-    outcome.unwrap_or_else(|panic| panicked(&panic))
+    outcome.unwrap_or_else(|panic| panic_report(&panic))
 }
 
-/// Runs a script of the replicated log.
+/// Runs a script of the replicated log, with the guard `without` disabled if there is one.
 pub(super) fn run_script(
     script: fn(u64) -> Result<(), Violation>,
     seed: u64,
@@ -272,21 +283,21 @@
     set_removed(None);
     match outcome {
         Ok(Ok(())) => SimReport::empty(),
-        Ok(Err(violation)) => broken_log(format!("{violation:?}")),
-        Err(panic) => panicked(&panic),
+        Ok(Err(violation)) => log_violation_report(format!("{violation:?}")),
+        Err(panic) => panic_report(&panic),
     }
 }
 
-/// The product refuses impossible states by a panic: somebody has broken a rule.
-fn panicked(panic: &(dyn Any + Send)) -> SimReport {
+/// Reports a panic as a violation: production code panics on states that its invariants exclude.
+fn panic_report(panic: &(dyn Any + Send)) -> SimReport {
     let text = panic.downcast_ref::<String>().cloned();
     let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()));
-    broken_log(format!("panic: {}", text.unwrap_or_default()))
+    log_violation_report(format!("panic: {}", text.unwrap_or_default()))
 }
 
-fn broken_log(detail: String) -> SimReport {
+fn log_violation_report(detail: String) -> SimReport {
     let failure = Failure {
-        promise: Promise::ReplicatedLog,
+        invariant: Invariant::ReplicatedLog,
         at: 0,
         detail,
     };
@@ -301,11 +312,11 @@
     drumshore_guard::set_removed(guard);
 }
 
-/// A normal build holds every guard.
+/// Without the feature `guards` no guard can be disabled.
 #[cfg(not(feature = "guards"))]
 fn set_removed(_: Option<Guard>) {}
 
-impl World {
+impl SimCluster {
     fn new(plan: Plan, seed: u64) -> Self {
         let base = Instant::now();
         let generator = WorkloadGenerator::new(plan.workload.clone(), seed);
@@ -328,20 +339,20 @@
             next_link: 0,
             calls: BTreeMap::new(),
             next_call: 0,
-            asks: BTreeMap::new(),
-            next_ask_number: 0,
+            caller_requests: BTreeMap::new(),
+            next_caller_request: 0,
             exchanges: BTreeMap::new(),
             next_exchange: 0,
             generator,
             last_blocks: None,
             hot_offset: 0.0,
             operations: Vec::new(),
-            askers: BTreeMap::new(),
+            reply_targets: BTreeMap::new(),
             accepted_versions: BTreeMap::new(),
             replacements: Vec::new(),
             next_replica: plan.controls as u64,
-            late_requests: Lateness::default(),
-            late_orders: Lateness::default(),
+            late_requests: ExtraDelay::default(),
+            late_orders: ExtraDelay::default(),
             flaky: Chance::default(),
             disordered: Chance::default(),
             surge: Chance::default(),
@@ -358,10 +369,10 @@
         let end = self.plan.ends_at;
         while let Some(at) = self.next_at().filter(|at| *at <= end) {
             self.now = self.now.max(at);
-            self.settle();
+            self.process_due_events();
         }
         self.now = end;
-        self.check_calm();
+        self.check_steady_period();
         if !self.restored {
             self.check_converged();
         }
@@ -380,11 +391,13 @@
         }
         let at = |after: Duration| Timestamp(0).plus(after);
         self.events.schedule(at(SET_UP_AT), Event::SetUp);
-        self.events.schedule(at(CALLERS_AT), Event::NextAsk);
-        self.events.schedule(at(CALLERS_AT), Event::Race);
+        self.events
+            .schedule(at(CALLERS_START_AT), Event::NextArrival);
+        self.events
+            .schedule(at(CALLERS_START_AT), Event::ConcurrentChanges);
         self.events
             .schedule(at(super::plan::WARM_UP), Event::BackUp);
-        self.events.schedule(at(OBSERVE_EVERY), Event::Observe);
+        self.events.schedule(at(OBSERVE_INTERVAL), Event::Observe);
         for (number, timed) in self.plan.faults.iter().enumerate() {
             self.events.schedule(timed.at, Event::Fault(number));
         }
@@ -403,19 +416,19 @@
             .min()
     }
 
-    /// Does all that is due now, until nothing more follows from it.
-    fn settle(&mut self) {
+    /// Processes everything that is due now, until it causes no further events at this time.
+    fn process_due_events(&mut self) {
         *self.clock_ms.borrow_mut() = EPOCH_MS + self.now.0 / 1_000;
         loop {
             self.run_actors();
-            let mut worked = false;
+            let mut progressed = false;
             while let Some(event) = self.events.pop_due(self.now) {
-                self.handle(event);
-                worked = true;
+                self.handle_event(event);
+                progressed = true;
                 self.run_actors();
             }
             self.advance_engines();
-            if !worked {
+            if !progressed {
                 return;
             }
         }
@@ -430,12 +443,12 @@
                 return;
             }
             for output in outputs {
-                self.carry_out(output);
+                self.handle_output(output);
             }
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Connect {
                 router,
@@ -476,7 +489,7 @@
         }
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::LinkOpened(id) => self.on_link_opened(id),
             Event::LinkReset(id) => self.reset_link(id),
@@ -507,19 +520,19 @@
             Event::Order {
                 engine,
                 order,
-                truth,
-            } => self.deliver_order(engine, &order, truth),
+                sender_position,
+            } => self.deliver_order(engine, &order, sender_position),
             Event::EngineReceives { id, call } => self.engine_receives(id, call),
-            Event::CallNews { id, news } => self.on_call_news(id, news),
+            Event::RouterReceives { id, call_event } => self.on_call_event(id, call_event),
             Event::Stall {
                 exchange,
                 call,
                 progress,
             } => self.on_stall(exchange, call, progress),
-            Event::NextAsk => self.next_ask(),
-            Event::TryAsk(number) => self.try_ask(number),
-            Event::Race => self.race(),
-            Event::OperatorGivesUp { index, sent } => self.operator_gives_up(index, sent),
+            Event::NextArrival => self.next_arrival(),
+            Event::SendCallerRequest(number) => self.send_caller_request(number),
+            Event::ConcurrentChanges => self.start_concurrent_changes(),
+            Event::OperatorTimeout { index, sent } => self.on_operator_timeout(index, sent),
             Event::ReplacementStep(index) => self.replacement_step(index),
             Event::CheckInForce(revision) => {
                 if !self.restored {
@@ -535,12 +548,12 @@
             Event::StartRouter(router) => {
                 if self.routers[router].actor.is_none() {
                     self.start_router(router);
-                    self.test_restarted(router);
+                    self.probe_restarted_router(router);
                 }
             }
-            Event::StartControl(control, first) => {
+            Event::StartControl(control, bootstrap) => {
                 if self.controls[control].actor.is_none() {
-                    self.start_control(control, first);
+                    self.start_control(control, bootstrap);
                 }
             }
             Event::StartEngine(engine) => {
@@ -548,19 +561,19 @@
                     self.start_engine(engine);
                 }
             }
-            Event::EngineTaken(engine) => self.take_engine(engine),
+            Event::RemoveEngine(engine) => self.remove_engine(engine),
             Event::BackUp => self.back_up_controls(),
         }
     }
 
     fn observe(&mut self) {
-        self.note_unwell_routers();
+        self.update_degraded_routers();
         self.observe_routers();
         self.events
-            .schedule(self.now.plus(OBSERVE_EVERY), Event::Observe);
+            .schedule(self.now.plus(OBSERVE_INTERVAL), Event::Observe);
     }
 
-    pub(super) fn draw(&mut self) -> u64 {
+    pub(super) fn random_u64(&mut self) -> u64 {
         self.random.next_u64()
     }
 
@@ -568,11 +581,11 @@
         self.trace.note(self.now, line);
     }
 
-    pub(super) fn fail(&mut self, promise: Promise, detail: impl Into<String>) {
+    pub(super) fn fail(&mut self, invariant: Invariant, detail: impl Into<String>) {
         let detail = detail.into();
         self.trace
-            .note(self.now, format!("BROKEN {promise:?}: {detail}"));
-        self.checks.fail(promise, self.now, detail);
+            .note(self.now, format!("BROKEN {invariant:?}: {detail}"));
+        self.checks.fail(invariant, self.now, detail);
     }
 
     fn report(self) -> SimReport {
--- a/crates/testbed/src/sim/engines.rs
+++ b/crates/testbed/src/sim/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of the simulated fleet, and the connections to them.
+//! Engines of the simulated fleet, and routers' connections to them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,42 +11,49 @@
 use drumshore_routing::{AnswerReport, PrefixChain};
 use rand::Rng;
 
-use super::checks::{Promise, LEAVING_LIMIT};
+use super::checks::{Invariant, LEAVING_LIMIT};
+use super::cluster::{Event, SimCluster};
 use super::network::Node;
-use super::world::{Event, World};
 use crate::engine::stream::{done_event, token, token_event, EventContext};
 use crate::engine::{
     EngineCore, EngineOutput, EngineParams, EngineRequest, EngineTiming, Submission, Violation,
 };
 
-/// Tokens in a block.
+/// Tokens per cache block.
 pub(super) const BLOCK_TOKENS: u32 = 16;
 
-/// A prompt token takes as long as 25 of the users' engines, so that short prompts weigh.
+/// 25 times the default of [`EngineTiming`], so that prefill takes a noticeable time although
+/// simulated prompts are short.
 pub(super) const PREFILL_US_PER_TOKEN: f64 = 500.0;
 
-/// The model that the engines serve.
+/// Name of the model that all engines serve.
 pub(super) const MODEL: &str = "m";
 
-/// The pool of all engines.
+/// Name of the pool that all engines belong to.
 pub(super) const POOL: &str = "p";
 
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
+/// Time until a connection attempt to an unreachable engine fails.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time until a peer notices that a process has terminated.
 const RESET_DELAY: Duration = Duration::from_millis(1);
 
 pub(super) struct EngineHost {
     pub(super) name: EngineName,
     pub(super) core: Option<EngineCore>,
     pub(super) params: EngineParams,
+    /// Number of starts.
     pub(super) generation: u64,
     pub(super) frozen_until: Timestamp,
-    /// When the first sign showed that it leaves.
+    /// When routers and control machines could first learn that it leaves.
     pub(super) leaving_since: Option<Timestamp>,
-    /// Its arithmetic gives other tokens than that of other engines.
+    /// It generates other tokens than the other engines for the same prompt.
     pub(super) varies: bool,
-    /// The fence of the last order that it obeyed, as the sender truly stood.
-    obeyed: (u64, u64),
+    /// The greatest position that the sender of an executed order really had, regardless of the
+    /// fence in the order.
+    newest_executed_order: (u64, u64),
+    /// Calls that receive the tokens of each running request.
     readers: BTreeMap<RequestId, Vec<u64>>,
+    /// Digests of the requests' prompts, from which tokens are derived.
     digests: BTreeMap<RequestId, u64>,
 }
 
@@ -56,15 +63,15 @@
     pub(super) exchange: u64,
     pub(super) router: usize,
     pub(super) engine: usize,
-    /// 0 until the request has arrived.
+    /// Start of the engine that received the request; 0 until it has arrived.
     engine_generation: u64,
     head_sent: bool,
     broken: bool,
 }
 
-/// What arrives at a router over a connection.
+/// Data or an end that arrives at a router over a connection to an engine.
 #[derive(Clone, Debug)]
-pub(super) enum CallNews {
+pub(super) enum CallEvent {
     Head(UpstreamHead),
     Bytes(String),
     End(UpstreamEnd),
@@ -96,7 +103,7 @@
             frozen_until: Timestamp(0),
             leaving_since: None,
             varies: false,
-            obeyed: (0, 0),
+            newest_executed_order: (0, 0),
             readers: BTreeMap::new(),
             digests: BTreeMap::new(),
         }
@@ -112,15 +119,15 @@
     }
 }
 
-impl World {
+impl SimCluster {
     pub(super) fn start_engine(&mut self, engine: usize) {
-        let incarnation = Incarnation(self.draw() >> 16);
+        let incarnation = Incarnation(self.random_u64() >> 16);
         let host = &mut self.engines[engine];
         host.generation += 1;
         host.core = Some(EngineCore::new(host.params.clone(), incarnation));
         host.readers.clear();
         host.digests.clear();
-        host.obeyed = (0, 0);
+        host.newest_executed_order = (0, 0);
         let record = MachineRecord {
             name: host.name.clone(),
             address: format!("{engine}"),
@@ -133,14 +140,14 @@
         if host.leaving_since.is_none() {
             self.platform.put(record, Duration::from_micros(self.now.0));
         }
-        self.note(format!("engine {engine} starts, empty"));
+        self.note(format!("engine {engine} starts with an empty cache"));
     }
 
     pub(super) fn crash_engine(&mut self, engine: usize) {
         if self.engines[engine].core.take().is_none() {
             return;
         }
-        self.note(format!("engine {engine} ends"));
+        self.note(format!("engine {engine} terminates"));
         let ended: Vec<u64> = self
             .calls
             .iter()
@@ -148,7 +155,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in ended {
-            self.send_news(id, CallNews::End(UpstreamEnd::Ended), RESET_DELAY);
+            self.send_call_event(id, CallEvent::End(UpstreamEnd::Ended), RESET_DELAY);
         }
     }
 
@@ -162,7 +169,7 @@
         Ok(core.probe(now))
     }
 
-    /// Opens a connection for an exchange.
+    /// Opens a connection to the assigned engine and sends the request.
     pub(super) fn open_call(&mut self, exchange: u64, router: usize, call: UpstreamCall) {
         let assignment = match &call {
             UpstreamCall::Start(assignment) | UpstreamCall::Resume { assignment, .. } => assignment,
@@ -184,24 +191,25 @@
             },
         );
         let nodes = (Node::Router(router), Node::Engine(engine));
-        if self.network.is_parted(nodes.0, nodes.1, self.now) {
-            let end = CallNews::End(UpstreamEnd::NotConnected);
-            return self.schedule_news(id, end, self.now.plus(CONNECT_PATIENCE));
+        if self.network.is_cut_either_way(nodes.0, nodes.1, self.now) {
+            let end = CallEvent::End(UpstreamEnd::NotConnected);
+            return self.schedule_call_event(id, end, self.now.plus(CONNECT_TIMEOUT));
         }
         let mut delay = self.network.delay(nodes.0, nodes.1, &mut self.random) * 3;
         let late = self.late_requests.until > self.now;
         if late && self.random.random::<f64>() < 0.3 {
-            // The connection itself is held up: it may meet the engine's next start.
+            // The connection attempt itself is delayed, so the request may reach the next start of
+            // the engine.
             delay += self.late_requests.by;
         } else if self.engines[engine].core.is_none() {
-            let end = CallNews::End(UpstreamEnd::NotConnected);
-            return self.schedule_news(id, end, self.now.plus(delay));
+            let end = CallEvent::End(UpstreamEnd::NotConnected);
+            return self.schedule_call_event(id, end, self.now.plus(delay));
         }
         let at = self.now.plus(delay);
         self.events.schedule(at, Event::EngineReceives { id, call });
     }
 
-    /// A request reaches its engine.
+    /// Handles a request that reaches its engine. A frozen engine receives it when it resumes.
     pub(super) fn engine_receives(&mut self, id: u64, call: UpstreamCall) {
         let Some(known) = self.calls.get(&id) else {
             return;
@@ -214,8 +222,8 @@
         }
         let generation = host.generation;
         if host.core.is_none() {
-            let end = CallNews::End(UpstreamEnd::NotConnected);
-            return self.send_news(id, end, RESET_DELAY);
+            let end = CallEvent::End(UpstreamEnd::NotConnected);
+            return self.send_call_event(id, end, RESET_DELAY);
         }
         if let Some(call) = self.calls.get_mut(&id) {
             call.engine_generation = generation;
@@ -252,16 +260,16 @@
                     refusal: Some(refusal.reason.to_owned()),
                     ..UpstreamHead::default()
                 };
-                self.send_news(id, CallNews::Head(head), Duration::ZERO);
+                self.send_call_event(id, CallEvent::Head(head), Duration::ZERO);
             }
         }
-        self.settle_engine(engine);
+        self.update_engine(engine);
     }
 
     fn engine_request(&self, id: u64, assignment: &Assignment) -> Option<EngineRequest> {
         let exchange = self.exchanges.get(&self.calls.get(&id)?.exchange)?;
-        let ask = self.asks.get(&exchange.ask)?;
-        let prompt = ask.prompt.as_prompt();
+        let caller_request = self.caller_requests.get(&exchange.caller_request)?;
+        let prompt = caller_request.prompt.as_prompt();
         let chain = PrefixChain::new(assignment.cache_salt, prompt, BLOCK_TOKENS);
         Some(EngineRequest {
             id: assignment.request,
@@ -270,27 +278,28 @@
             priority: assignment.priority,
             prompt_tokens: chain.prompt_tokens(),
             chain: chain.hashes().to_vec(),
-            max_tokens: ask.request.output_tokens,
-            tenant: ask.request.tenant as u64 + 1,
-            once: ask.once.clone(),
+            max_tokens: caller_request.workload_request.output_tokens,
+            tenant: caller_request.workload_request.tenant as u64 + 1,
+            once: caller_request.idempotency_key.clone(),
         })
     }
 
-    /// A leaving engine got work. That counts when the router had every means to know better.
+    /// Checks a request that an engine accepted while it leaves. This is a violation if the router
+    /// was healthy for long enough to learn of it and requests are not being delayed.
     fn check_leaving(&mut self, engine: usize, router: usize, assignment: &Assignment) {
         let limit = LEAVING_LIMIT;
         let Some(since) = self.engines[engine].leaving_since else {
             return;
         };
-        let well = self.now.since(self.routers[router].unwell_at) > limit * 2;
+        let healthy = self.now.since(self.routers[router].degraded_at) > limit * 2;
         let late = self.late_requests.until.plus(self.late_requests.by) > self.now;
-        if self.now > since.plus(limit) && well && !late {
+        if self.now > since.plus(limit) && healthy && !late {
             let detail = format!(
-                "engine {engine} leaves since {:.1} s and got request {}",
+                "engine {engine} has been leaving since {:.1} s and accepted request {}",
                 since.0 as f64 / 1e6,
                 assignment.request
             );
-            self.fail(Promise::LeavingIdle, detail);
+            self.fail(Invariant::LeavingIdle, detail);
         }
     }
 
@@ -313,7 +322,7 @@
                 status: 404,
                 ..UpstreamHead::default()
             };
-            return self.send_news(id, CallNews::Head(head), Duration::ZERO);
+            return self.send_call_event(id, CallEvent::Head(head), Duration::ZERO);
         };
         host.readers.entry(assignment.request).or_default().push(id);
         let from = last_event.map_or(0, |event| event as u32 + 1);
@@ -335,11 +344,16 @@
                 load: None,
             };
             self.send_head(id, report);
-            self.send_news(id, CallNews::Bytes(done_event()), Duration::ZERO);
+            self.send_call_event(id, CallEvent::Bytes(done_event()), Duration::ZERO);
         }
     }
 
-    pub(super) fn deliver_order(&mut self, engine: usize, order: &EngineOrder, truth: (u64, u64)) {
+    pub(super) fn deliver_order(
+        &mut self,
+        engine: usize,
+        order: &EngineOrder,
+        sender_position: (u64, u64),
+    ) {
         let host = &mut self.engines[engine];
         let Some(core) = host.core.as_mut() else {
             return;
@@ -347,20 +361,22 @@
         if !core.order(order) {
             return;
         }
-        let before = host.obeyed;
-        host.obeyed = before.max(truth);
+        let before = host.newest_executed_order;
+        host.newest_executed_order = before.max(sender_position);
         let version = order.weights_version;
         self.note(format!(
-            "engine {engine} is ordered to load version {version}"
+            "engine {engine} executes an order to load weights version {version}"
         ));
-        if truth < before {
-            let detail = format!("engine {engine} obeyed {truth:?} after {before:?}");
-            self.fail(Promise::OrderFenced, detail);
+        if sender_position < before {
+            let detail = format!(
+                "engine {engine} executed {sender_position:?} after {before:?} (term, revision)"
+            );
+            self.fail(Invariant::OrderFenced, detail);
         }
-        self.settle_engine(engine);
+        self.update_engine(engine);
     }
 
-    /// Lets every engine that is due produce its tokens.
+    /// Advances every engine that has an event due.
     pub(super) fn advance_engines(&mut self) {
         for engine in 0..self.engines.len() {
             let due = self.engines[engine]
@@ -387,11 +403,12 @@
                 self.engines[engine].readers.remove(&output.id);
             }
         }
-        self.settle_engine(engine);
+        self.update_engine(engine);
     }
 
-    /// Books what an engine did, and lets it load when it wants to.
-    fn settle_engine(&mut self, engine: usize) {
+    /// Passes an engine's executions and violations to the checkers, and starts loading weights if
+    /// the engine is ready to.
+    fn update_engine(&mut self, engine: usize) {
         let now = self.now;
         let Some(core) = self.engines[engine].core.as_mut() else {
             return;
@@ -411,10 +428,14 @@
         for violation in violations {
             let detail = match violation {
                 Violation::OtherTenant(id) => format!("{id} used another tenant's block"),
-                Violation::OtherWeights(id) => format!("{id} used a block of other weights"),
-                Violation::OtherIncarnation(id) => format!("{id} was meant for another start"),
+                Violation::OtherWeights(id) => {
+                    format!("{id} used a block computed with other weights")
+                }
+                Violation::OtherIncarnation(id) => {
+                    format!("{id} was meant for another start of the engine")
+                }
             };
-            self.fail(Promise::CacheTrust, detail);
+            self.fail(Invariant::CacheTrust, detail);
         }
     }
 
@@ -439,17 +460,17 @@
             event += &done_event();
         }
         let disordered = self.disordered.until > self.now;
-        let draw: f64 = self.random.random();
-        if disordered && draw < self.disordered.chance && !output.last {
+        let sample: f64 = self.random.random();
+        if disordered && sample < self.disordered.chance && !output.last {
             return;
         }
-        self.send_news(id, CallNews::Bytes(event.clone()), Duration::ZERO);
-        if disordered && draw > 1.0 - self.disordered.chance {
-            self.send_news(id, CallNews::Bytes(event), Duration::ZERO);
+        self.send_call_event(id, CallEvent::Bytes(event.clone()), Duration::ZERO);
+        if disordered && sample > 1.0 - self.disordered.chance {
+            self.send_call_event(id, CallEvent::Bytes(event), Duration::ZERO);
         }
         let flaky = self.flaky.until > self.now;
         if flaky && self.random.random::<f64>() < self.flaky.chance {
-            self.send_news(id, CallNews::End(UpstreamEnd::Ended), Duration::ZERO);
+            self.send_call_event(id, CallEvent::End(UpstreamEnd::Ended), Duration::ZERO);
             if let Some(call) = self.calls.get_mut(&id) {
                 call.broken = true;
             }
@@ -467,12 +488,13 @@
                 report,
                 ..UpstreamHead::default()
             };
-            self.send_news(id, CallNews::Head(head), Duration::ZERO);
+            self.send_call_event(id, CallEvent::Head(head), Duration::ZERO);
         }
     }
 
-    /// Sends something over a connection, behind what was sent before.
-    fn send_news(&mut self, id: u64, news: CallNews, extra: Duration) {
+    /// Sends data over a connection, ordered after what was sent before. A cut breaks the
+    /// connection permanently.
+    fn send_call_event(&mut self, id: u64, call_event: CallEvent, extra: Duration) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -486,23 +508,24 @@
         let delay = self.network.delay(nodes.0, nodes.1, &mut self.random) + extra;
         let channel = (nodes.0, nodes.1, id);
         let at = self.network.ordered_arrival(channel, self.now.plus(delay));
-        self.schedule_news(id, news, at);
+        self.schedule_call_event(id, call_event, at);
     }
 
-    fn schedule_news(&mut self, id: u64, news: CallNews, at: Timestamp) {
-        self.events.schedule(at, Event::CallNews { id, news });
+    fn schedule_call_event(&mut self, id: u64, call_event: CallEvent, at: Timestamp) {
+        self.events
+            .schedule(at, Event::RouterReceives { id, call_event });
     }
 
     fn digest_of_call(&self, id: u64) -> u64 {
-        let ask = self
+        let caller_request = self
             .calls
             .get(&id)
             .and_then(|call| self.exchanges.get(&call.exchange))
-            .and_then(|exchange| self.asks.get(&exchange.ask));
-        ask.map_or(0, |ask| ask.digest)
+            .and_then(|exchange| self.caller_requests.get(&exchange.caller_request));
+        caller_request.map_or(0, |caller_request| caller_request.digest)
     }
 
-    /// A cancelled request, told to the engine that has it.
+    /// Cancels a request at the engine that it is assigned to.
     pub(super) fn cancel_at_engine(&mut self, assignment: &Assignment) {
         if let Some(engine) = self.engine_named(&assignment.engine) {
             if let Some(core) = self.engines[engine].core.as_mut() {
@@ -512,7 +535,8 @@
     }
 }
 
-/// The tokens of an engine that varies are those of weights that nobody has.
+/// The weights version from which tokens are derived. For an engine that varies this is one that no
+/// engine loads, so its tokens differ from those of the other engines.
 fn apparent_version(host: &EngineHost, output: &EngineOutput) -> WeightsVersion {
     const VARIATION: u64 = 2;
     let version = output.weights_version.0;
@@ -523,7 +547,7 @@
     })
 }
 
-/// The caller's key of a number.
-pub(super) fn once_key(number: u64) -> IdempotencyKey {
+/// The idempotency key of the caller request with this number.
+pub(super) fn idempotency_key_of(number: u64) -> IdempotencyKey {
     IdempotencyKey::new(format!("once-{number}"))
 }
--- a/crates/testbed/src/sim/faults.rs
+++ b/crates/testbed/src/sim/faults.rs
@@ -1,29 +1,29 @@
-//! Carries out what a plan says goes wrong.
+//! Applies the faults of a plan to the simulated cluster.
 
 use std::time::Duration;
 
 use drumshore_core::RolloutState;
 
+use super::cluster::{Event, SimCluster};
 use super::network::{Loss, Node};
-use super::operators::Wish;
+use super::operators::DesiredChange;
 use super::plan::Fault;
-use super::world::{Event, World};
-use crate::sim::controls::Lateness;
+use crate::sim::controls::ExtraDelay;
 
-/// A machine that leaves is taken away this long after the platform says so.
-const TAKEN_AFTER: Duration = Duration::from_secs(9);
+/// Time between the platform's announcement that a machine leaves and its removal.
+const REMOVAL_DELAY: Duration = Duration::from_secs(9);
 
-/// A machine that still works when it is to be taken away gets this much more time.
-const TAKEN_PAUSE: Duration = Duration::from_millis(500);
+/// Retry interval for removing a machine that still has open requests.
+const REMOVAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-impl World {
+impl SimCluster {
     pub(super) fn apply_fault(&mut self, number: usize) {
         let fault = self.plan.faults[number].fault.clone();
         self.note(format!("FAULT {fault}"));
         match fault {
             Fault::EngineCrash { engine, away } => {
                 self.crash_engine(engine);
-                self.later(away, Event::StartEngine(engine));
+                self.schedule_after(away, Event::StartEngine(engine));
             }
             Fault::EngineSlow { engine, factor } => self.slow_engine(engine, factor),
             Fault::EngineFreeze { engine, lasting } => {
@@ -34,16 +34,16 @@
             Fault::RouterIsolated { router, lasting } => self.isolate_router(router, lasting),
             Fault::EngineDrained { engine } => {
                 let name = self.engines[engine].name.clone();
-                self.wish(Wish::Drain(name));
+                self.start_operation(DesiredChange::Drain(name));
             }
             Fault::RouterCrash { router, away } => {
                 self.crash_router(router);
-                self.later(away, Event::StartRouter(router));
+                self.schedule_after(away, Event::StartRouter(router));
             }
             Fault::RouterStop { router } => self.stop_router(router),
             Fault::ControlCrash { control, away } => {
                 self.crash_control(control);
-                self.later(away, Event::StartControl(control, false));
+                self.schedule_after(away, Event::StartControl(control, false));
             }
             Fault::ControlReplaced { control } => self.replace_control(control),
             Fault::ControlWiped { control } => self.wipe_control(control),
@@ -67,20 +67,24 @@
             }
             Fault::LateRequests { by, lasting } => {
                 let until = self.now.plus(lasting);
-                self.late_requests = Lateness { by, until };
+                self.late_requests = ExtraDelay { by, until };
             }
             Fault::LateOrders { by, lasting } => {
                 let until = self.now.plus(lasting);
-                self.late_orders = Lateness { by, until };
+                self.late_orders = ExtraDelay { by, until };
             }
             Fault::Surge { factor, lasting } => self.surge = self.chance(factor, lasting),
             Fault::HotShift => self.hot_offset += self.plan.workload.hot_shift_seconds,
-            Fault::RolloutStarts => self.wish(Wish::Rollout(RolloutState::Running)),
-            Fault::RolloutRollsBack => self.wish(Wish::Rollout(RolloutState::RolledBack)),
+            Fault::RolloutStarts => {
+                self.start_operation(DesiredChange::Rollout(RolloutState::Running))
+            }
+            Fault::RolloutRollsBack => {
+                self.start_operation(DesiredChange::Rollout(RolloutState::RolledBack))
+            }
         }
     }
 
-    fn later(&mut self, after: Duration, event: Event) {
+    fn schedule_after(&mut self, after: Duration, event: Event) {
         self.events.schedule(self.now.plus(after), event);
     }
 
@@ -103,20 +107,21 @@
         let now = Duration::from_micros(self.now.0);
         let name = self.engines[engine].name.clone();
         self.platform.leave(&name, now);
-        // The first sign is the list, and the list lags by a second.
+        // Control machines can learn of it from the platform's list at the earliest, which lags by
+        // one second.
         let shown = self.now.plus(Duration::from_secs(1));
         self.engines[engine].leaving_since.get_or_insert(shown);
-        self.later(TAKEN_AFTER, Event::EngineTaken(engine));
+        self.schedule_after(REMOVAL_DELAY, Event::RemoveEngine(engine));
     }
 
-    /// The platform takes a machine away once it has nothing more to do.
-    pub(super) fn take_engine(&mut self, engine: usize) {
+    /// Removes a machine that leaves from the platform as soon as it has no open requests.
+    pub(super) fn remove_engine(&mut self, engine: usize) {
         let idle = self.engines[engine]
             .core
             .as_ref()
             .is_none_or(|core| core.open() == 0);
         if !idle {
-            return self.later(TAKEN_PAUSE, Event::EngineTaken(engine));
+            return self.schedule_after(REMOVAL_RETRY_INTERVAL, Event::RemoveEngine(engine));
         }
         let now = Duration::from_micros(self.now.0);
         let name = self.engines[engine].name.clone();
@@ -161,30 +166,36 @@
         routers.chain(controls).chain(engines).collect()
     }
 
-    /// A router is well while it is linked to a control machine that reaches a majority.
-    pub(super) fn note_unwell_routers(&mut self) {
+    /// Records which routers are degraded now. A router is healthy while it is not stopping and is
+    /// linked to a control machine that reaches a majority, and a majority of them does.
+    pub(super) fn update_degraded_routers(&mut self) {
         let majority = self.controls.len() / 2 + 1;
-        let in_touch: Vec<bool> = (0..self.controls.len())
+        let reaches_majority: Vec<bool> = (0..self.controls.len())
             .map(|control| self.reachable_from(control) >= majority)
             .collect();
-        let quorum = in_touch.iter().filter(|in_touch| **in_touch).count() >= majority;
+        let quorum = reaches_majority
+            .iter()
+            .filter(|reaches_majority| **reaches_majority)
+            .count()
+            >= majority;
         for router in 0..self.routers.len() {
             let linked = self.links.values().any(|link| {
                 let nodes = (Node::Router(router), Node::Control(link.control));
                 link.router == router
                     && !link.broken
                     && self.link_is_alive(link)
-                    && in_touch[link.control]
-                    && !self.network.is_parted(nodes.0, nodes.1, self.now)
+                    && reaches_majority[link.control]
+                    && !self.network.is_cut_either_way(nodes.0, nodes.1, self.now)
             });
             let stopping = self.routers[router].stopping;
             if !linked || !quorum || stopping {
-                self.routers[router].unwell_at = self.now;
+                self.routers[router].degraded_at = self.now;
             }
         }
     }
 
-    /// Control machines that run and hear this one, itself included.
+    /// Number of running control machines that this one can exchange messages with, itself
+    /// included; 0 if it does not run.
     fn reachable_from(&self, control: usize) -> usize {
         let runs = |host: usize| self.controls[host].actor.is_some();
         if !runs(control) {
@@ -194,7 +205,7 @@
             .filter(|other| runs(*other))
             .filter(|other| {
                 let pair = (Node::Control(control), Node::Control(*other));
-                *other == control || !self.network.is_parted(pair.0, pair.1, self.now)
+                *other == control || !self.network.is_cut_either_way(pair.0, pair.1, self.now)
             })
             .count()
     }
--- a/crates/testbed/src/sim/routers.rs
+++ b/crates/testbed/src/sim/routers.rs
@@ -13,30 +13,34 @@
 use drumshore_wire::Message;
 use stakker::{actor, call, ret_nop, ActorOwn, Fwd, Ret};
 
-use super::checks::Promise;
+use super::checks::Invariant;
+use super::cluster::{Event, Output, SimCluster};
 use super::network::Node;
-use super::world::{Event, Output, World};
 
-/// How long opening a link to a silent machine takes.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
+/// Time until a connection attempt to an unreachable control machine fails.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A process that has crashed is noticed by its peers after this long.
+/// Time until a peer notices that a process has terminated.
 const RESET_DELAY: Duration = Duration::from_millis(1);
 
+/// Files that a router has stored; they survive its crashes.
 type Store = Rc<RefCell<BTreeMap<StoredFile, Vec<u8>>>>;
 
 pub(super) struct RouterHost {
     pub(super) actor: Option<ActorOwn<RouterActor>>,
+    /// Number of starts; events for earlier starts are ignored.
     pub(super) generation: u64,
     pub(super) stopping: bool,
-    /// When it last was down, cut off or newly started; configuration needs time after that.
-    pub(super) unwell_at: Timestamp,
-    /// Set at a restart, until its first request is placed.
+    /// Last time at which it was down, cut off, stopping or just started; changes of configuration
+    /// need some time after that to reach it.
+    pub(super) degraded_at: Timestamp,
+    /// Time of a restart, until the first request after it is placed.
     pub(super) restarted_at: Option<Timestamp>,
     store: Store,
 }
 
-/// A link as the network sees it.
+/// A connection between a router and a control machine, with the starts of both that it belongs
+/// to.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SimLink {
     pub(super) router: usize,
@@ -45,7 +49,8 @@
     pub(super) control: usize,
     pub(super) control_generation: u64,
     pub(super) connection: ConnectionId,
-    /// Something was lost on it; TCP will never deliver what follows.
+    /// A message was lost in a cut. Later messages are never delivered, as on a TCP connection, and
+    /// the next one that is sent outside a cut resets the link.
     pub(super) broken: bool,
 }
 
@@ -55,16 +60,16 @@
             actor: None,
             generation: 0,
             stopping: false,
-            unwell_at: Timestamp(0),
+            degraded_at: Timestamp(0),
             restarted_at: None,
             store: Store::default(),
         }
     }
 }
 
-impl World {
+impl SimCluster {
     pub(super) fn start_router(&mut self, router: usize) {
-        let seed = self.draw();
+        let seed = self.random_u64();
         let stored = {
             let store = self.routers[router].store.borrow();
             let file = |file| store.get(&file).map(Vec::as_slice);
@@ -73,8 +78,8 @@
         let stored = match stored {
             Ok(stored) => stored,
             Err(error) => {
-                let detail = format!("router {router} cannot read its own files: {error}");
-                return self.fail(Promise::ServesAfterRestart, detail);
+                let detail = format!("router {router} cannot read its stored files: {error}");
+                return self.fail(Invariant::ServesAfterRestart, detail);
             }
         };
         let first_start = stored.config.is_blank();
@@ -93,7 +98,7 @@
         let host = &mut self.routers[router];
         host.generation += 1;
         host.stopping = false;
-        host.unwell_at = now;
+        host.degraded_at = now;
         host.restarted_at = (!first_start).then_some(now);
         let generation = host.generation;
         let outputs = outputs(router, generation, &host.store, &self.outbox);
@@ -102,13 +107,13 @@
         self.note(format!("router {router} starts"));
     }
 
-    /// A router's process ends at once; all its connections break.
+    /// Terminates a router's process at once; all its connections break.
     pub(super) fn crash_router(&mut self, router: usize) {
         if self.routers[router].actor.take().is_none() {
             return;
         }
-        self.routers[router].unwell_at = self.now;
-        self.note(format!("router {router} ends"));
+        self.routers[router].degraded_at = self.now;
+        self.note(format!("router {router} terminates"));
         let at = self.now.plus(RESET_DELAY);
         let ended: Vec<u64> = self
             .links
@@ -119,10 +124,11 @@
         for id in ended {
             self.events.schedule(at, Event::LinkReset(id));
         }
-        self.lose_exchanges_of(router);
+        self.drop_exchanges_of(router);
     }
 
-    /// A router is told to stop, and ends when it says that it has finished.
+    /// Asks a router to stop gracefully; its process terminates when it reports that it has
+    /// drained.
     pub(super) fn stop_router(&mut self, router: usize) {
         let outbox = Rc::clone(&self.outbox);
         let host = &mut self.routers[router];
@@ -138,10 +144,11 @@
             }
         });
         call!([actor], stop(drained));
-        self.note(format!("router {router} is told to stop"));
+        self.note(format!("router {router} is asked to stop"));
     }
 
-    /// A stopping router has nothing left to do.
+    /// Handles a stopping router's report that it has drained: checks that it has no open requests,
+    /// and schedules its restart.
     pub(super) fn on_drained(&mut self, router: usize, generation: u64) {
         const RESTART: Duration = Duration::from_millis(500);
         let host = &self.routers[router];
@@ -151,7 +158,7 @@
         let open = self.open_exchanges_of(router);
         if open > 0 {
             let detail = format!("router {router} stopped with {open} requests in flight");
-            self.fail(Promise::PlannedStop, detail);
+            self.fail(Invariant::PlannedStop, detail);
         }
         self.crash_router(router);
         let at = self.now.plus(RESTART);
@@ -160,15 +167,15 @@
 
     pub(super) fn on_connect(&mut self, router: usize, generation: u64, link: LinkId, peer: usize) {
         let (from, to) = (Node::Router(router), Node::Control(peer));
-        let reachable =
-            self.controls[peer].actor.is_some() && !self.network.is_parted(from, to, self.now);
+        let reachable = self.controls[peer].actor.is_some()
+            && !self.network.is_cut_either_way(from, to, self.now);
         if !reachable {
-            let patience = if self.controls[peer].actor.is_some() {
-                CONNECT_PATIENCE
+            let timeout = if self.controls[peer].actor.is_some() {
+                CONNECT_TIMEOUT
             } else {
                 RESET_DELAY
             };
-            let at = self.now.plus(patience);
+            let at = self.now.plus(timeout);
             let closed = Event::LinkFailed {
                 router,
                 generation,
@@ -216,7 +223,7 @@
             && control.generation == link.control_generation
     }
 
-    /// Both ends learn that a link is over.
+    /// Removes a link and closes it at both ends, unless they have restarted since.
     pub(super) fn reset_link(&mut self, id: u64) {
         let Some(link) = self.links.remove(&id) else {
             return;
@@ -324,16 +331,16 @@
         }
     }
 
-    /// What each router applies, for the checkers.
+    /// Passes the revision that each router applies to the checkers.
     pub(super) fn observe_routers(&mut self) {
         for router in 0..self.routers.len() {
-            if let Some(floor) = self.floor_of(router) {
-                self.checks.on_floor(router, floor, self.now);
+            if let Some(floor) = self.applied_revision(router) {
+                self.checks.on_applied_revision(router, floor, self.now);
             }
         }
     }
 
-    pub(super) fn floor_of(&mut self, router: usize) -> Option<u64> {
+    pub(super) fn applied_revision(&mut self, router: usize) -> Option<u64> {
         let actor = self.routers[router].actor.as_ref()?;
         actor.query(&mut self.stakker, |actor, _| {
             actor.core().config().floor().0
--- a/crates/testbed/src/sim/shrink.rs
+++ b/crates/testbed/src/sim/shrink.rs
@@ -1,19 +1,19 @@
-//! Makes a failing plan smaller: leaves out faults as long as the same promise breaks.
+//! Reduces a failing plan: removes faults as long as the same invariant is violated.
 
 use drumshore_guard::Guard;
 
-use super::checks::Promise;
+use super::checks::Invariant;
+use super::cluster::run;
 use super::plan::Plan;
-use super::world::run;
 
-/// The plan without the faults that are not needed to break the promise.
-pub(super) fn shrink(plan: &Plan, seed: u64, without: Option<Guard>, promise: Promise) -> Plan {
+/// Removes, one after the other, faults without which the plan still violates the invariant.
+pub(super) fn shrink(plan: &Plan, seed: u64, without: Option<Guard>, invariant: Invariant) -> Plan {
     let breaks = |plan: &Plan| {
         let report = run(plan, seed, without);
         report
             .failures
             .iter()
-            .any(|failure| failure.promise == promise)
+            .any(|failure| failure.invariant == invariant)
     };
     let mut smallest = plan.clone();
     let mut position = 0;
