--- a/crates/gateway-core/src/control/heartbeat_times.rs
+++ b/crates/gateway-core/src/control/heartbeat_times.rs
@@ -80,7 +80,7 @@
         unforwarded.dedup();
         let leader = self.leader().filter(|_| self.role() != Role::Leader);
         if let Some(leader) = leader.filter(|_| !unforwarded.is_empty()) {
-            let message = Message::Heard(List::new(unforwarded));
+            let message = Message::ForwardedHeartbeats(List::new(unforwarded));
             self.effects.push(Effect::ToControl(leader, message));
         }
     }
--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -305,7 +305,7 @@
             }
             Message::Propose(proposals) => self.on_proposals(proposals.items),
             Message::Join(replica) => self.on_join(replica),
-            Message::Heard(keys) => self.on_forwarded_heartbeats(&keys.items),
+            Message::ForwardedHeartbeats(keys) => self.on_forwarded_heartbeats(&keys.items),
             Message::News(news) => self.on_news(&news),
             _ => {}
         }
--- a/crates/gateway-core/src/control/news.rs
+++ b/crates/gateway-core/src/control/news.rs
@@ -59,7 +59,7 @@
         message,
         Message::LoadsOfAll { .. }
             | Message::Holders(_)
-            | Message::Suspects(_)
-            | Message::Refusing(_)
+            | Message::UnresponsiveBackEnds(_)
+            | Message::RefusingBackEnds(_)
     )
 }
--- a/crates/gateway-core/src/control/refusing.rs
+++ b/crates/gateway-core/src/control/refusing.rs
@@ -43,7 +43,7 @@
         if new.is_empty() {
             return;
         }
-        let message = Message::Refusing(List::new(new));
+        let message = Message::RefusingBackEnds(List::new(new));
         self.broadcast_news(message, Some(from));
     }
 }
--- a/crates/gateway-core/src/control/routers.rs
+++ b/crates/gateway-core/src/control/routers.rs
@@ -114,8 +114,8 @@
                     router.loads = LoadReport::of(now, loads.items);
                 }
             }
-            Message::Suspects(keys) => self.on_suspects(connection, &keys.items),
-            Message::Refusing(keys) => self.on_refusing(connection, &keys.items),
+            Message::UnresponsiveBackEnds(keys) => self.on_suspects(connection, &keys.items),
+            Message::RefusingBackEnds(keys) => self.on_refusing(connection, &keys.items),
             Message::Holders(entries) => self.on_holders(&entries.items),
             Message::FingerprintReports(reports) => self.on_fingerprint_reports(&reports.items),
             Message::Usage(entries) => self.on_usage(connection, &entries.items),
--- a/crates/gateway-core/src/control/stored.rs
+++ b/crates/gateway-core/src/control/stored.rs
@@ -46,7 +46,7 @@
 
 impl Stored {
     fn full_contents(&self, store: StoreId) -> Message {
-        Message::Stored {
+        Message::StoreContents {
             store,
             known: u8::from(self.held.is_some()),
             reset: 1,
@@ -102,7 +102,7 @@
         if std::mem::take(&mut self.reset) {
             return Some(self.full_contents(store));
         }
-        Some(Message::Stored {
+        Some(Message::StoreContents {
             store,
             known: 1,
             reset: 0,
--- a/crates/gateway-core/src/control/suspects.rs
+++ b/crates/gateway-core/src/control/suspects.rs
@@ -105,7 +105,7 @@
         if keys.is_empty() {
             return;
         }
-        let message = Message::Suspects(List::new(keys.to_vec()));
+        let message = Message::UnresponsiveBackEnds(List::new(keys.to_vec()));
         self.broadcast_news(message, except);
     }
 }
--- a/crates/gateway-core/src/message.rs
+++ b/crates/gateway-core/src/message.rs
@@ -356,7 +356,7 @@
     Join(ReplicaId),
     /// From a control machine to the leader: back ends whose heartbeats it received.
     #[brw(magic(5u8))]
-    Heard(List<BackEndKey>),
+    ForwardedHeartbeats(List<BackEndKey>),
     /// From a control machine: the replicated state has changed.
     #[brw(magic(6u8))]
     Announce(Announcement),
@@ -396,7 +396,7 @@
     Loads(List<LoadEntry>),
     /// From the leader: the contents of a store of cached prompts.
     #[brw(magic(12u8))]
-    Stored {
+    StoreContents {
         /// The store.
         store: StoreId,
         /// 0 if the store is unresponsive.
@@ -414,11 +414,11 @@
     /// From a router: the keys of unresponsive back ends, see [`LoadEntry::key_of`]. From
     /// the leader: those that another router reported.
     #[brw(magic(14u8))]
-    Suspects(List<u32>),
+    UnresponsiveBackEnds(List<u32>),
     /// From a router: the keys of back ends that refused a request, see [`LoadEntry::key_of`].
     /// From the leader: those that other routers reported.
     #[brw(magic(15u8))]
-    Refusing(List<u32>),
+    RefusingBackEnds(List<u32>),
     /// From the leader: the load that all routers put on back ends, including the receiver's, which the receiver
     /// subtracts by [`LoadEntry::without`].
     #[brw(magic(16u8))]
--- a/crates/gateway-core/tests/control/back_ends.rs
+++ b/crates/gateway-core/tests/control/back_ends.rs
@@ -149,7 +149,7 @@
         cluster.to_routers.clear();
         cluster.run(Duration::from_millis(100));
         let mut sent = cluster.to_routers.iter();
-        sent.any(|(_, _, message)| matches!(message, Message::Stored { known: 0, .. }))
+        sent.any(|(_, _, message)| matches!(message, Message::StoreContents { known: 0, .. }))
     };
     assert!(announces_loss(&mut cluster));
     assert!(!announces_loss(&mut cluster), "it is announced only once");
--- a/crates/gateway-core/tests/control/fleet.rs
+++ b/crates/gateway-core/tests/control/fleet.rs
@@ -45,7 +45,7 @@
     let heartbeat_messages = cluster
         .sent_to_control
         .iter()
-        .filter(|message| matches!(message, Message::Heard(_)));
+        .filter(|message| matches!(message, Message::ForwardedHeartbeats(_)));
     let sizes: Vec<usize> = heartbeat_messages
         .map(|message| message.encode().len())
         .collect();
@@ -222,7 +222,7 @@
 /// nothing else.
 #[rstest]
 #[case::loads(Message::LoadsOfAll { whole: 1, loads: List::new(Vec::new()) }, 1)]
-#[case::unresponsive_back_ends(Message::Suspects(List::new(vec![7])), 1)]
+#[case::unresponsive_back_ends(Message::UnresponsiveBackEnds(List::new(vec![7])), 1)]
 #[case::changes_of_the_state(Message::Changes(Changes::default()), 0)]
 fn a_machine_forwards_news_to_the_routers_that_follow_it(
     #[case] message: Message,
@@ -266,7 +266,7 @@
     let (mut cluster, leader, follower) = with_follower();
     cluster.link_router(leader, ConnectionId(1), "10.1.0.1:80");
     cluster.link_router(follower, ConnectionId(2), "10.1.0.2:80");
-    let message = Message::Suspects(List::new(vec![7]));
+    let message = Message::UnresponsiveBackEnds(List::new(vec![7]));
     let now = cluster.now;
     let core = cluster.core(leader);
     core.on_router(now, ConnectionId(1), message.clone());
--- a/crates/gateway-core/tests/control/routers.rs
+++ b/crates/gateway-core/tests/control/routers.rs
@@ -244,12 +244,12 @@
         cluster.run(Duration::from_millis(100));
         let messages = cluster.to_routers.iter();
         messages
-            .filter(|(_, _, message)| matches!(message, Message::Stored { .. }))
+            .filter(|(_, _, message)| matches!(message, Message::StoreContents { .. }))
             .map(|(_, _, message)| message.clone())
             .next_back()
             .unwrap()
     };
-    let stored = |known, reset, added: Vec<StoredKey>| Message::Stored {
+    let stored = |known, reset, added: Vec<StoredKey>| Message::StoreContents {
         store,
         known,
         reset,
--- a/crates/gateway-core/tests/control/unresponsive.rs
+++ b/crates/gateway-core/tests/control/unresponsive.rs
@@ -10,7 +10,7 @@
     #[case] expected: usize,
 ) {
     let (mut cluster, machine) = with_two_routers(at_leader);
-    let message = Message::Suspects(List::new(vec![LoadEntry::key_of("i-1")]));
+    let message = Message::UnresponsiveBackEnds(List::new(vec![LoadEntry::key_of("i-1")]));
     let now = cluster.now;
     let core = cluster.core(machine);
     core.on_router(now, ConnectionId(1), message.clone());
@@ -25,14 +25,14 @@
 
 /// The number of reports to the second router that the first back end is unresponsive.
 fn suspect_messages_received(cluster: &Cluster) -> usize {
-    let message = Message::Suspects(List::new(vec![LoadEntry::key_of("i-1")]));
+    let message = Message::UnresponsiveBackEnds(List::new(vec![LoadEntry::key_of("i-1")]));
     let sent = cluster.to_routers.iter();
     sent.filter(|(_, connection, sent)| *connection == ConnectionId(2) && *sent == message)
         .count()
 }
 
 fn report_unresponsive(cluster: &mut Cluster, leader: Ipv4Addr) {
-    let message = Message::Suspects(List::new(vec![LoadEntry::key_of("i-1")]));
+    let message = Message::UnresponsiveBackEnds(List::new(vec![LoadEntry::key_of("i-1")]));
     let now = cluster.now;
     let core = cluster.core(leader);
     core.on_router(now, ConnectionId(1), message);
@@ -75,7 +75,7 @@
 #[test]
 fn reports_of_a_refusing_back_end_are_rate_limited() {
     let (mut cluster, leader) = with_two_routers(true);
-    let message = Message::Refusing(List::new(vec![LoadEntry::key_of("i-1")]));
+    let message = Message::RefusingBackEnds(List::new(vec![LoadEntry::key_of("i-1")]));
     for _ in 0..10 {
         let now = cluster.now;
         let core = cluster.core(leader);
--- a/crates/gateway-core/tests/wire_layout.rs
+++ b/crates/gateway-core/tests/wire_layout.rs
@@ -111,7 +111,7 @@
         ("join", Message::Join(ReplicaId(4))),
         (
             "heard",
-            Message::Heard(List::new(vec![BackEndKey::of("i-1")])),
+            Message::ForwardedHeartbeats(List::new(vec![BackEndKey::of("i-1")])),
         ),
         ("announce", Message::Announce(Announcement { revision: 5 })),
         (
@@ -136,7 +136,7 @@
         ("loads", Message::Loads(List::new(vec![load()]))),
         (
             "stored",
-            Message::Stored {
+            Message::StoreContents {
                 store: StoreId(14),
                 known: 1,
                 reset: 1,
@@ -151,8 +151,11 @@
                 key: 18,
             }])),
         ),
-        ("suspects", Message::Suspects(List::new(vec![19]))),
-        ("refusing", Message::Refusing(List::new(vec![20]))),
+        (
+            "suspects",
+            Message::UnresponsiveBackEnds(List::new(vec![19])),
+        ),
+        ("refusing", Message::RefusingBackEnds(List::new(vec![20]))),
         (
             "loads_of_all",
             Message::LoadsOfAll {
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -291,7 +291,7 @@
                 .on_zone(address, zone.as_str());
             poll(router, links);
         }
-        Message::Stored {
+        Message::StoreContents {
             store,
             known,
             reset,
@@ -301,7 +301,7 @@
             let mut core = router.core.borrow_mut();
             core.on_stored(store, known != 0, reset != 0, &added.items, &removed.items);
         }
-        Message::Suspects(keys) => {
+        Message::UnresponsiveBackEnds(keys) => {
             let now = router.clock.now();
             let unresponsive = router.core.borrow_mut().on_suspects(now, &keys.items);
             for instance in unresponsive {
@@ -310,7 +310,7 @@
                 router.upstreams.close_idle(&instance);
             }
         }
-        Message::Refusing(keys) => {
+        Message::RefusingBackEnds(keys) => {
             let now = router.clock.now();
             router.core.borrow_mut().on_refusing(now, &keys.items);
             tracing::info!(
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -60,11 +60,12 @@
             continue;
         }
         let suspects = router.core.borrow_mut().take_suspects();
-        if !suspects.is_empty() && !sender.send(&Message::Suspects(List::new(suspects))) {
+        if !suspects.is_empty() && !sender.send(&Message::UnresponsiveBackEnds(List::new(suspects)))
+        {
             return "closed";
         }
         let refusing = router.core.borrow_mut().take_refusing();
-        if !refusing.is_empty() && !sender.send(&Message::Refusing(List::new(refusing))) {
+        if !refusing.is_empty() && !sender.send(&Message::RefusingBackEnds(List::new(refusing))) {
             return "closed";
         }
         let learned = router.core.borrow_mut().take_holder_reports();
