--- a/crates/gateway-core/src/router/notices.rs
+++ b/crates/gateway-core/src/router/notices.rs
@@ -44,18 +44,18 @@
     leaving_until: Timestamp,
     /// Limits this router's requests in flight after a backoff; `None` while there is no such limit.
     window: Option<Window>,
-    /// The rate limit that the back end named last.
-    limit: Option<NamedLimit>,
+    /// The rate limit that the back end announced last.
+    limit: Option<AnnouncedLimit>,
 }
 
-/// A rate limit that a back end named.
+/// A rate limit that a back end announced.
 #[derive(Clone, Debug)]
-struct NamedLimit {
+struct AnnouncedLimit {
     rate: RequestRate,
     /// This router's share of the rate.
     share: RateShare,
-    /// When the back end last named a limit.
-    last_named: Timestamp,
+    /// When the back end last announced a limit.
+    last_announced: Timestamp,
 }
 
 /// Whether a back end may be sent a request according to its notices.
@@ -121,12 +121,12 @@
     pub limit: Option<LimitChange>,
 }
 
-/// A change of the rate limit that a back end names.
+/// A change of the rate limit that a back end announces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// The back end names this limit.
-    Named(RequestRate),
-    /// The back end no longer names a limit.
+    /// The back end announces this limit.
+    Announced(RequestRate),
+    /// The back end no longer announces a limit.
     Ended,
 }
 
@@ -156,37 +156,37 @@
     }
 
     /// A lower limit takes effect at once. A higher limit, or the end of the limit, takes effect only if the answer is
-    /// to a request that was sent after the limit was last named, because answers may arrive out of order.
+    /// to a request that was sent after the limit was last announced, because answers may arrive out of order.
     fn apply_limit(
         &mut self,
-        named: Option<RequestRate>,
+        announced: Option<RequestRate>,
         context: NoticeContext,
     ) -> Option<LimitChange> {
         let now = context.now;
         let Some(held) = &mut self.limit else {
-            let rate = named?;
+            let rate = announced?;
             let (routers, seed) = (context.routers, context.seed);
             let share = RateShare::new(now, rate.as_per_second(), routers, seed);
-            let last_named = now;
-            self.limit = Some(NamedLimit {
+            let last_announced = now;
+            self.limit = Some(AnnouncedLimit {
                 rate,
                 share,
-                last_named,
+                last_announced,
             });
-            return Some(LimitChange::Named(rate));
+            return Some(LimitChange::Announced(rate));
         };
-        let is_newer = context.request_sent_at >= held.last_named;
-        let Some(rate) = named else {
+        let is_newer = context.request_sent_at >= held.last_announced;
+        let Some(rate) = announced else {
             self.limit.take_if(|_| is_newer)?;
             return Some(LimitChange::Ended);
         };
-        held.last_named = now;
+        held.last_announced = now;
         if rate == held.rate || (rate > held.rate && !is_newer) {
             return None;
         }
         held.rate = rate;
         held.share.set_rate(now, rate.as_per_second());
-        Some(LimitChange::Named(rate))
+        Some(LimitChange::Announced(rate))
     }
 
     /// The rate limit in force, if there is one.
@@ -268,7 +268,7 @@
     fn expires_at(&self) -> Timestamp {
         let limit = self.limit.as_ref();
         let limit = limit.map_or(Timestamp::default(), |limit| {
-            limit.last_named.plus(ABSENT_LIMIT_TTL)
+            limit.last_announced.plus(ABSENT_LIMIT_TTL)
         });
         self.backoff_until.max(self.leaving_until).max(limit)
     }
--- a/crates/gateway-core/src/router/notices_tests.rs
+++ b/crates/gateway-core/src/router/notices_tests.rs
@@ -228,8 +228,8 @@
 fn a_notice_from_a_removed_back_end_is_kept() {
     let mut router = router_with(vec![record("app-2", "apps", 2)]);
     router.on_notice(at(10), &id("app-1"), leaving(), at(10));
-    let named = vec![record("app-1", "apps", 12)];
-    update(&mut router, at(20), changes(10, 12, named));
+    let registered = vec![record("app-1", "apps", 12)];
+    update(&mut router, at(20), changes(10, 12, registered));
     assert_eq!(chosen(&mut router, at(30)), [id("app-2")]);
 }
 
@@ -347,22 +347,22 @@
     }
 }
 
-/// An answer arrives after a limit of 2 requests per second was named at 100 ms.
+/// An answer arrives after a limit of 2 requests per second was announced at 100 ms.
 #[rstest]
 #[case::falls(90, Some(1.0), Some(1.0))]
 #[case::rises(100, Some(3.0), Some(3.0))]
-#[case::an_older_answer_that_names_more(90, Some(3.0), Some(2.0))]
+#[case::an_older_answer_that_announces_more(90, Some(3.0), Some(2.0))]
 #[case::ends(100, None, None)]
-#[case::an_older_answer_that_names_none(90, None, Some(2.0))]
+#[case::an_older_answer_that_announces_none(90, None, Some(2.0))]
 fn a_limit_is_raised_or_ended_only_by_a_newer_answer(
     #[case] asked: u64,
-    #[case] named: Option<f64>,
+    #[case] announced: Option<f64>,
     #[case] expected: Option<f64>,
 ) {
     let mut router = router();
     let app = id("app-1");
     router.on_notice(at(100), &app, limited(2.0), at(50));
-    let notice = named.map_or(BackEndNotice::default(), limited);
+    let notice = announced.map_or(BackEndNotice::default(), limited);
     router.on_notice(at(110), &app, notice, at(asked));
     let limit = router.limit_of(&app).map(RequestRate::as_per_second);
     assert_eq!(limit, expected);
@@ -372,9 +372,9 @@
 fn only_changes_of_a_limit_are_returned() {
     let mut router = router();
     let app = id("app-1");
-    let named = |rate: f64| RequestRate::per_second(rate).map(LimitChange::Named);
+    let announced = |rate: f64| RequestRate::per_second(rate).map(LimitChange::Announced);
     let first = router.on_notice(at(100), &app, limited(2.0), at(50));
-    assert_eq!(first.limit, named(2.0));
+    assert_eq!(first.limit, announced(2.0));
     let again = router.on_notice(at(110), &app, limited(2.0), at(105));
     assert_eq!(again.limit, None);
     let ended = router.on_notice(at(120), &app, BackEndNotice::default(), at(115));
@@ -462,12 +462,12 @@
     };
     notices.apply(all, context(at(10)), 3);
     assert_eq!(notices.permission(at(20), 0), Permission::Never);
-    let paused = BackEndNotice {
+    let not_leaving = BackEndNotice {
         is_leaving: false,
         ..all
     };
     let mut notices = NoticeState::default();
-    notices.apply(paused, context(at(10)), 3);
+    notices.apply(not_leaving, context(at(10)), 3);
     assert_eq!(
         notices.permission(at(1_010), 0),
         Permission::After(Duration::from_secs(2))
@@ -483,7 +483,7 @@
     assert!(wait <= Duration::from_secs(4));
 }
 
-/// When all back ends of a pool name limits, refused callers must not all be told the same time.
+/// When all back ends of a pool announce limits, refused callers must not all be told the same time.
 #[test]
 fn callers_refused_by_limits_get_spaced_retry_times() {
     let mut router = router();
@@ -550,7 +550,7 @@
 }
 
 /// A router learns that a limit has ended only from the answer to a request, so it must send some even at a limit of 0.
-/// In a soak test, all back ends of a service named 0 for eight seconds; a sixth of the callers were still refused 23 s
+/// In a soak test, all back ends of a service announced a limit of 0 for eight seconds; a sixth of the callers were still refused 23 s
 /// later because no router had sent a request. The requirement is recovery within 12 s of the last disturbance.
 #[test]
 fn a_pool_recovers_soon_after_its_limits_of_zero_have_ended() {
--- a/crates/gateway/src/router/notices.rs
+++ b/crates/gateway/src/router/notices.rs
@@ -56,7 +56,7 @@
 
 fn record_limit_change(router: &Router, instance: &InstanceId, change: LimitChange) {
     match change {
-        LimitChange::Named(rate) => {
+        LimitChange::Announced(rate) => {
             router.metrics.count_notice("limit");
             tracing::info!(event = "back_end_limit", %instance, requests_per_second = %rate,
                 "router: a back end set a limit on the rate of requests from all routers");
