--- a/crates/gateway-core/src/control/directory_tests.rs
+++ b/crates/gateway-core/src/control/directory_tests.rs
@@ -1,3 +1,5 @@
+//! Tests of which routers a caller is given.
+
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
--- a/crates/gateway-core/src/control/fetches.rs
+++ b/crates/gateway-core/src/control/fetches.rs
@@ -90,7 +90,7 @@
             if self.fetches.allowance <= 0.0 {
                 return;
             }
-            let age_ms = |named: &TargetWeights| self.weights_age_ms(named.revision);
+            let age_ms = |target: &TargetWeights| self.weights_age_ms(target.revision);
             let chunk = self.state.next_chunk(position, MAX_CHUNK_BYTES, age_ms);
             if let Some(changes) = chunk {
                 let count = self.fetches.spend(changes.bytes(), connections.len());
--- a/crates/gateway-core/src/control/mod.rs
+++ b/crates/gateway-core/src/control/mod.rs
@@ -151,9 +151,9 @@
     /// Proposed if the replicated state has no key for request fingerprints.
     generated_fingerprint_key: FingerprintKey,
     fingerprint_key_proposed_at: Option<Timestamp>,
-    /// When weights were named, by revision; weights named before this process started count from
-    /// its start.
-    weights_named_at: BTreeMap<u64, Timestamp>,
+    /// When target versions of weights were set, by revision; those set before this process
+    /// started count from its start.
+    target_weights_set_at: BTreeMap<u64, Timestamp>,
     heartbeat_times: HeartbeatTimes,
     instances_reviewed_at: Timestamp,
     leader_since: Option<Timestamp>,
@@ -209,7 +209,7 @@
             tenant_accounts: TenantAccounts::default(),
             generated_fingerprint_key: FingerprintKey::generate(seed),
             fingerprint_key_proposed_at: None,
-            weights_named_at: BTreeMap::new(),
+            target_weights_set_at: BTreeMap::new(),
             heartbeat_times: HeartbeatTimes::default(),
             instances_reviewed_at: Timestamp::default(),
             leader_since: None,
@@ -279,7 +279,7 @@
         self.routers.update_unresponsive(now);
         self.announce_if_pending();
         self.expire_suspicions();
-        self.review_verdicts();
+        self.review_quarantines();
         self.broadcast_suspicions();
         if self.role() == Role::Leader {
             self.propose_fingerprint_key();
@@ -398,7 +398,7 @@
         match &mut command {
             Command::Configure { body, .. } => body.bytes.clear(),
             Command::SetTargetWeights { .. } => {
-                self.weights_named_at.insert(position, self.now);
+                self.target_weights_set_at.insert(position, self.now);
             }
             Command::Load {
                 instance,
@@ -430,12 +430,12 @@
     }
 
     fn weights_age(&self, revision: u64) -> Duration {
-        let named = self
-            .weights_named_at
+        let set_at = self
+            .target_weights_set_at
             .get(&revision)
             .copied()
             .unwrap_or_default();
-        self.now.since(named)
+        self.now.since(set_at)
     }
 
     fn weights_age_ms(&self, revision: u64) -> u32 {
--- a/crates/gateway-core/src/control/params.rs
+++ b/crates/gateway-core/src/control/params.rs
@@ -28,7 +28,7 @@
     pub order_lease: Duration,
     /// Delay between notifying routers that a back end loads weights and sending it the order.
     pub load_order_delay: Duration,
-    /// Time within which back ends must hold new weights after they were named.
+    /// Time within which back ends must hold new weights after these became the target.
     pub load_deadline: Duration,
     /// A voter that is unresponsive for this long is replaced by a learner.
     pub voter_timeout: Duration,
--- a/crates/gateway-core/src/control/pending_weight_loads.rs
+++ b/crates/gateway-core/src/control/pending_weight_loads.rs
@@ -17,7 +17,7 @@
     pub version: u64,
 }
 
-/// Loads of back ends whose weights are older than the named version or that are loading. Those
+/// Loads of back ends whose weights are older than the target version or that are loading. Those
 /// with the oldest version come first, because their deadline is the earliest.
 pub(super) fn pending_weight_loads(state: &ReplicatedState) -> Vec<WeightLoad> {
     let mut loads = Vec::new();
@@ -26,14 +26,14 @@
             continue;
         }
         for loaded in &record.models.items {
-            let named = state.target_version(loaded.model.as_str());
-            if named > loaded.version || loaded.loading != 0 {
+            let target = state.target_version(loaded.model.as_str());
+            if target > loaded.version || loaded.loading != 0 {
                 loads.push(WeightLoad {
                     instance: record.instance.as_str().to_owned(),
                     address: record.address.as_str().to_owned(),
                     model: loaded.model.as_str().to_owned(),
                     held: loaded.version,
-                    version: named.max(loaded.version),
+                    version: target.max(loaded.version),
                 });
             }
         }
--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -1,10 +1,10 @@
 //! Requests that crash back ends: control machines add up the reports of routers and propose which
 //! request fingerprints are quarantined.
 //!
-//! Every control machine accepts reports, notifies its routers and proposes verdicts, whether it
-//! leads or not. Reports only accumulate, so counting them on several machines is harmless, and
-//! routers still learn of suspected fingerprints when there is no leader or no quorum. Verdicts are
-//! replicated by the log and survive restarts of all processes.
+//! Every control machine accepts reports, notifies its routers and proposes quarantines and
+//! releases, whether it leads or not. Reports only accumulate, so counting them on several machines is harmless, and
+//! routers still learn of suspected fingerprints when there is no leader or no quorum. Quarantines and
+//! releases are replicated by the log and survive restarts of all processes.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -42,20 +42,20 @@
     unsent: BTreeMap<RequestFingerprint, u8>,
     /// Time of the last removal of outdated crashes.
     expired_at: Timestamp,
-    quarantined: BTreeMap<RequestFingerprint, Verdict>,
+    quarantined: BTreeMap<RequestFingerprint, QuarantineRecord>,
 }
 
-/// A quarantine verdict as one control machine knows it.
+/// A quarantined fingerprint as one control machine knows it.
 #[derive(Clone, Copy, Debug)]
-struct Verdict {
-    /// When this process learned of the verdict; verdicts from before its start count from the
-    /// first review.
+struct QuarantineRecord {
+    /// When this process learned of the quarantine; quarantines from before its start count from
+    /// the first review.
     at: Timestamp,
     /// Trials that have come due, also under other leaders.
     trials: usize,
 }
 
-impl Verdict {
+impl QuarantineRecord {
     fn new(at: Timestamp) -> Self {
         Self { at, trials: 0 }
     }
@@ -174,10 +174,10 @@
 
     /// The quarantine was committed.
     pub(super) fn on_quarantined(&mut self, fingerprint: RequestFingerprint) {
-        let verdict = Verdict::new(self.now);
+        let record = QuarantineRecord::new(self.now);
         self.suspected_requests
             .quarantined
-            .insert(fingerprint, verdict);
+            .insert(fingerprint, record);
         self.clear_explained_suspicions(fingerprint);
     }
 
@@ -187,21 +187,23 @@
         self.clear_suspicion(fingerprint);
     }
 
-    /// Checks the age of verdicts. The leader permits trials that are due, and proposes the release
+    /// Checks the age of quarantines. The leader permits trials that are due, and proposes the release
     /// of fingerprints whose quarantine has expired.
-    pub(super) fn review_verdicts(&mut self) {
+    pub(super) fn review_quarantines(&mut self) {
         let now = self.now;
         let is_leader = self.role() == Role::Leader;
         let (mut trials, mut released) = (Vec::new(), Vec::new());
         for fingerprint in self.state.quarantined() {
-            let verdicts = &mut self.suspected_requests.quarantined;
-            let verdict = verdicts.entry(fingerprint).or_insert(Verdict::new(now));
-            if verdict.take_due_trial(now, fingerprint) && is_leader {
+            let records = &mut self.suspected_requests.quarantined;
+            let record = records
+                .entry(fingerprint)
+                .or_insert(QuarantineRecord::new(now));
+            if record.take_due_trial(now, fingerprint) && is_leader {
                 trials.push(fingerprint);
             }
-            if now.since(verdict.at) >= QUARANTINE_FOR && is_leader {
+            if now.since(record.at) >= QUARANTINE_FOR && is_leader {
                 // Proposed again after this time if the log does not accept it.
-                verdict.at = verdict.at.plus(self.params.reply_timeout);
+                record.at = record.at.plus(self.params.reply_timeout);
                 released.push(fingerprint);
             }
         }
--- a/crates/gateway-core/src/control/refusing.rs
+++ b/crates/gateway-core/src/control/refusing.rs
@@ -1,6 +1,6 @@
-//! Back ends that reject requests, forwarded from one router to the others.
+//! Back ends that refuse requests, forwarded from one router to the others.
 //!
-//! A back end rejects requests for some hundred milliseconds: while it loads weights, while its
+//! A back end refuses requests for some hundred milliseconds: while it loads weights, while its
 //! queue is full, or when its weights differ from those that routers expect because an order took
 //! effect after it seemed lost and no heartbeat has shown that yet. Without notification, each of
 //! hundreds of routers would send it a request to find out.
@@ -24,7 +24,7 @@
 pub(super) struct Refusing(BTreeMap<u32, Timestamp>);
 
 impl<D: Directory> ControlCore<D> {
-    /// Processes a router's report of back ends that rejected its requests. The leader notifies the
+    /// Processes a router's report of back ends that refused its requests. The leader notifies the
     /// other routers.
     pub(super) fn on_refusing(&mut self, from: ConnectionId, keys: &[u32]) {
         if self.role() != Role::Leader {
--- a/crates/gateway-core/src/control/rollout.rs
+++ b/crates/gateway-core/src/control/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollout of weights: the leader has back ends load the named version, a few at a time.
+//! Rollout of weights: the leader has back ends load the target version, a few at a time.
 //!
 //! Routers are notified first, so that no request reaches a back end that is loading. Orders carry
 //! the leader's term as fencing token and the number of orders that the back end is expected to
--- a/crates/gateway-core/src/control/weight_load_timing.rs
+++ b/crates/gateway-core/src/control/weight_load_timing.rs
@@ -31,7 +31,7 @@
             let next_version = self
                 .state
                 .weights()
-                .find(|named| named.model.as_str() == load.model && named.version > load.held)?;
+                .find(|target| target.model.as_str() == load.model && target.version > load.held)?;
             Some(self.weights_age(next_version.revision))
         });
         let Some(oldest) = oldest.max() else {
--- a/crates/gateway-core/src/message.rs
+++ b/crates/gateway-core/src/message.rs
@@ -231,7 +231,7 @@
 pub struct StoredKey(pub u32);
 
 impl StoredKey {
-    /// The key of a part. If two parts share a key, the cost is an unnecessary read or copy.
+    /// The key of a part. If two parts share a key, the cost is an unnecessary prefill or copy.
     pub fn new(salt: &str, part: &str) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(salt.as_bytes());
         Self(xxhash_rust::xxh3::xxh3_64_with_seed(part.as_bytes(), seed) as u32)
@@ -411,8 +411,8 @@
     /// From a router: prefixes that back ends have cached. From the leader: those that routers reported.
     #[brw(magic(13u8))]
     Holders(List<HolderEntry>),
-    /// From a router: the keys of unresponsive back ends, see [`LoadEntry::key_of`]. From
-    /// the leader: those that another router reported.
+    /// From a router: the keys of back ends that it found unresponsive or crashed, see [`LoadEntry::key_of`]. From the
+    /// leader: those that another router reported.
     #[brw(magic(14u8))]
     UnresponsiveBackEnds(List<u32>),
     /// From a router: the keys of back ends that refused a request, see [`LoadEntry::key_of`].
--- a/crates/gateway-core/src/router/cached_parts.rs
+++ b/crates/gateway-core/src/router/cached_parts.rs
@@ -1,4 +1,4 @@
-//! How many tokens of a prompt a back end has to read (prefill), given the known contents of caches.
+//! How many tokens of a prompt a back end has to prefill, given the known contents of caches.
 
 use drumshore_core::Timestamp;
 
@@ -6,8 +6,8 @@
 use super::holders::{self, Held};
 use super::{Admission, Prompt, RouterCore};
 
-/// Fraction of the shared tokens of a short prompt that a back end is expected to read. Which back ends cache them is
-/// not tracked.
+/// Fraction of the shared tokens of a short prompt that a back end is expected to prefill. Which back ends cache
+/// them is not tracked.
 const UNTRACKED_MISS_FRACTION: f64 = 0.25;
 
 /// Where the shared parts of a prompt are cached for one version of the weights.
@@ -49,12 +49,12 @@
         held.unwrap_or(0).max(self.in_store)
     }
 
-    /// Number of tokens that a back end has to read after it has fetched everything that is cached elsewhere.
-    pub fn tokens_to_read(&self) -> u32 {
+    /// Number of tokens that a back end has to prefill after it has fetched everything that is cached elsewhere.
+    pub fn tokens_to_prefill(&self) -> u32 {
         self.own_tokens + self.uncached_tokens_after(self.parts_anywhere())
     }
 
-    /// Number of tokens that a back end has to fetch from another cache before it reads the rest.
+    /// Number of tokens that a back end has to fetch from another cache before it prefills the rest.
     pub fn tokens_to_fetch(&self, back_end: u32) -> u32 {
         let here = self.parts_at(back_end);
         let fetched =
--- a/crates/gateway-core/src/router/endpoint.rs
+++ b/crates/gateway-core/src/router/endpoint.rs
@@ -43,7 +43,7 @@
     Answered,
     /// The back end answered with an error of its own.
     Failed,
-    /// The back end rejected it without running it.
+    /// The back end refused it without running it.
     Shed,
     /// Another incarnation is listening at the address; the request has not run.
     Misdirected,
--- a/crates/gateway-core/src/router/endpoints.rs
+++ b/crates/gateway-core/src/router/endpoints.rs
@@ -18,7 +18,7 @@
 /// Another router's report of an unresponsive back end is ignored if this router received bytes from the back end
 /// within this time.
 const RECENTLY_RECEIVED: Duration = Duration::from_millis(600);
-/// Cooldown of a back end that rejected another router's request: about as long as it takes to load weights.
+/// Cooldown of a back end that refused another router's request: about as long as it takes to load weights.
 const REFUSING_COOLDOWN: Duration = Duration::from_millis(400);
 
 /// The back ends and the indexes over them.
@@ -274,7 +274,7 @@
         endpoint.is_none_or(|endpoint| endpoint.notices.allow_requests(now))
     }
 
-    /// Avoids, for a short time, back ends that rejected requests of other routers.
+    /// Avoids, for a short time, back ends that refused requests of other routers.
     pub fn on_refusing(&mut self, now: Timestamp, keys: &[u32]) {
         for key in keys {
             self.change_with_key(*key, |_, endpoint| {
--- a/crates/gateway-core/src/router/holders_tests.rs
+++ b/crates/gateway-core/src/router/holders_tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the estimate of which back ends have cached the parts of a prompt.
+
 use super::*;
 use crate::router::PromptPart;
 use crate::ModelName;
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -5,6 +5,7 @@
 mod addresses;
 mod budget;
 mod cache;
+mod cached_parts;
 mod candidate;
 mod choice;
 mod copies;
@@ -19,7 +20,6 @@
 mod pool_partition;
 mod prompt_mix;
 mod prompt_placement;
-mod reads;
 mod reported_loads;
 mod request;
 mod router_count;
@@ -77,7 +77,7 @@
     /// For this long after the last confirmation, the router may answer that a route or key does not exist. An older
     /// view may lack one that was added since.
     pub absence_lease: Duration,
-    /// A request may start on older weights for this long after new weights are named.
+    /// A request may start on older weights for this long after a new target version is set.
     pub version_grace: Duration,
     /// Retries that all routers together may add, as a fraction of requests.
     pub retry_ratio: f64,
@@ -90,7 +90,7 @@
 /// A fetch from a store counts as slow when the answer takes longer than its target times this factor.
 const SLOW_FETCH_FACTOR: f64 = 1.3;
 
-/// Maximum number of unresponsive back ends, and of rejecting ones, that wait to be reported to the leader.
+/// Maximum number of unresponsive back ends, and of refusing ones, that wait to be reported to the leader.
 const MAX_PENDING_SUSPECTS: usize = 64;
 
 /// The state of one router, without I/O: callers pass in the time, messages and outcomes.
@@ -260,8 +260,8 @@
     }
 
     /// Computes the fingerprint of a request; `None` before the fingerprint key is known.
-    pub fn identify(&self, work: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
-        self.view.fingerprint_key().map(|key| key.identify(work))
+    pub fn identify(&self, input: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
+        self.view.fingerprint_key().map(|key| key.identify(input))
     }
 
     /// Refunds the charge of an admitted request that no back end has run.
@@ -419,10 +419,10 @@
         if became_unresponsive {
             self.suspect(LoadEntry::key_of(instance.as_str()));
         }
-        let is_rejected = matches!(outcome, Outcome::Shed | Outcome::OtherWeights);
+        let is_refused = matches!(outcome, Outcome::Shed | Outcome::OtherWeights);
         // A back end that asked for a backoff addressed this router only. If the other routers avoided it too, they
         // would overload the rest of the pool.
-        let is_for_all = is_rejected && self.endpoints.allows_requests(now, instance);
+        let is_for_all = is_refused && self.endpoints.allows_requests(now, instance);
         if is_for_all && self.refusing.len() < MAX_PENDING_SUSPECTS {
             self.refusing.push(LoadEntry::key_of(instance.as_str()));
         }
@@ -440,12 +440,12 @@
         std::mem::take(&mut self.suspects)
     }
 
-    /// Takes the back ends that rejected this router's requests and that it has not reported yet.
+    /// Takes the back ends that refused this router's requests and that it has not reported yet.
     pub fn take_refusing(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.refusing)
     }
 
-    /// Avoids, for a short time, back ends that rejected requests of other routers.
+    /// Avoids, for a short time, back ends that refused requests of other routers.
     pub fn on_refusing(&mut self, now: Timestamp, keys: &[u32]) {
         self.endpoints.on_refusing(now, keys);
     }
--- a/crates/gateway-core/src/router/overload.rs
+++ b/crates/gateway-core/src/router/overload.rs
@@ -1,7 +1,7 @@
 //! Overload control: refuses a share of the requests of a pool that gets more load than it can serve in time.
 //!
-//! Streams last longer the more of them a back end runs and the more prompts it reads at the same time. A pool
-//! with all slots occupied therefore serves fewer requests per second than one with free slots, and a queue
+//! Streams last longer the more of them a back end runs and the more prompts it prefills at the same time. A
+//! pool with all slots occupied therefore serves fewer requests per second than one with free slots, and a queue
 //! persists after the load that caused it has gone. While most slots of a pool are occupied, a router refuses
 //! a share of the requests, the least urgent first, and tells the callers to retry when the running streams
 //! should have ended.
--- a/crates/gateway-core/src/router/prompt_placement.rs
+++ b/crates/gateway-core/src/router/prompt_placement.rs
@@ -5,12 +5,12 @@
 
 use drumshore_core::Timestamp;
 
+use super::cached_parts::CachedParts;
 use super::candidate::{Candidate, Placed};
 use super::endpoint::RequestProfile;
 use super::homes::{home_key, rendezvous_score, Homes};
 use super::k_smallest::k_smallest_by_key;
 use super::pool_partition::PoolPartition;
-use super::reads::CachedParts;
 use super::summary::NameHash;
 use super::{Admission, Prompt, RouterCore};
 
@@ -75,7 +75,7 @@
             let endpoint = target.candidate.endpoint;
             let away_cost = if target.is_home { 0.0 } else { away_penalty };
             let cached = &cached[&target.candidate.version];
-            let prefill = f64::from(cached.tokens_to_read());
+            let prefill = f64::from(cached.tokens_to_prefill());
             let fetch = f64::from(cached.tokens_to_fetch(endpoint.key)) * FETCH_COST_FACTOR;
             let partition_cost = if target.in_own_partition {
                 0.0
@@ -88,7 +88,7 @@
         let homes = homes.as_ref();
         let rank = homes.map_or(0, |homes| homes.rank(best.position, best.candidate));
         let mut placed = best.candidate.placed(rank);
-        placed.tokens = cached[&best.candidate.version].tokens_to_read();
+        placed.tokens = cached[&best.candidate.version].tokens_to_prefill();
         if rank > 0 {
             let mut targets = targets.iter();
             let home = targets.find(|target| target.is_home && target.in_own_partition);
--- a/crates/gateway-core/src/router/reported_loads.rs
+++ b/crates/gateway-core/src/router/reported_loads.rs
@@ -31,7 +31,7 @@
     ///
     /// A sum does not tell which of this router's reports it includes. If only the last report were subtracted, a
     /// prompt that has just been answered would count as load of other routers at its home, and the next prompt with
-    /// the same prefix would be sent elsewhere and read again. The maximum over the recent reports is subtracted
+    /// the same prefix would be sent elsewhere and prefilled again. The maximum over the recent reports is subtracted
     /// instead, which briefly underestimates the load of others on back ends that this router uses itself.
     pub fn without_own(&mut self, now: Timestamp, sums: &[LoadEntry]) -> Vec<LoadEntry> {
         self.forget_before(now);
--- a/crates/gateway-core/src/router/request.rs
+++ b/crates/gateway-core/src/router/request.rs
@@ -102,7 +102,7 @@
 pub struct EarlierAttempts<'a> {
     /// Back ends that were chosen already.
     pub tried: &'a [InstanceId],
-    /// Attempts that reached a back end, including those that it rejected.
+    /// Attempts that reached a back end, including those that it refused.
     pub arrived: u32,
     /// The request's fingerprint; `None` when crashes are not tracked for it.
     pub fingerprint: Option<RequestFingerprint>,
--- a/crates/gateway-core/src/router/tests/placement.rs
+++ b/crates/gateway-core/src/router/tests/placement.rs
@@ -50,13 +50,13 @@
 #[test]
 fn old_weights_are_not_used_after_the_grace_period() {
     let mut router = router();
-    let mut named = changes(10, 11, Vec::new());
-    named.weights = List::new(vec![WeightsNotice {
+    let mut target = changes(10, 11, Vec::new());
+    target.weights = List::new(vec![WeightsNotice {
         model: Text::new("model"),
         version: 2,
         age_ms: 2_000,
     }]);
-    update(&mut router, at(1_000), named);
+    update(&mut router, at(1_000), target);
     router.on_confirmed(at(7_000), 11, 1);
     let admission = admit(&mut router, at(4_000), "/a/b/x");
     let prompt = prompt("s", 10);
@@ -67,7 +67,7 @@
         EarlierAttempts::default(),
     );
     assert_eq!(choice.unwrap().expected_version, Some(1));
-    // The version was named 2 s before this router received it, so 2 s of the grace period had passed.
+    // The version was set 2 s before this router received it, so 2 s of the grace period had passed.
     let choice = router.choose(
         at(5_100),
         &admission,
--- a/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
@@ -217,8 +217,8 @@
     router.on_trial_permitted(at(3_500), fingerprint("a"));
     assert!(router.is_suspected(Some(fingerprint("a"))));
     let too_late = at(23_500);
-    let judged = router.check_fingerprint(too_late, &first_attempt(fingerprint("a")));
-    assert_eq!(judged, Err(ChoiceError::Quarantined));
+    let refused = router.check_fingerprint(too_late, &first_attempt(fingerprint("a")));
+    assert_eq!(refused, Err(ChoiceError::Quarantined));
 }
 
 #[test]
--- a/crates/gateway-core/src/router/view.rs
+++ b/crates/gateway-core/src/router/view.rs
@@ -32,10 +32,10 @@
 const MAX_PENDING_CONFIRMATIONS: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-struct NamedVersion {
+struct TargetVersion {
     version: u64,
     received: Timestamp,
-    /// How long ago the version was named when the notice arrived. This may be before this process started.
+    /// How long ago the version was set when the notice arrived. This may be before this process started.
     age: Duration,
 }
 
@@ -55,8 +55,8 @@
     /// Tenants by key.
     tenants: HashMap<String, Rc<Tenant>>,
     instances: BTreeMap<String, Rc<InstanceRecord>>,
-    /// Versions of the weights by model, in the order in which they were received.
-    named_versions: HashMap<String, Vec<NamedVersion>>,
+    /// Target versions of the weights by model, in the order in which they were received.
+    target_versions: HashMap<String, Vec<TargetVersion>>,
     fingerprint_key: Option<FingerprintKey>,
 }
 
@@ -112,12 +112,10 @@
 
     /// The oldest version of a model's weights on which a request may begin; 0 when any may be used.
     pub fn required_version(&self, model: &str, now: Timestamp, grace: std::time::Duration) -> u64 {
-        let named_versions = self.named_versions.get(model).into_iter().flatten();
-        named_versions
-            .filter(|named_versions| {
-                now.since(named_versions.received) + named_versions.age >= grace
-            })
-            .map(|named_versions| named_versions.version)
+        let target_versions = self.target_versions.get(model).into_iter().flatten();
+        target_versions
+            .filter(|target| now.since(target.received) + target.age >= grace)
+            .map(|target| target.version)
             .max()
             .unwrap_or(0)
     }
@@ -178,20 +176,20 @@
     }
 
     fn record_weights(&mut self, now: Timestamp, changes: &Changes) {
-        /// Named versions kept per model, enough to cover those named within the grace period.
-        const MAX_NAMED_VERSIONS: usize = 16;
+        /// Target versions kept per model, enough to cover those set within the grace period.
+        const MAX_TARGET_VERSIONS: usize = 16;
         for weights in &changes.weights.items {
-            let named_versions = self
-                .named_versions
+            let target_versions = self
+                .target_versions
                 .entry(weights.model.as_str().to_owned())
                 .or_default();
-            named_versions.push(NamedVersion {
+            target_versions.push(TargetVersion {
                 version: weights.version,
                 received: now,
                 age: Duration::from_millis(u64::from(weights.age_ms)),
             });
-            if named_versions.len() > MAX_NAMED_VERSIONS {
-                named_versions.remove(0);
+            if target_versions.len() > MAX_TARGET_VERSIONS {
+                target_versions.remove(0);
             }
         }
     }
--- a/crates/gateway-core/src/view_links/sources.rs
+++ b/crates/gateway-core/src/view_links/sources.rs
@@ -1,8 +1,8 @@
 //! Which control machines a router follows. They announce changes to it, and it fetches the changes from them.
 //!
 //! If routers fetched the state from any control machine, it would cross zones once per router. A router therefore
-//! follows machines of its own zone, and those of other zones only while none of its own is responsive. It keeps links to all of them to
-//! confirm its view and to exchange loads, which takes little traffic.
+//! follows machines of its own zone, and those of other zones only while none of its own is responsive. It keeps links
+//! to all of them to confirm its view and to exchange loads, which takes little traffic.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
