--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -363,7 +363,7 @@
     }
 
     /// Updates the set of prompt parts that a store holds. `known` is false when the store is unresponsive.
-    pub fn on_stored(
+    pub fn on_store_contents(
         &mut self,
         store: StoreId,
         known: bool,
@@ -371,7 +371,8 @@
         added: &[StoredKey],
         removed: &[StoredKey],
     ) {
-        self.stores.on_stored(store, known, reset, added, removed);
+        self.stores
+            .on_store_contents(store, known, reset, added, removed);
     }
 
     /// Records the status headers in a back end's answer to a request that was sent at `asked`. If the answer may
--- a/crates/gateway-core/src/router/stores.rs
+++ b/crates/gateway-core/src/router/stores.rs
@@ -42,7 +42,7 @@
     /// Applies the leader's update about a store; `is_responding` is false when the store does not respond. With
     /// `reset`, `added` replaces what the store held before. An update without `reset` is ignored for a store that is
     /// not known yet.
-    pub fn on_stored(
+    pub fn on_store_contents(
         &mut self,
         id: StoreId,
         is_responding: bool,
--- a/crates/gateway-core/src/router/tests/caches.rs
+++ b/crates/gateway-core/src/router/tests/caches.rs
@@ -45,16 +45,16 @@
     };
     let unknown = choose(&mut router);
     assert_eq!((unknown.fetch_from, unknown.save_to), (None, None));
-    router.on_stored(store(), true, true, &[], &[]);
+    router.on_store_contents(store(), true, true, &[], &[]);
     let missing = choose(&mut router);
     assert!(missing.fetch_from.is_none() && missing.save_to.is_some());
     let key = StoredKey::new(missing.cache_salt.as_deref().unwrap(), "shared");
-    router.on_stored(store(), true, false, &[key], &[]);
+    router.on_store_contents(store(), true, false, &[key], &[]);
     let held = choose(&mut router);
     assert!(held.fetch_from.is_some() && held.save_to.is_none());
-    router.on_stored(store(), true, false, &[], &[key]);
+    router.on_store_contents(store(), true, false, &[], &[key]);
     assert!(choose(&mut router).save_to.is_some());
-    router.on_stored(store(), false, true, &[], &[]);
+    router.on_store_contents(store(), false, true, &[], &[]);
     let lost = choose(&mut router);
     assert_eq!((lost.fetch_from, lost.save_to), (None, None));
 }
@@ -102,12 +102,12 @@
     let mut router = router();
     let admission = admit(&mut router, at(1), "/a/b/x");
     let prompt = prompt("shared", 10);
-    router.on_stored(store(), true, true, &[], &[]);
+    router.on_store_contents(store(), true, true, &[], &[]);
     let first = router
         .choose(at(1), &admission, Some(&prompt), EarlierAttempts::default())
         .unwrap();
     let key = StoredKey::new(first.cache_salt.as_deref().unwrap(), "shared");
-    router.on_stored(store(), true, false, &[key], &[]);
+    router.on_store_contents(store(), true, false, &[key], &[]);
     let fetching = router
         .choose(at(2), &admission, Some(&prompt), EarlierAttempts::default())
         .unwrap();
@@ -145,7 +145,7 @@
     changed.configuration = List::new(vec![Blob { bytes: Vec::new() }]);
     router.apply(at(1), changed, |_| Ok(two)).unwrap();
     for address in known {
-        router.on_stored(StoreId::at(address), true, true, &[], &[]);
+        router.on_store_contents(StoreId::at(address), true, true, &[], &[]);
     }
     let admission = admit(&mut router, at(1), "/a/b/x");
     let mut used = Vec::new();
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -299,7 +299,7 @@
             removed,
         } => {
             let mut core = router.core.borrow_mut();
-            core.on_stored(store, known != 0, reset != 0, &added.items, &removed.items);
+            core.on_store_contents(store, known != 0, reset != 0, &added.items, &removed.items);
         }
         Message::UnresponsiveBackEnds(keys) => {
             let now = router.clock.now();
