--- a/crates/gateway-core/src/control/quarantine.rs
+++ b/crates/gateway-core/src/control/quarantine.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Crashes under a quarantined request no longer count against the requests that were in flight
+    /// Crashes while serving a quarantined request no longer count against the requests that were in flight
     /// at the same back ends.
     fn clear_explained_suspicions(&mut self, culprit: RequestFingerprint) {
         for cleared in self.suspected_requests.ledger.attribute_crashes_to(culprit) {
--- a/crates/gateway-core/src/control/stored.rs
+++ b/crates/gateway-core/src/control/stored.rs
@@ -28,11 +28,11 @@
 
 /// Stores known to the leader.
 #[derive(Debug, Default)]
-pub(super) struct Stores(BTreeMap<StoreId, Stored>);
+pub(super) struct Stores(BTreeMap<StoreId, StoreState>);
 
 /// State of one store.
 #[derive(Debug, Default)]
-struct Stored {
+struct StoreState {
     /// `None` while the contents are unknown or the store does not answer.
     held: Option<BTreeSet<StoredKey>>,
     changed: bool,
@@ -44,7 +44,7 @@
     reset: bool,
 }
 
-impl Stored {
+impl StoreState {
     fn full_contents(&self, store: StoreId) -> Message {
         Message::StoreContents {
             store,
--- a/crates/gateway-core/src/quarantine/ledger.rs
+++ b/crates/gateway-core/src/quarantine/ledger.rs
@@ -159,8 +159,8 @@
         });
     }
 
-    /// Evicts down to half the capacity: first the fingerprints with the fewest incidents, among them those whose
-    /// last crash is oldest. Fingerprints with several incidents stay, and an attacker who wants to displace them has to
+    /// Evicts down to half the capacity: first the fingerprints with the fewest incidents, among them those whose last
+    /// crash is oldest. Fingerprints with several incidents stay, and an attacker who wants to displace them has to
     /// crash a back end for each incident.
     fn evict(&mut self, now: Timestamp) {
         self.expire(now);
--- a/crates/gateway-core/src/router/cached_parts.rs
+++ b/crates/gateway-core/src/router/cached_parts.rs
@@ -3,7 +3,7 @@
 use drumshore_core::Timestamp;
 
 use super::cache::salt;
-use super::holders::{self, Held};
+use super::holders::{self, HolderEstimate};
 use super::{Admission, Prompt, RouterCore};
 
 /// Fraction of the shared tokens of a short prompt that a back end is expected to prefill. Which back ends cache
@@ -17,7 +17,7 @@
     leading_tokens: Vec<u32>,
     own_tokens: u32,
     is_tracked: bool,
-    held: Vec<Held>,
+    held: Vec<HolderEstimate>,
     in_store: usize,
 }
 
--- a/crates/gateway-core/src/router/copies_tests.rs
+++ b/crates/gateway-core/src/router/copies_tests.rs
@@ -3,12 +3,12 @@
 use drumshore_core::Timestamp;
 use rstest::rstest;
 
-use super::super::tests::{at, prompt_of, router_for_copies, short_stream};
+use super::super::tests::{admit_model_request, at, prompt_of, router_for_copies};
 use super::*;
 use crate::{LoadEntry, Outcome};
 
 fn admission(router: &mut RouterCore, kind: RequestKind) -> Admission {
-    short_stream(router, kind)
+    admit_model_request(router, kind)
 }
 
 fn choose(router: &mut RouterCore, admission: &Admission, prompt: &Prompt) -> Choice {
--- a/crates/gateway-core/src/router/endpoints.rs
+++ b/crates/gateway-core/src/router/endpoints.rs
@@ -201,20 +201,20 @@
         }
     }
 
-    /// A request that was sent at `begun` has ended at its back end. Returns true if the back end has become
+    /// A request that was sent at `sent_at` has ended at its back end. Returns true if the back end has become
     /// unresponsive; the caller should then close its idle connections to it.
     pub fn finished(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        begun: Timestamp,
+        sent_at: Timestamp,
         outcome: Outcome,
     ) -> bool {
         let Some(endpoint) = self.by_id.get_mut(instance) else {
             return false;
         };
         let is_lost = matches!(outcome, Outcome::Broken | Outcome::TimedOut);
-        let last_activity = endpoint.last_received_at.get().max(begun);
+        let last_activity = endpoint.last_received_at.get().max(sent_at);
         let became_unresponsive = is_lost && now.since(last_activity) >= UNRESPONSIVE_AFTER;
         let outcome = if became_unresponsive {
             Outcome::TimedOut
@@ -222,7 +222,7 @@
             outcome
         };
         if outcome == Outcome::Answered {
-            endpoint.record_service_time(now.since(begun));
+            endpoint.record_service_time(now.since(sent_at));
         }
         endpoint.record_outcome(now, outcome);
         if endpoint.in_flight == 0 {
--- a/crates/gateway-core/src/router/holders.rs
+++ b/crates/gateway-core/src/router/holders.rs
@@ -28,7 +28,7 @@
 
 /// A back end that is estimated to hold the leading parts of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Held {
+pub(super) struct HolderEstimate {
     /// Key of the back end; see [`LoadEntry::key_of`].
     pub key: u32,
     /// Number of leading shared parts.
@@ -102,11 +102,11 @@
     }
 
     /// The back ends that hold any of the prefixes, each with the number of parts in the longest one.
-    pub fn held(&self, now: Timestamp, prefixes: &[u32]) -> Vec<Held> {
+    pub fn held(&self, now: Timestamp, prefixes: &[u32]) -> Vec<HolderEstimate> {
         let overlaps = self.index.overlaps(&chain(prefixes)).into_iter();
         let fresh = overlaps.filter(|overlap| now.since(overlap.used_at) < ENTRY_LIFETIME);
         fresh
-            .map(|overlap| Held {
+            .map(|overlap| HolderEstimate {
                 key: overlap.engine.0 as u32,
                 parts: overlap.blocks,
                 used_at: overlap.used_at,
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -204,11 +204,11 @@
         }
     }
 
-    /// Records a quorum's confirmation, requested at `asked`, that no revision after `revision` had been accepted by
+    /// Records a quorum's confirmation, requested at `asked_at`, that no revision after `revision` had been accepted by
     /// then. `routers` is the number of routers that a control machine counts.
-    pub fn on_confirmed(&mut self, asked: Timestamp, revision: u64, routers: u16) {
-        self.view.on_confirmed(asked, revision);
-        self.update_router_count(asked, routers);
+    pub fn on_confirmed(&mut self, asked_at: Timestamp, revision: u64, routers: u16) {
+        self.view.on_confirmed(asked_at, revision);
+        self.update_router_count(asked_at, routers);
     }
 
     fn update_router_count(&mut self, now: Timestamp, routers: u16) {
@@ -250,7 +250,7 @@
     }
 
     /// True while a back end is known and has not announced, by a heartbeat or to this router, that it is leaving.
-    /// After such an announcement its end is planned, and so no evidence against the requests in flight there.
+    /// A shutdown after such an announcement is planned, so it is no evidence against the requests in flight there.
     pub fn is_serving(&self, now: Timestamp, instance: &InstanceId) -> bool {
         let endpoint = self.endpoints.get(instance);
         endpoint.is_some_and(|endpoint| {
@@ -375,18 +375,18 @@
             .on_store_contents(store, known, reset, added, removed);
     }
 
-    /// Records the status headers in a back end's answer to a request that was sent at `asked`. If the answer may
-    /// belong to an earlier request, the caller passes the earliest possible time.
+    /// Records the status headers in a back end's answer to a request that was sent at `request_sent_at`. If the
+    /// answer may belong to an earlier request, the caller passes the earliest possible time.
     pub fn on_notice(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
         notice: BackEndNotice,
-        asked: Timestamp,
+        request_sent_at: Timestamp,
     ) -> NoticeChange {
         let context = NoticeContext {
             now,
-            request_sent_at: asked,
+            request_sent_at,
             routers: self.router_count.get(),
             seed: self.random.random(),
         };
@@ -404,19 +404,19 @@
         self.endpoints.allows_requests(now, instance)
     }
 
-    /// A request that was assigned to a back end, and sent at `begun`, has ended there. Returns true if the back end
+    /// A request that was assigned to a back end, and sent at `sent_at`, has ended there. Returns true if the back end
     /// has become unresponsive.
     pub fn finished(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        begun: Timestamp,
+        sent_at: Timestamp,
         outcome: Outcome,
     ) -> bool {
         if outcome == Outcome::Answered {
-            self.record_service_time(instance, now.since(begun));
+            self.record_service_time(instance, now.since(sent_at));
         }
-        let became_unresponsive = self.endpoints.finished(now, instance, begun, outcome);
+        let became_unresponsive = self.endpoints.finished(now, instance, sent_at, outcome);
         if became_unresponsive {
             self.suspect(LoadEntry::key_of(instance.as_str()));
         }
--- a/crates/gateway-core/src/router/notices_tests.rs
+++ b/crates/gateway-core/src/router/notices_tests.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 
 use super::super::tests::{
-    admit, at, changes, prompt_of, record, router, router_with, short_stream, update,
+    admit, admit_model_request, at, changes, prompt_of, record, router, router_with, update,
 };
 use super::super::{Choice, EarlierAttempts, Outcome, RunCopy};
 use super::*;
@@ -272,7 +272,7 @@
 #[case(leaving())]
 fn a_copy_is_not_resumed_at_a_back_end_in_backoff_or_leaving(#[case] notice: BackEndNotice) {
     let mut router = router();
-    let admission = short_stream(&mut router, RequestKind::Stream);
+    let admission = admit_model_request(&mut router, RequestKind::Stream);
     let copy = RunCopy {
         instance: id("llm-5"),
         address: "10.0.0.5:80".to_owned(),
@@ -520,7 +520,7 @@
     for instance in &limited_instances {
         router.on_notice(at(10), instance, limited(100.0), at(10));
     }
-    let admission = short_stream(&mut router, RequestKind::Stream);
+    let admission = admit_model_request(&mut router, RequestKind::Stream);
     for request in 0..60 {
         let now = at(30_000 + request * 500);
         let prompt = prompt_of(100);
@@ -549,9 +549,10 @@
     assert_eq!(other.slots(), 8);
 }
 
-/// A router learns that a limit has ended only from the answer to a request, so it must send some even at a limit of 0.
-/// In a soak test, all back ends of a service announced a limit of 0 for eight seconds; a sixth of the callers were still refused 23 s
-/// later because no router had sent a request. The requirement is recovery within 12 s of the last disturbance.
+/// A router learns that a limit has ended only from the answer to a request, so it must send some even at a limit of
+/// 0. In a soak test, all back ends of a service announced a limit of 0 for eight seconds; a sixth of the callers were
+/// still refused 23 s later because no router had sent a request. The requirement is recovery within 12 s of the last
+/// disturbance.
 #[test]
 fn a_pool_recovers_soon_after_its_limits_of_zero_have_ended() {
     const RECOVERY_MS: u64 = 12_000;
--- a/crates/gateway-core/src/router/overload_tests.rs
+++ b/crates/gateway-core/src/router/overload_tests.rs
@@ -1,6 +1,6 @@
 //! Tests of overload control.
 
-use super::super::tests::{at, router_with_slots, short_stream};
+use super::super::tests::{admit_model_request, at, router_with_slots};
 use super::super::EarlierAttempts;
 use super::*;
 use crate::{ModelName, PromptPart, RequestKind};
@@ -138,7 +138,7 @@
 #[test]
 fn back_ends_without_a_slot_count_are_not_considered_full() {
     let mut router = router_with_slots(0);
-    let admission = short_stream(&mut router, RequestKind::Stream);
+    let admission = admit_model_request(&mut router, RequestKind::Stream);
     for _ in 0..40 {
         let prompt = prompt();
         let choice = router.choose(at(1), &admission, Some(&prompt), EarlierAttempts::default());
--- a/crates/gateway-core/src/router/placement.rs
+++ b/crates/gateway-core/src/router/placement.rs
@@ -5,7 +5,7 @@
 
 use super::cache::{salt, OtherCaches};
 use super::candidate::{prefer_healthy, Candidate, Placed};
-use super::holders::{self, Held};
+use super::holders::{self, HolderEstimate};
 use super::homes::rendezvous_score;
 use super::summary::NameHash;
 use super::{Admission, CacheEstimate, Choice, ChoiceError, EarlierAttempts, Prompt, RouterCore};
@@ -144,7 +144,7 @@
         let own = LoadEntry::key_of(placed.instance.as_str());
         let here = held.iter().find(|held| held.key == own);
         let here = here.map_or(0, |held| held.parts);
-        let source_of = |held: &Held| {
+        let source_of = |held: &HolderEstimate| {
             let mut usable = usable.iter();
             let holder = usable.find(|other| other.endpoint.key == held.key)?;
             let can_serve = holder.version == placed.version && !holder.endpoint.is_limited();
--- a/crates/gateway-core/src/router/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/suspected_fingerprints.rs
@@ -62,7 +62,7 @@
 }
 
 impl SuspectedFingerprints {
-    /// How many crashes under the fingerprint this router knows of. Back ends that crash together count once.
+    /// How many crashes while serving the fingerprint this router knows of. Back ends that crash together count once.
     fn crashes(&self, fingerprint: RequestFingerprint) -> u32 {
         let announced = self
             .announced
@@ -148,7 +148,7 @@
 }
 
 impl RouterCore {
-    /// How many crashes under the fingerprint this router knows of. Back ends that crash together count once.
+    /// How many crashes while serving the fingerprint this router knows of. Back ends that crash together count once.
     pub fn crash_count(&self, fingerprint: RequestFingerprint) -> u32 {
         self.suspected_fingerprints.crashes(fingerprint)
     }
@@ -179,8 +179,8 @@
         Ok(())
     }
 
-    /// Whether so many back ends have crashed under the fingerprint that its request is placed where a further
-    /// crash loses the fewest other requests.
+    /// Whether so many back ends have crashed while serving the fingerprint that its request is placed where a
+    /// further crash loses the fewest other requests.
     pub(super) fn is_suspected(&self, fingerprint: Option<RequestFingerprint>) -> bool {
         fingerprint.is_some_and(|fingerprint| {
             let suspected = &self.suspected_fingerprints;
--- a/crates/gateway-core/src/router/tests/failures.rs
+++ b/crates/gateway-core/src/router/tests/failures.rs
@@ -61,9 +61,9 @@
 
 #[test]
 fn an_attempt_that_reached_no_back_end_does_not_use_the_retry_budget() {
-    // A refused connection adds no load, so it must not use up the budget. In a load test, 963 of the 1,148 requests that
-    // 43 routers refused in 14 s failed because the budget was used up, 803 of them after a single connection that a
-    // crashed back end refused.
+    // A refused connection adds no load, so it must not use up the budget. In a load test, 963 of the 1,148 requests
+    // that 43 routers refused in 14 s failed because the budget was used up, 803 of them after a single connection
+    // that a crashed back end refused.
     let mut router = router();
     router.on_confirmed(at(1), 10, 295);
     let admission = admit(&mut router, at(1), "/a/x");
--- a/crates/gateway-core/src/router/tests/mod.rs
+++ b/crates/gateway-core/src/router/tests/mod.rs
@@ -238,7 +238,7 @@
 }
 
 /// An admitted request for the model, on a route of this kind.
-pub(super) fn short_stream(router: &mut RouterCore, kind: RequestKind) -> Admission {
+pub(super) fn admit_model_request(router: &mut RouterCore, kind: RequestKind) -> Admission {
     let admission = admit(router, at(1), "/a/b/x");
     let route = Route {
         kind,
--- a/crates/gateway-core/src/router/tests/placement.rs
+++ b/crates/gateway-core/src/router/tests/placement.rs
@@ -309,7 +309,7 @@
     assert!(counts.len() >= 78, "{}", counts.len());
     assert!(
         *busiest <= 5 * mean / 2,
-        "{busiest} requests, {mean} on the mean"
+        "{busiest} requests, a mean of {mean}"
     );
 }
 
--- a/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
+++ b/crates/gateway-core/src/router/tests/suspected_fingerprints.rs
@@ -21,7 +21,7 @@
 }
 
 /// The named back ends crash while serving a request with the fingerprint, one second apart.
-fn crash_under(router: &mut RouterCore, fingerprint: RequestFingerprint, names: &[&str]) {
+fn crash_while_serving(router: &mut RouterCore, fingerprint: RequestFingerprint, names: &[&str]) {
     for (number, name) in names.iter().enumerate() {
         let now = at(1_000 * (1 + number as u64));
         router.on_back_end_crashed(now, &InstanceId::new(name), &[(fingerprint, now)]);
@@ -36,9 +36,9 @@
 #[test]
 fn a_fingerprint_is_refused_after_three_crashes_seen_by_this_router_alone() {
     let mut router = router();
-    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2"]);
+    crash_while_serving(&mut router, fingerprint("a"), &["app-1", "app-2"]);
     assert!(choose(&mut router, first_attempt(fingerprint("a"))).is_ok());
-    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
+    crash_while_serving(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
     let refused = choose(&mut router, first_attempt(fingerprint("a")));
     assert_eq!(refused, Err(ChoiceError::Quarantined));
     assert!(choose(&mut router, first_attempt(fingerprint("b"))).is_ok());
@@ -80,7 +80,7 @@
 #[test]
 fn release_from_quarantine_clears_all_crash_counts() {
     let mut router = router();
-    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
+    crash_while_serving(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
     update(
         &mut router,
         at(3_100),
@@ -101,8 +101,8 @@
     );
 }
 
-/// A call is retried after its first back end crashed, but not once a second crash under the same fingerprint is
-/// known, from this call or from before it.
+/// A call is retried after its first back end crashed, but not once a second crash while serving the same
+/// fingerprint is known, from this call or from before it.
 #[rstest]
 #[case::first_crash(0, 1, true)]
 #[case::second_crash_in_the_call(0, 2, false)]
@@ -163,7 +163,7 @@
 #[test]
 fn each_crash_is_reported_to_every_control_machine_also_to_those_that_connect_later() {
     let mut router = router();
-    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2"]);
+    crash_while_serving(&mut router, fingerprint("a"), &["app-1", "app-2"]);
     let (mut early, mut late) = (0, 0);
     assert_eq!(
         router
@@ -174,7 +174,7 @@
     assert!(router
         .fingerprint_reports_since(at(2_000), &mut early)
         .is_empty());
-    crash_under(&mut router, fingerprint("b"), &["app-1"]);
+    crash_while_serving(&mut router, fingerprint("b"), &["app-1"]);
     assert_eq!(
         router
             .fingerprint_reports_since(at(2_500), &mut early)
@@ -193,7 +193,7 @@
         !router.on_fingerprint_completed(at(1), fingerprint("b")),
         "no crash was counted"
     );
-    crash_under(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
+    crash_while_serving(&mut router, fingerprint("a"), &["app-1", "app-2", "app-3"]);
     assert!(router.on_fingerprint_completed(at(3_100), fingerprint("a")));
     assert!(choose(&mut router, first_attempt(fingerprint("a"))).is_ok());
     let reports = router.fingerprint_reports_since(at(3_200), &mut 3);
@@ -245,7 +245,7 @@
 #[test]
 fn an_old_completion_is_not_reported_to_a_new_connection() {
     let mut router = router();
-    crash_under(&mut router, fingerprint("a"), &["app-1"]);
+    crash_while_serving(&mut router, fingerprint("a"), &["app-1"]);
     router.on_fingerprint_completed(at(2_000), fingerprint("a"));
     assert_eq!(router.fingerprint_reports_since(at(2_100), &mut 0).len(), 1);
     assert!(router
@@ -329,7 +329,7 @@
 #[test]
 fn a_crashed_back_end_is_avoided_and_announced_to_other_routers() {
     let mut router = router();
-    crash_under(&mut router, fingerprint("a"), &["app-1"]);
+    crash_while_serving(&mut router, fingerprint("a"), &["app-1"]);
     assert_eq!(router.take_suspects(), [LoadEntry::key_of("app-1")]);
     let admission = admit(&mut router, at(2_500), "/a/x");
     for _ in 0..20 {
--- a/crates/gateway-core/src/view_links/fetches.rs
+++ b/crates/gateway-core/src/view_links/fetches.rs
@@ -23,7 +23,7 @@
 pub struct Fetches {
     pending: Option<Fetch>,
     /// The number of fetches from each machine since the last progress.
-    asked: BTreeMap<Ipv4Addr, u32>,
+    fetch_counts: BTreeMap<Ipv4Addr, u32>,
     /// Since when a newer revision has been known without progress.
     behind_since: Option<Timestamp>,
     /// The highest revision that any control machine announced.
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Fetch {
     to: Ipv4Addr,
-    asked: Timestamp,
+    sent_at: Timestamp,
     timeout: Duration,
 }
 
@@ -62,7 +62,7 @@
         let held = match progress {
             Progress::Made { held } => {
                 self.pending = None;
-                self.asked.clear();
+                self.fetch_counts.clear();
                 self.behind_since = None;
                 held
             }
@@ -84,7 +84,8 @@
         if self.pending.is_some_and(|fetch| !fetch.is_overdue(now)) {
             return None;
         }
-        let may_ask_any = !self.asked.is_empty() || now.since(behind_since) >= FOLLOWED_ONLY_FOR;
+        let may_ask_any =
+            !self.fetch_counts.is_empty() || now.since(behind_since) >= FOLLOWED_ONLY_FOR;
         let has_more =
             |revision: u64| revision > position.held && revision >= position.source_revision;
         let able = self.revisions.iter().filter(|(_, has)| has_more(**has));
@@ -92,18 +93,18 @@
         able.filter(|address| may_ask_any || followed.contains(address))
             .min_by_key(|address| {
                 let is_followed = followed.contains(address);
-                (self.times_asked(*address), !is_followed)
+                (self.fetch_count(*address), !is_followed)
             })
     }
 
     /// A fetch was sent to a control machine.
     pub fn on_fetch_sent(&mut self, now: Timestamp, to: Ipv4Addr) {
-        let times = self.asked.entry(to).or_default();
-        let doublings = (*times).min(MAX_DOUBLINGS);
-        *times += 1;
+        let count = self.fetch_counts.entry(to).or_default();
+        let doublings = (*count).min(MAX_DOUBLINGS);
+        *count += 1;
         self.pending = Some(Fetch {
             to,
-            asked: now,
+            sent_at: now,
             timeout: FETCH_TIMEOUT * 2_u32.pow(doublings),
         });
     }
@@ -125,8 +126,8 @@
         self.behind_since = is_behind.then_some(since);
     }
 
-    fn times_asked(&self, address: Ipv4Addr) -> u32 {
-        self.asked.get(&address).copied().unwrap_or_default()
+    fn fetch_count(&self, address: Ipv4Addr) -> u32 {
+        self.fetch_counts.get(&address).copied().unwrap_or_default()
     }
 }
 
@@ -147,7 +148,7 @@
 
 impl Fetch {
     fn is_overdue(&self, now: Timestamp) -> bool {
-        now.since(self.asked) >= self.timeout
+        now.since(self.sent_at) >= self.timeout
     }
 }
 
--- a/crates/gateway-core/src/view_links/mod.rs
+++ b/crates/gateway-core/src/view_links/mod.rs
@@ -1,8 +1,8 @@
 //! How a router keeps its view of the replicated state current over its links to control machines: which machines it
 //! follows, which it pings to confirm the view, and from which it fetches changes. It contains no I/O and no clock.
 //!
-//! A router sends each control machine a [`Following`], which says whether it subscribes to announcements of changes, to
-//! the leader's news, to both or to neither.
+//! A router sends each control machine a [`Following`], which says whether it subscribes to announcements of changes,
+//! to the leader's news, to both or to neither.
 
 mod fetches;
 mod pings;
--- a/crates/gateway-core/src/view_links/sources.rs
+++ b/crates/gateway-core/src/view_links/sources.rs
@@ -108,7 +108,8 @@
         linked.filter(move |(address, _)| is_responsive(address))
     }
 
-    /// The given machines of the router's zone, or those of other zones if there is none, ordered by rendezvous hashing.
+    /// The given machines of the router's zone, or those of other zones if there is none, ordered by rendezvous
+    /// hashing.
     fn ranked<'a>(
         &self,
         linked: impl Iterator<Item = (&'a Ipv4Addr, &'a Machine)>,
