--- a/crates/gateway-core/src/control/stored.rs
+++ b/crates/gateway-core/src/control/stored.rs
@@ -28,11 +28,11 @@
 
 /// Stores known to the leader.
 #[derive(Debug, Default)]
-pub(super) struct Stores(BTreeMap<StoreId, Stored>);
+pub(super) struct Stores(BTreeMap<StoreId, StoreState>);
 
 /// State of one store.
 #[derive(Debug, Default)]
-struct Stored {
+struct StoreState {
     /// `None` while the contents are unknown or the store does not answer.
     held: Option<BTreeSet<StoredKey>>,
     changed: bool,
@@ -44,9 +44,9 @@
     reset: bool,
 }
 
-impl Stored {
+impl StoreState {
     fn full_contents(&self, store: StoreId) -> Message {
-        Message::Stored {
+        Message::StoreContents {
             store,
             known: u8::from(self.held.is_some()),
             reset: 1,
@@ -102,7 +102,7 @@
         if std::mem::take(&mut self.reset) {
             return Some(self.full_contents(store));
         }
-        Some(Message::Stored {
+        Some(Message::StoreContents {
             store,
             known: 1,
             reset: 0,
--- a/crates/gateway-core/src/router/endpoints.rs
+++ b/crates/gateway-core/src/router/endpoints.rs
@@ -18,7 +18,7 @@
 /// Another router's report of an unresponsive back end is ignored if this router received bytes from the back end
 /// within this time.
 const RECENTLY_RECEIVED: Duration = Duration::from_millis(600);
-/// Cooldown of a back end that rejected another router's request: about as long as it takes to load weights.
+/// Cooldown of a back end that refused another router's request: about as long as it takes to load weights.
 const REFUSING_COOLDOWN: Duration = Duration::from_millis(400);
 
 /// The back ends and the indexes over them.
@@ -201,20 +201,20 @@
         }
     }
 
-    /// A request that was sent at `begun` has ended at its back end. Returns true if the back end has become
+    /// A request that was sent at `sent_at` has ended at its back end. Returns true if the back end has become
     /// unresponsive; the caller should then close its idle connections to it.
     pub fn finished(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        begun: Timestamp,
+        sent_at: Timestamp,
         outcome: Outcome,
     ) -> bool {
         let Some(endpoint) = self.by_id.get_mut(instance) else {
             return false;
         };
         let is_lost = matches!(outcome, Outcome::Broken | Outcome::TimedOut);
-        let last_activity = endpoint.last_received_at.get().max(begun);
+        let last_activity = endpoint.last_received_at.get().max(sent_at);
         let became_unresponsive = is_lost && now.since(last_activity) >= UNRESPONSIVE_AFTER;
         let outcome = if became_unresponsive {
             Outcome::TimedOut
@@ -222,7 +222,7 @@
             outcome
         };
         if outcome == Outcome::Answered {
-            endpoint.record_service_time(now.since(begun));
+            endpoint.record_service_time(now.since(sent_at));
         }
         endpoint.record_outcome(now, outcome);
         if endpoint.in_flight == 0 {
@@ -274,7 +274,7 @@
         endpoint.is_none_or(|endpoint| endpoint.notices.allow_requests(now))
     }
 
-    /// Avoids, for a short time, back ends that rejected requests of other routers.
+    /// Avoids, for a short time, back ends that refused requests of other routers.
     pub fn on_refusing(&mut self, now: Timestamp, keys: &[u32]) {
         for key in keys {
             self.change_with_key(*key, |_, endpoint| {
--- a/crates/gateway-core/src/router/mod.rs
+++ b/crates/gateway-core/src/router/mod.rs
@@ -5,6 +5,7 @@
 mod addresses;
 mod budget;
 mod cache;
+mod cached_parts;
 mod candidate;
 mod choice;
 mod copies;
@@ -19,7 +20,6 @@
 mod pool_partition;
 mod prompt_mix;
 mod prompt_placement;
-mod reads;
 mod reported_loads;
 mod request;
 mod router_count;
@@ -77,7 +77,7 @@
     /// For this long after the last confirmation, the router may answer that a route or key does not exist. An older
     /// view may lack one that was added since.
     pub absence_lease: Duration,
-    /// A request may start on older weights for this long after new weights are named.
+    /// A request may start on older weights for this long after a new target version is set.
     pub version_grace: Duration,
     /// Retries that all routers together may add, as a fraction of requests.
     pub retry_ratio: f64,
@@ -90,7 +90,7 @@
 /// A fetch from a store counts as slow when the answer takes longer than its target times this factor.
 const SLOW_FETCH_FACTOR: f64 = 1.3;
 
-/// Maximum number of unresponsive back ends, and of rejecting ones, that wait to be reported to the leader.
+/// Maximum number of unresponsive back ends, and of refusing ones, that wait to be reported to the leader.
 const MAX_PENDING_SUSPECTS: usize = 64;
 
 /// The state of one router, without I/O: callers pass in the time, messages and outcomes.
@@ -204,11 +204,11 @@
         }
     }
 
-    /// Records a quorum's confirmation, requested at `asked`, that no revision after `revision` had been accepted by
+    /// Records a quorum's confirmation, requested at `asked_at`, that no revision after `revision` had been accepted by
     /// then. `routers` is the number of routers that a control machine counts.
-    pub fn on_confirmed(&mut self, asked: Timestamp, revision: u64, routers: u16) {
-        self.view.on_confirmed(asked, revision);
-        self.update_router_count(asked, routers);
+    pub fn on_confirmed(&mut self, asked_at: Timestamp, revision: u64, routers: u16) {
+        self.view.on_confirmed(asked_at, revision);
+        self.update_router_count(asked_at, routers);
     }
 
     fn update_router_count(&mut self, now: Timestamp, routers: u16) {
@@ -250,7 +250,7 @@
     }
 
     /// True while a back end is known and has not announced, by a heartbeat or to this router, that it is leaving.
-    /// After such an announcement its end is planned, and so no evidence against the requests in flight there.
+    /// A shutdown after such an announcement is planned, so it is no evidence against the requests in flight there.
     pub fn is_serving(&self, now: Timestamp, instance: &InstanceId) -> bool {
         let endpoint = self.endpoints.get(instance);
         endpoint.is_some_and(|endpoint| {
@@ -260,8 +260,8 @@
     }
 
     /// Computes the fingerprint of a request; `None` before the fingerprint key is known.
-    pub fn identify(&self, work: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
-        self.view.fingerprint_key().map(|key| key.identify(work))
+    pub fn identify(&self, input: &FingerprintInput<'_>) -> Option<RequestFingerprint> {
+        self.view.fingerprint_key().map(|key| key.identify(input))
     }
 
     /// Refunds the charge of an admitted request that no back end has run.
@@ -363,7 +363,7 @@
     }
 
     /// Updates the set of prompt parts that a store holds. `known` is false when the store is unresponsive.
-    pub fn on_stored(
+    pub fn on_store_contents(
         &mut self,
         store: StoreId,
         known: bool,
@@ -371,21 +371,22 @@
         added: &[StoredKey],
         removed: &[StoredKey],
     ) {
-        self.stores.on_stored(store, known, reset, added, removed);
+        self.stores
+            .on_store_contents(store, known, reset, added, removed);
     }
 
-    /// Records the status headers in a back end's answer to a request that was sent at `asked`. If the answer may
-    /// belong to an earlier request, the caller passes the earliest possible time.
+    /// Records the status headers in a back end's answer to a request that was sent at `request_sent_at`. If the
+    /// answer may belong to an earlier request, the caller passes the earliest possible time.
     pub fn on_notice(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
         notice: BackEndNotice,
-        asked: Timestamp,
+        request_sent_at: Timestamp,
     ) -> NoticeChange {
         let context = NoticeContext {
             now,
-            request_sent_at: asked,
+            request_sent_at,
             routers: self.router_count.get(),
             seed: self.random.random(),
         };
@@ -403,26 +404,26 @@
         self.endpoints.allows_requests(now, instance)
     }
 
-    /// A request that was assigned to a back end, and sent at `begun`, has ended there. Returns true if the back end
+    /// A request that was assigned to a back end, and sent at `sent_at`, has ended there. Returns true if the back end
     /// has become unresponsive.
     pub fn finished(
         &mut self,
         now: Timestamp,
         instance: &InstanceId,
-        begun: Timestamp,
+        sent_at: Timestamp,
         outcome: Outcome,
     ) -> bool {
         if outcome == Outcome::Answered {
-            self.record_service_time(instance, now.since(begun));
+            self.record_service_time(instance, now.since(sent_at));
         }
-        let became_unresponsive = self.endpoints.finished(now, instance, begun, outcome);
+        let became_unresponsive = self.endpoints.finished(now, instance, sent_at, outcome);
         if became_unresponsive {
             self.suspect(LoadEntry::key_of(instance.as_str()));
         }
-        let is_rejected = matches!(outcome, Outcome::Shed | Outcome::OtherWeights);
+        let is_refused = matches!(outcome, Outcome::Shed | Outcome::OtherWeights);
         // A back end that asked for a backoff addressed this router only. If the other routers avoided it too, they
         // would overload the rest of the pool.
-        let is_for_all = is_rejected && self.endpoints.allows_requests(now, instance);
+        let is_for_all = is_refused && self.endpoints.allows_requests(now, instance);
         if is_for_all && self.refusing.len() < MAX_PENDING_SUSPECTS {
             self.refusing.push(LoadEntry::key_of(instance.as_str()));
         }
@@ -440,12 +441,12 @@
         std::mem::take(&mut self.suspects)
     }
 
-    /// Takes the back ends that rejected this router's requests and that it has not reported yet.
+    /// Takes the back ends that refused this router's requests and that it has not reported yet.
     pub fn take_refusing(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.refusing)
     }
 
-    /// Avoids, for a short time, back ends that rejected requests of other routers.
+    /// Avoids, for a short time, back ends that refused requests of other routers.
     pub fn on_refusing(&mut self, now: Timestamp, keys: &[u32]) {
         self.endpoints.on_refusing(now, keys);
     }
