--- a/crates/gateway/src/control/api.rs
+++ b/crates/gateway/src/control/api.rs
@@ -33,7 +33,7 @@
     let response = match call {
         ControlCall::PutConfiguration => put_configuration(&control, body).await,
         ControlCall::GetConfiguration => get_configuration(&control).await,
-        ControlCall::SetTargetWeights => name_weights(&control, &body).await,
+        ControlCall::SetTargetWeights => set_target_weights(&control, &body).await,
         ControlCall::Heartbeat(instance) => match control.dialect.heartbeat(&instance, &body) {
             Err(error) => invalid(&control, &error.to_string()),
             Ok(heartbeat) => {
@@ -100,7 +100,7 @@
     }
 }
 
-async fn name_weights(control: &Control, body: &[u8]) -> Response<AnswerBody> {
+async fn set_target_weights(control: &Control, body: &[u8]) -> Response<AnswerBody> {
     let (model, version) = match control.dialect.weights(body) {
         Ok(named) => named,
         Err(error) => return invalid(control, &error.to_string()),
--- a/crates/gateway/src/control/applied.rs
+++ b/crates/gateway/src/control/applied.rs
@@ -62,7 +62,7 @@
                 position,
                 model = model.as_str(),
                 version,
-                "control: a model has a new version of its weights"
+                "control: the target version of a model's weights changed"
             );
         }
         Command::SetFingerprintKey { .. } => {
@@ -72,19 +72,19 @@
                 "control: the key for request fingerprints is in force"
             );
         }
-        Command::Quarantine { fingerprint: work } => {
+        Command::Quarantine { fingerprint } => {
             tracing::info!(
                 event = "work_quarantined",
                 position,
-                work = format_args!("{work:#}"),
+                work = format_args!("{fingerprint:#}"),
                 "control: a request fingerprint was quarantined"
             );
         }
-        Command::Release { fingerprint: work } => {
+        Command::Release { fingerprint } => {
             tracing::info!(
                 event = "work_released",
                 position,
-                work = format_args!("{work:#}"),
+                work = format_args!("{fingerprint:#}"),
                 "control: a request fingerprint was released from quarantine"
             );
         }
--- a/crates/gateway/src/control/store.rs
+++ b/crates/gateway/src/control/store.rs
@@ -86,7 +86,8 @@
     }
 }
 
-/// Reads the position of the events before the list: changes between the two queries are repeated by the next events.
+/// Reads the store's event position first and its list second, so that a change between the two queries still arrives
+/// as an event.
 async fn resync(control: &Control, address: &str) -> Option<Position> {
     let events = query_events(control, address, 0, Duration::ZERO).await?;
     let list = query_list(control, address).await?;
@@ -148,9 +149,9 @@
     (answer.status == StatusCode::OK).then_some(answer.body)
 }
 
-fn report(control: &Control, address: &str, news: StoreUpdate) {
+fn report(control: &Control, address: &str, update: StoreUpdate) {
     let store = StoreId::at(address);
-    control.with_core(|core, now| core.on_store_update(now, store, news));
+    control.with_core(|core, now| core.on_store_update(now, store, update));
 }
 
 impl Control {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -86,7 +86,7 @@
     back_end_notices: Family<OutcomeLabel, Counter>,
     /// Unknown headers in back ends' answers, by name.
     unknown_headers: Family<NameLabel, Counter>,
-    /// Bytes sent over links to other processes, by kind of message; of the kind `dropped`, messages.
+    /// Bytes sent over links to other processes, by kind of message; the kind `dropped` counts messages.
     pub link_bytes: Counters,
     /// Requests to control machines for changes, and the outcomes of the answers.
     fetches: Family<OutcomeLabel, Counter>,
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -107,18 +107,18 @@
     }
 }
 
-/// Executes all steps that are due on the links.
+/// Executes all actions that are due on the links.
 fn poll(router: &Router, links: &Links) {
     let now = router.clock.now();
     let position = router.core.borrow().position();
-    let steps = links.view_links.borrow_mut().poll(now, position);
-    for step in steps {
-        execute_step(router, links, step);
+    let actions = links.view_links.borrow_mut().poll(now, position);
+    for action in actions {
+        execute_action(router, links, action);
     }
 }
 
-fn execute_step(router: &Router, links: &Links, step: LinkAction) {
-    match step {
+fn execute_action(router: &Router, links: &Links, action: LinkAction) {
+    match action {
         LinkAction::Ping { to, sequence } => {
             links.send(to, &Message::Ping { sequence });
         }
@@ -126,7 +126,7 @@
             if links.send(to, &Message::Follow(following)) {
                 links.view_links.borrow_mut().on_follow_sent(to, following);
                 tracing::info!(event = "control_followed", address = %to, ?following,
-                    "router: told a control machine which updates to send");
+                    "router: requested this set of updates from a control machine");
             }
         }
         LinkAction::Fetch {
@@ -316,16 +316,19 @@
             tracing::info!(
                 event = "back_ends_refusing",
                 count = keys.items.len(),
-                "router: back ends are declining other routers' requests"
+                "router: other routers reported back ends that refuse requests"
             );
         }
         Message::FingerprintSuspicions(suspicions) => {
             on_fingerprint_suspicions(router, address, &suspicions.items);
         }
-        Message::PermitTrial(work) => {
+        Message::PermitTrial(fingerprint) => {
             let now = router.clock.now();
-            router.core.borrow_mut().on_trial_permitted(now, work);
-            tracing::info!(event = "work_trial", %work, by = %address,
+            router
+                .core
+                .borrow_mut()
+                .on_trial_permitted(now, fingerprint);
+            tracing::info!(event = "work_trial", work = %fingerprint, by = %address,
                     "router: a control machine permitted one trial run of a quarantined request fingerprint");
         }
         Message::Holders(entries) => {
--- a/crates/gateway/src/router/crash_detection.rs
+++ b/crates/gateway/src/router/crash_detection.rs
@@ -130,8 +130,8 @@
         runs.iter().filter_map(with_fingerprint).collect();
     let now = router.clock.now();
     let mut core = router.core.borrow_mut();
-    for (fingerprint, ends) in core.on_back_end_crashed(now, instance, &fingerprints) {
-        tracing::info!(event = "work_suspected", work = %fingerprint, ends, %instance, by = "this router",
+    for (fingerprint, crashes) in core.on_back_end_crashed(now, instance, &fingerprints) {
+        tracing::info!(event = "work_suspected", work = %fingerprint, ends = crashes, %instance, by = "this router",
             "router: a back end crashed while serving requests with this fingerprint");
     }
     drop(core);
--- a/crates/gateway/src/router/first_view.rs
+++ b/crates/gateway/src/router/first_view.rs
@@ -38,7 +38,7 @@
         (now < until && has_room).then(|| until.since(now))
     }
 
-    /// Completes when the view is confirmed. A confirmation counts from this call on, before the first poll too.
+    /// Completes when the view is confirmed. Detects a confirmation that follows this call, even before the first poll.
     pub fn confirmed(&self) -> Notified<'_> {
         self.confirmed.notified()
     }
--- a/crates/gateway/src/router/mod.rs
+++ b/crates/gateway/src/router/mod.rs
@@ -164,7 +164,7 @@
 fn readiness(router: &Router) -> Response<AnswerBody> {
     let configured = router.core.borrow().configuration_version() > 0;
     // A router without free connection slots accepts no caller until a connection ends, so it is not ready.
-    let has_room = !router.caller_slots.all_taken();
+    let has_room = !router.caller_slots.all_occupied();
     if configured && has_room && router.stopping.get().is_none() {
         answer::plain(StatusCode::OK, "")
     } else {
--- a/crates/gateway/src/router/refusal.rs
+++ b/crates/gateway/src/router/refusal.rs
@@ -11,7 +11,7 @@
 use super::Router;
 use crate::answer::{self, AnswerBody};
 
-/// When to retry after a temporary condition, such as a back end that declined the request.
+/// When to retry after a temporary condition, such as a back end that refused the request.
 const RETRY_SOON: Duration = Duration::from_millis(60);
 /// Control machines that start together have elected a leader after about this long.
 const ELECTION_AFTER_START: Duration = Duration::from_millis(1_100);
--- a/crates/gateway/src/router/reports.rs
+++ b/crates/gateway/src/router/reports.rs
@@ -76,8 +76,8 @@
             return "closed";
         }
         let loads = router.core.borrow().own_loads();
-        let unconfirmed = now.since(sent_at) >= LOADS_REFRESH_INTERVAL && !loads.is_empty();
-        if loads == links.reported_loads.borrow().last() && !unconfirmed {
+        let refresh_due = now.since(sent_at) >= LOADS_REFRESH_INTERVAL && !loads.is_empty();
+        if loads == links.reported_loads.borrow().last() && !refresh_due {
             continue;
         }
         links.reported_loads.borrow_mut().note(now, loads.clone());
--- a/crates/gateway/src/router/resume.rs
+++ b/crates/gateway/src/router/resume.rs
@@ -1,9 +1,9 @@
 //! Resumes a broken stream at another back end, within the same answer to the caller.
 //!
 //! When the connection to a back end breaks, another back end continues the stream after the last event that was
-//! forwarded whole. The head and the response seal remain those of the first back end. Each resumption is an attempt of
-//! the request, bounded by the route's attempts and the retry budget. The broken connection is closed first, which
-//! cancels the earlier run. A stream that has only stalled is never resumed, because its run may continue.
+//! forwarded whole. The response head, and the seal header in it, remain those of the first back end. Each resumption is
+//! an attempt of the request, bounded by the route's attempts and the retry budget. The broken connection is closed
+//! first, which cancels the earlier run. A stream that has only stalled is never resumed, because its run may continue.
 //!
 //! A stream whose route does not allow it is resumed only where its run was copied to. That continues the same run, so
 //! nothing runs twice and the route's attempts do not count. A back end without the copy reports that, and the answer
@@ -209,7 +209,7 @@
     match resume_at(&router, &call, &mut attempts, &choice, &continued).await {
         ResumeAttempt::Resumed(answered) => Some(ResumedStream::new(*answered, attempts)),
         ResumeAttempt::ErrorAnswer | ResumeAttempt::Unresumed => {
-            log_not_resumed(&call, &attempts, "the copy did not go on");
+            log_not_resumed(&call, &attempts, "the copied run was not resumed");
             None
         }
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -62,7 +62,7 @@
 
     /// True while no slot is free. The server takes a slot before it accepts a connection, so one more connection may
     /// still be accepted.
-    pub fn all_taken(&self) -> bool {
+    pub fn all_occupied(&self) -> bool {
         self.0.available_permits() == 0
     }
 }
--- a/crates/gateway/src/server_tests.rs
+++ b/crates/gateway/src/server_tests.rs
@@ -61,9 +61,9 @@
     });
 }
 
-/// A router's readiness depends on it: a router without free slots must not be called ready.
+/// Guards against a router that reports that it is ready while it has no free slots.
 #[test]
-fn all_slots_are_taken_until_connections_end() {
+fn all_slots_are_occupied_until_connections_end() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -80,14 +80,14 @@
             |_: Request<Incoming>| async { Ok(answer::plain(StatusCode::OK, "")) },
         );
         tokio::task::spawn_local(answering);
-        assert!(!slots.all_taken());
+        assert!(!slots.all_occupied());
         let mut first = connect(address).await;
         assert!(ask(&mut first).await > 0);
         let mut second = connect(address).await;
         assert!(ask(&mut second).await > 0);
-        assert!(slots.all_taken());
+        assert!(slots.all_occupied());
         drop((first, second));
-        while slots.all_taken() {
+        while slots.all_occupied() {
             tokio::task::yield_now().await;
         }
     });
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -19,11 +19,11 @@
     pub listen: SocketAddr,
     /// The address that serves the platform's readiness checks.
     pub ready_listen: SocketAddr,
-    /// Where metrics are served.
+    /// The address that serves metrics.
     pub metrics_listen: Option<SocketAddr>,
     /// The port at which control machines accept links from routers and from each other.
     pub internal_port: u16,
-    /// Some control machines.
+    /// Returns the addresses of some control machines.
     pub seeds: SeedSource,
     /// Time from the stop signal until the process is killed.
     pub grace: Duration,
@@ -44,11 +44,11 @@
     pub listen: SocketAddr,
     /// The address at which callers request the directory of routers, when it is a separate one.
     pub directory_listen: Option<SocketAddr>,
-    /// Where metrics are served.
+    /// The address that serves metrics.
     pub metrics_listen: Option<SocketAddr>,
     /// The port that accepts links from routers and other control machines.
     pub internal_port: u16,
-    /// Some control machines.
+    /// Returns the addresses of some control machines.
     pub seeds: SeedSource,
     /// True when the cluster is started for the first time.
     pub bootstrap: bool,
