--- a/crates/gateway-core/tests/backoff/mod.rs
+++ b/crates/gateway-core/tests/backoff/mod.rs
@@ -287,7 +287,7 @@
         disturbance.copied()
     }
 
-    /// Passes the limit in the back end's answer to the router, or that there is none.
+    /// Passes the limit in the back end's answer, or the absence of one, to the router.
     fn report_limit(&mut self, request: usize) {
         let Request {
             router,
--- a/crates/gateway-core/tests/configuration_in_force/main.rs
+++ b/crates/gateway-core/tests/configuration_in_force/main.rs
@@ -85,7 +85,7 @@
 /// drumshore-gateway-core --test configuration_in_force -- --ignored --nocapture`.
 #[test]
 #[ignore = "prints figures; asserts nothing"]
-fn how_long_changes_take() {
+fn figures_of_delays_until_changes_are_in_force() {
     let number = |name: &str, default: u64| {
         let value = std::env::var(name).ok();
         value.map_or(default, |value| value.parse().unwrap())
--- a/crates/gateway-core/tests/configuration_in_force/router.rs
+++ b/crates/gateway-core/tests/configuration_in_force/router.rs
@@ -102,8 +102,8 @@
     /// Returns all messages that are due.
     pub fn poll(&mut self, now: Timestamp) -> Vec<Sent> {
         let mut sent = Vec::new();
-        for step in self.links.poll(now, self.core.position()) {
-            let (to, message) = match step {
+        for action in self.links.poll(now, self.core.position()) {
+            let (to, message) = match action {
                 LinkAction::Close { to } => {
                     self.drop_link(now, to);
                     continue;
--- a/crates/gateway-core/tests/control/fleet.rs
+++ b/crates/gateway-core/tests/control/fleet.rs
@@ -128,7 +128,8 @@
     assert!(cluster.replies.contains_key(&second));
 }
 
-/// Such a machine kept proposing registrations that were committed long ago: 200 entries a second without effect.
+/// Guards against a machine that keeps proposing registrations that were committed before the snapshot: it proposed 200
+/// entries a second without effect.
 #[test]
 fn a_machine_that_installs_a_snapshot_drops_its_proposals_contained_in_it() {
     let (mut cluster, leader, follower) = with_follower();
--- a/crates/gateway-core/tests/limits.rs
+++ b/crates/gateway-core/tests/limits.rs
@@ -24,7 +24,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(80);
 const STEP: Duration = Duration::from_millis(10);
 const SECOND: Duration = Duration::from_secs(1);
-/// Tokens of a request, about as at the users: most are short.
+/// Tokens of a request. As in the users' traffic, most requests are short.
 const SIZES: [u32; 4] = [800, 900, 1_000, 9_200];
 
 /// Tokens above a limit that the users' bounds allow in a window.
--- a/crates/gateway-core/tests/limits_of_back_ends/mod.rs
+++ b/crates/gateway-core/tests/limits_of_back_ends/mod.rs
@@ -21,7 +21,7 @@
 const REQUEST_PERIOD: Duration = Duration::from_secs(30);
 const MAX_REQUESTS: f64 = 3_000.0;
 /// The requests of a router are counted from this time on after it first received the limit; earlier ones may have been
-/// under way already.
+/// in flight already.
 const COUNT_DELAY: Duration = Duration::from_millis(500);
 const WINDOW: Duration = Duration::from_secs(4);
 /// Interval at which routers get their view confirmed, with the number of routers.
--- a/crates/gateway-core/tests/pool/mod.rs
+++ b/crates/gateway-core/tests/pool/mod.rs
@@ -1,8 +1,8 @@
 //! A pool of simulated back ends behind several routers, on a virtual clock.
 //!
 //! A back end runs requests in steps: each step prefills up to one chunk of the prompts in its slots and generates one
-//! token for each stream whose prompt is complete. Prefill therefore delays the other streams, as at the users' engines;
-//! the figures are those of these engines.
+//! token for each stream whose prompt is complete. Prefill therefore delays the other streams, as in the users' engines;
+//! the constants are the figures of these engines.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/gateway-core/tests/state_chunks.rs
+++ b/crates/gateway-core/tests/state_chunks.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// The state of 9,998 back ends has 1.3 MB. Queued whole for each of 985 routers, and again for repeated fetches, it took
+/// The state of 9,998 back ends takes 1.3 MB. Queued whole for each of 985 routers, and again for repeated fetches, it took
 /// 474 of the 512 MB of a control machine.
 #[test]
 fn no_chunk_is_larger_than_the_queue_of_a_link_allows() {
