--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -226,13 +226,13 @@
     }
 
     /// Submits a request to the core and waits for its reply; `Unavailable` while the disk fails.
-    async fn ask(&self, question: impl FnOnce(&mut Core, Timestamp, Ticket)) -> Reply {
+    async fn ask(&self, operation: impl FnOnce(&mut Core, Timestamp, Ticket)) -> Reply {
         let ticket = Ticket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
-        let asked = self.with_core(|core, now| question(core, now, ticket));
-        if asked.is_none() {
+        let submitted = self.with_core(|core, now| operation(core, now, ticket));
+        if submitted.is_none() {
             self.waiting.borrow_mut().remove(&ticket);
             return Reply::Unavailable;
         }
--- a/crates/gateway/src/control/peers.rs
+++ b/crates/gateway/src/control/peers.rs
@@ -103,7 +103,7 @@
     queue: &mut mpsc::Receiver<Message>,
 ) -> LinkEnd {
     let last_received = Rc::new(Cell::new(Instant::now()));
-    let receiving = listen(receiver, Rc::clone(&last_received));
+    let receiving = record_receipts(receiver, Rc::clone(&last_received));
     tokio::pin!(receiving);
     let mut keep_alive = interval(KEEP_ALIVE_INTERVAL);
     loop {
@@ -126,7 +126,7 @@
 }
 
 /// Records when messages are received, until the link is closed.
-async fn listen(mut receiver: Receiver, last_received: Rc<Cell<Instant>>) {
+async fn record_receipts(mut receiver: Receiver, last_received: Rc<Cell<Instant>>) {
     while receiver.receive().await.is_ok() {
         last_received.set(Instant::now());
     }
--- a/crates/gateway/src/router/control_links.rs
+++ b/crates/gateway/src/router/control_links.rs
@@ -217,20 +217,20 @@
     links.open_links.borrow_mut().insert(address, link);
     links.view_links.borrow_mut().on_linked(address);
     poll(router, links);
-    let listening = listen(router, links, address, receiver);
+    let receiving = receive_messages(router, links, address, receiver);
     let sending_status = reports::send_status_changes(router, &sender);
     let sending_loads = reports::send_load_reports(router, links, &sender, address);
     let sending_crash_reports = reports::send_crash_reports(router, &sender);
     tokio::select! {
         () = close_requested.notified() => "silent",
-        reason = listening => reason,
+        reason = receiving => reason,
         reason = sending_status => reason,
         reason = sending_loads => reason,
         reason = sending_crash_reports => reason,
     }
 }
 
-async fn listen(
+async fn receive_messages(
     router: &Rc<Router>,
     links: &Rc<Links>,
     address: Ipv4Addr,
