--- a/crates/control/src/core/index.rs
+++ b/crates/control/src/core/index.rs
@@ -11,7 +11,7 @@
     SequenceHash,
 };
 use drumshore_wire::{
-    BookingRecord, Bookings, HoldingRecord, IndexAnswer, IndexQuestion, List, Message,
+    BookingRecord, BookingReport, HoldingRecord, List, LookupRequest, LookupResponse, Message,
     RelayedBooking, RelayedBookings, WAITING_UNIT_TOKENS,
 };
 
@@ -65,32 +65,34 @@
 
     /// Answers a router's question which engines hold prefixes of a prompt. A question about an
     /// unknown slot is dropped.
-    pub(super) fn on_index_question(&mut self, connection: ConnectionId, question: &IndexQuestion) {
-        let Some(like) = self.fleet.get_by_slot(question.like) else {
+    pub(super) fn on_lookup_request(&mut self, connection: ConnectionId, request: &LookupRequest) {
+        let Some(member) = self.fleet.get_by_slot(request.member_slot) else {
             return;
         };
-        let lookup = to_lookup(connection, question);
-        let candidates = self.fleet.peers_of(like);
+        let lookup = to_lookup(connection, request);
+        let candidates = self.fleet.peers_of(member);
         let holdings = self
             .indexer
-            .ask(&lookup, candidates, self.clock.now)
+            .look_up(&lookup, candidates, self.clock.now)
             .iter()
             .filter_map(|holding| {
                 let view = self.fleet.get_by_id(holding.engine)?;
                 Some(to_holding_record(view.slot(), holding))
             })
             .collect();
-        let answer = IndexAnswer {
-            ticket: question.ticket,
+        let answer = LookupResponse {
+            ticket: request.ticket,
             holdings: List::new(holdings),
         };
-        self.immediate_effects
-            .push(Effect::ToRouter(connection, Message::IndexAnswer(answer)));
+        self.immediate_effects.push(Effect::ToRouter(
+            connection,
+            Message::LookupResponse(answer),
+        ));
     }
 
     /// Records the requests that a router placed, and queues them for the other control machines,
     /// whose routers must see the bookings as well.
-    pub(super) fn on_bookings(&mut self, connection: ConnectionId, bookings: &Bookings) {
+    pub(super) fn on_bookings(&mut self, connection: ConnectionId, bookings: &BookingReport) {
         for record in &bookings.records.items {
             let Some(booking) = self.booking(connection, record) else {
                 continue;
@@ -124,7 +126,7 @@
             let prefixes = booking.prefixes.items.iter().copied();
             let booking = Booking {
                 engine: EngineId(booking.engine),
-                missing_tokens: booking.missing_tokens,
+                uncached_tokens: booking.uncached_tokens,
                 prefixes: prefixes.map(SequenceHash).collect(),
             };
             self.indexer.book(&booking, self.clock.now);
@@ -137,30 +139,30 @@
             requester: connection.0,
             ticket: record.ticket,
         };
-        let missing_tokens = u32::from(record.missing) * WAITING_UNIT_TOKENS;
+        let uncached_tokens = u32::from(record.uncached) * WAITING_UNIT_TOKENS;
         Some(
             self.indexer
-                .booking_for_lookup(lookup_id, engine, missing_tokens),
+                .booking_for_lookup(lookup_id, engine, uncached_tokens),
         )
     }
 }
 
-fn to_lookup(connection: ConnectionId, question: &IndexQuestion) -> IndexLookup {
-    let hashes = question.prefixes.items.iter().zip(1u32..);
+fn to_lookup(connection: ConnectionId, request: &LookupRequest) -> IndexLookup {
+    let hashes = request.prefixes.items.iter().zip(1u32..);
     let prefixes = hashes.map(|(hash, number)| LookupPrefix {
         hash: SequenceHash(*hash),
-        blocks: number * u32::from(question.step),
+        blocks: number * u32::from(request.step),
     });
     IndexLookup {
         id: LookupId {
             requester: connection.0,
-            ticket: question.ticket,
+            ticket: request.ticket,
         },
         prefixes: prefixes.collect(),
-        block_tokens: question.block_tokens,
-        prompt_tokens: question.prompt_tokens,
-        recompute_weight: f64::from(question.recompute_weight) / WEIGHT_SCALE,
-        limit: usize::from(question.limit),
+        block_tokens: request.block_tokens,
+        prompt_tokens: request.prompt_tokens,
+        recompute_weight: f64::from(request.recompute_weight) / WEIGHT_SCALE,
+        limit: usize::from(request.limit),
     }
 }
 
@@ -178,7 +180,7 @@
     let prefixes = booking.prefixes.iter().map(|prefix| prefix.0);
     RelayedBooking {
         engine: booking.engine.0,
-        missing_tokens: booking.missing_tokens,
+        uncached_tokens: booking.uncached_tokens,
         prefixes: List::new(prefixes.collect()),
     }
 }
--- a/crates/control/src/core/routers.rs
+++ b/crates/control/src/core/routers.rs
@@ -41,8 +41,8 @@
             Message::Claim(claim) => self.on_claim(connection, claim),
             Message::Outcome(report) => self.on_outcome(connection, report),
             Message::Usage(usage) => self.on_router_usage(connection, &usage),
-            Message::IndexQuestion(question) => self.on_index_question(connection, &question),
-            Message::Bookings(bookings) => self.on_bookings(connection, &bookings),
+            Message::LookupRequest(request) => self.on_lookup_request(connection, &request),
+            Message::BookingReport(bookings) => self.on_bookings(connection, &bookings),
             // The other messages are sent only by control machines.
             _ => {}
         }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -170,13 +170,13 @@
 
     /// The ready engines of the same pool and with the same weights as `like`, which is included
     /// itself if it is ready.
-    pub fn peers_of<'f>(&'f self, like: &'f EngineView) -> impl Iterator<Item = EngineId> + 'f {
-        let weights_version = like.weights_version();
+    pub fn peers_of<'f>(&'f self, engine: &'f EngineView) -> impl Iterator<Item = EngineId> + 'f {
+        let weights_version = engine.weights_version();
         self.engines
             .values()
             .filter(move |view| {
                 view.state == EngineStateCode::Ready
-                    && view.record.pool == like.record.pool
+                    && view.record.pool == engine.record.pool
                     && view.weights_version() == weights_version
             })
             .map(|view| view.id)
--- a/crates/control/src/tests/core.rs
+++ b/crates/control/src/tests/core.rs
@@ -8,8 +8,8 @@
 };
 use drumshore_routing::{CacheChange, CacheReport, SequenceHash};
 use drumshore_wire::{
-    BookingRecord, Bookings, ClaimGrant, ClaimRequest, HoldingRecord, IndexQuestion, List, Message,
-    Subscribe, TenantQuery, Text,
+    BookingRecord, BookingReport, ClaimGrant, ClaimRequest, HoldingRecord, List, LookupRequest,
+    Message, Subscribe, TenantQuery, Text,
 };
 
 use super::{key, tenant};
@@ -351,10 +351,10 @@
     }
 }
 
-fn question(ticket: u32, like: u16) -> Message {
-    Message::IndexQuestion(IndexQuestion {
+fn lookup_request(ticket: u32, member_slot: u16) -> Message {
+    Message::LookupRequest(LookupRequest {
         ticket,
-        like,
+        member_slot,
         block_tokens: 100,
         prompt_tokens: 150,
         recompute_weight: 10,
@@ -369,13 +369,13 @@
     fn holdings(&mut self, at: ReplicaId, ticket: u32) -> Vec<HoldingRecord> {
         let core = self.cores.get_mut(&at).expect("a machine");
         let slot = core.fleet().iter().next().expect("an engine").1.slot();
-        core.on_router_message(ConnectionId(1), question(ticket, slot));
+        core.on_router_message(ConnectionId(1), lookup_request(ticket, slot));
         self.deliver();
         let answers = self.to_routers.iter().rev();
         let answer = answers
             .clone()
             .find_map(|(from, _, message)| match message {
-                Message::IndexAnswer(answer) if *from == at => Some(answer.clone()),
+                Message::LookupResponse(answer) if *from == at => Some(answer.clone()),
                 _ => None,
             });
         let answer = answer.expect("an answer");
@@ -395,11 +395,11 @@
     let before = cluster.holdings(here, 1);
     assert_eq!(before.len(), 2);
     assert_eq!((before[0].blocks, before[1].blocks), (1, 0));
-    let bookings = Message::Bookings(Bookings {
+    let bookings = Message::BookingReport(BookingReport {
         records: List::new(vec![BookingRecord {
             ticket: 1,
             slot: before[1].slot,
-            missing: 40,
+            uncached: 40,
         }]),
     });
     let core = cluster.cores.get_mut(&here).expect("a machine");
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -78,7 +78,7 @@
 
     /// Adds a tenant that was queried by key, from a source at the given revision. The floor
     /// does not change.
-    pub fn learn_tenant(
+    pub fn add_queried_tenant(
         &mut self,
         resource: Resource,
         offered: Revision,
--- a/crates/router/src/core/lookups.rs
+++ b/crates/router/src/core/lookups.rs
@@ -12,7 +12,7 @@
 use drumshore_routing::indexer::MIN_BOOKED_TOKENS;
 use drumshore_routing::{AnswerLoad, LookupAnswer, Placement, PrefixChain};
 use drumshore_wire::{
-    BookingRecord, Bookings, IndexAnswer, IndexQuestion, List, Message, WAITING_UNIT_TOKENS,
+    BookingRecord, BookingReport, List, LookupRequest, LookupResponse, Message, WAITING_UNIT_TOKENS,
 };
 
 use super::{Phase, RouterCore};
@@ -49,7 +49,7 @@
         chain: &PrefixChain,
         pool_member: EngineId,
     ) -> bool {
-        let Some(member_slot) = self.slots.slot(pool_member) else {
+        let Some(slot) = self.slots.slot(pool_member) else {
             return false;
         };
         let lookups = &mut self.lookups;
@@ -62,13 +62,8 @@
         }
         self.metrics.index_questions += 1;
         let scheduler = &self.params.scheduler;
-        let lookup = lookup_message(
-            ticket,
-            member_slot,
-            chain,
-            scheduler.informed_recompute_weight,
-        );
-        self.send(Message::IndexQuestion(IndexQuestion {
+        let lookup = lookup_message(ticket, slot, chain, scheduler.informed_recompute_weight);
+        self.send(Message::LookupRequest(LookupRequest {
             limit: u8::try_from(scheduler.index_engines).unwrap_or(u8::MAX),
             ..lookup
         }));
@@ -76,7 +71,7 @@
     }
 
     /// Places the request that a lookup's answer belongs to.
-    pub(super) fn on_index_answer(&mut self, answer: &IndexAnswer) {
+    pub(super) fn on_lookup_response(&mut self, answer: &LookupResponse) {
         let Some(id) = self.lookups.open.get(&answer.ticket).copied() else {
             return;
         };
@@ -131,18 +126,18 @@
     /// Queues a booking, which tells other routers through the index what the engine will cache and
     /// compute.
     pub(super) fn queue_booking(&mut self, ticket: Option<u32>, placement: &Placement) {
-        let missing = placement.missing_tokens();
-        if ticket.is_none() && missing < MIN_BOOKED_TOKENS {
+        let uncached = placement.uncached_tokens();
+        if ticket.is_none() && uncached < MIN_BOOKED_TOKENS {
             return;
         }
         let Some(slot) = self.slots.slot(placement.engine) else {
             return;
         };
-        let missing = missing.div_ceil(WAITING_UNIT_TOKENS);
+        let uncached = uncached.div_ceil(WAITING_UNIT_TOKENS);
         self.lookups.bookings.push(BookingRecord {
             ticket: ticket.unwrap_or(NO_TICKET),
             slot,
-            missing: u16::try_from(missing).unwrap_or(u16::MAX),
+            uncached: u16::try_from(uncached).unwrap_or(u16::MAX),
         });
     }
 
@@ -152,7 +147,7 @@
             return;
         }
         let records = List::new(std::mem::take(&mut self.lookups.bookings));
-        self.send(Message::Bookings(Bookings { records }));
+        self.send(Message::BookingReport(BookingReport { records }));
     }
 
     /// Closes a request's open lookup and returns its ticket.
@@ -182,18 +177,13 @@
     }
 }
 
-fn lookup_message(
-    ticket: u32,
-    member_slot: u16,
-    chain: &PrefixChain,
-    weight: f64,
-) -> IndexQuestion {
+fn lookup_message(ticket: u32, slot: u16, chain: &PrefixChain, weight: f64) -> LookupRequest {
     let prefixes = chain.lookup_prefixes();
     let step = prefixes.first().map_or(1, |prefix| prefix.blocks);
     let hashes = prefixes.iter().map(|prefix| prefix.hash.0);
-    IndexQuestion {
+    LookupRequest {
         ticket,
-        like: member_slot,
+        member_slot: slot,
         block_tokens: chain.block_tokens(),
         prompt_tokens: chain.prompt_tokens(),
         recompute_weight: (weight * WEIGHT_UNIT) as u8,
--- a/crates/router/src/core/placement.rs
+++ b/crates/router/src/core/placement.rs
@@ -36,7 +36,7 @@
                 self.assign(id, &prompt, (placement, choice));
                 true
             }
-            Some(Decision::Ask(pool_member)) => {
+            Some(Decision::Lookup(pool_member)) => {
                 self.start_lookup(id, &prompt.chain, pool_member) || self.place_informed(id, &[])
             }
             None => false,
@@ -111,7 +111,7 @@
         prompt: &HashedPrompt,
         answers: Option<&[LookupAnswer]>,
     ) -> Option<Decision> {
-        let may_ask = self.may_query_index();
+        let may_look_up = self.may_query_index();
         let request = self.active.get(&id)?;
         for pool in self.config.pools_of(&request.admit_request.model) {
             let routing = RoutingRequest {
@@ -122,7 +122,7 @@
                 zone: &self.params.zone,
                 excluded: &request.excluded,
                 index_answer: None,
-                may_ask,
+                may_look_up,
             };
             let (number, now) = (id.sequence, self.now);
             let decided = match answers {
--- a/crates/router/src/core/tenants.rs
+++ b/crates/router/src/core/tenants.rs
@@ -105,7 +105,7 @@
         let waiting = waiting.map_or(Vec::new(), |pending| pending.waiting);
         match resource {
             Some(resource) => {
-                let _ = self.config.learn_tenant(resource, revision);
+                let _ = self.config.add_queried_tenant(resource, revision);
                 self.store_config();
             }
             None => self.unknown_keys.refuse(key, self.now),
--- a/crates/router/src/tests/config.rs
+++ b/crates/router/src/tests/config.rs
@@ -67,7 +67,7 @@
     let mut view = ConfigView::default();
     view.apply(&update(5, true, &[model(5, 2)]))
         .expect("the update is new");
-    view.learn_tenant(tenant("t", 8, "new"), Revision(8))
+    view.add_queried_tenant(tenant("t", 8, "new"), Revision(8))
         .expect("the revision is newer");
     view.apply(&update(6, false, &[tenant("t", 6, "old")]))
         .expect("the revision is above the floor");
--- a/crates/router/src/tests/core.rs
+++ b/crates/router/src/tests/core.rs
@@ -8,7 +8,7 @@
 };
 use drumshore_wire::{
     Blob, ClaimGrant, ClaimResponse, EngineEntry, EngineStateCode, EngineUpdate, Freshness,
-    HoldingRecord, IndexAnswer, List, Message, TenantAnswer, Text,
+    HoldingRecord, List, LookupResponse, Message, TenantAnswer, Text,
 };
 use rstest::rstest;
 
@@ -104,13 +104,13 @@
     }
 
     fn answer_lookup(&mut self, ticket: u32, holdings: &[HoldingRecord]) {
-        let answer = IndexAnswer {
+        let answer = LookupResponse {
             ticket,
             holdings: List::new(holdings.to_vec()),
         };
         let link = self.link.expect("a link is open");
         self.core
-            .on_control_message(link, Message::IndexAnswer(answer));
+            .on_control_message(link, Message::LookupResponse(answer));
     }
 
     fn carry_out(&mut self) {
@@ -208,7 +208,7 @@
 
 fn ticket(message: &Message) -> Option<u32> {
     match message {
-        Message::IndexQuestion(question) => Some(question.ticket),
+        Message::LookupRequest(request) => Some(request.ticket),
         _ => None,
     }
 }
@@ -558,7 +558,7 @@
     harness.process_effects();
     assert_eq!(harness.assignment(id).engine.as_str(), "b");
     let booking = harness.sent.iter().find_map(|message| match message {
-        Message::Bookings(bookings) => bookings.records.items.first().copied(),
+        Message::BookingReport(bookings) => bookings.records.items.first().copied(),
         _ => None,
     });
     let booking = booking.expect("the router sends a booking");
--- a/crates/routing/examples/place.rs
+++ b/crates/routing/examples/place.rs
@@ -43,7 +43,7 @@
             zone: &ZoneName::new("zone-1"),
             excluded: &[],
             index_answer: None,
-            may_ask: false,
+            may_look_up: false,
         };
         match placer.place(request, &routing, now) {
             Ok(Decision::Placed(placement, choice)) => {
@@ -57,7 +57,7 @@
                 placer.on_first_token(&placement, AnswerReport::default(), now);
                 placer.on_ended(&placement);
             }
-            Ok(Decision::Ask(_)) => println!("request {request}: query the shared index"),
+            Ok(Decision::Lookup(_)) => println!("request {request}: query the shared index"),
             Err(reason) => println!("request {request}: {reason:?}"),
         }
     }
--- a/crates/routing/src/indexer.rs
+++ b/crates/routing/src/indexer.rs
@@ -99,7 +99,7 @@
     /// The engine that receives the request.
     pub engine: EngineId,
     /// Prompt tokens that the engine has to compute.
-    pub missing_tokens: u32,
+    pub uncached_tokens: u32,
     /// Prefixes that the engine will cache.
     pub prefixes: Vec<SequenceHash>,
 }
@@ -239,7 +239,7 @@
 
     /// Answers a lookup with the candidates that have the lowest cost for the prompt, best first,
     /// and keeps its prefixes for the booking that follows.
-    pub fn ask(
+    pub fn look_up(
         &mut self,
         lookup: &IndexLookup,
         candidates: impl Iterator<Item = EngineId>,
@@ -266,7 +266,7 @@
         &mut self,
         lookup: LookupId,
         engine: EngineId,
-        missing_tokens: u32,
+        uncached_tokens: u32,
     ) -> Booking {
         // A booking usually follows one of the latest lookups.
         let lookup_position = self
@@ -276,7 +276,7 @@
         let removed = lookup_position.and_then(|position| self.recent_lookups.remove(position));
         Booking {
             engine,
-            missing_tokens,
+            uncached_tokens,
             prefixes: removed.map_or(Vec::new(), |(_, prefixes)| prefixes),
         }
     }
@@ -291,7 +291,7 @@
             .booked
             .retain(|booked| now.since(booked.at) < lifetime);
         known.booked.push(BookedTokens {
-            tokens: booking.missing_tokens,
+            tokens: booking.uncached_tokens,
             at: now,
         });
         let epoch = known.epoch;
--- a/crates/routing/src/placer.rs
+++ b/crates/routing/src/placer.rs
@@ -42,7 +42,7 @@
     Placed(Placement, Choice),
     /// Send a lookup to the shared index and call [`Placer::place_informed`] with its answer.
     /// Without an answer this engine is the best choice.
-    Ask(EngineId),
+    Lookup(EngineId),
 }
 
 /// What the shared index answers about one engine.
@@ -75,7 +75,7 @@
 
 impl Placement {
     /// Prompt tokens that the engine is expected to compute.
-    pub fn missing_tokens(&self) -> u32 {
+    pub fn uncached_tokens(&self) -> u32 {
         self.prompt_tokens.saturating_sub(self.expected_tokens)
     }
 }
@@ -141,9 +141,9 @@
             .choose(&self.engines, &self.index, routing, now)?;
         let prefixes = routing.chain.hashes().len().min(MAX_LOOKUP_PREFIXES);
         let informed = self.scheduler.params().policy == Policy::Product;
-        let may_ask = routing.may_ask && informed && prefixes > 0;
-        if may_ask && self.lookup_budget.take(prefixes, choice.stake_tokens, now) {
-            return Ok(Decision::Ask(choice.engine));
+        let may_look_up = routing.may_look_up && informed && prefixes > 0;
+        if may_look_up && self.lookup_budget.take(prefixes, choice.stake_tokens, now) {
+            return Ok(Decision::Lookup(choice.engine));
         }
         let (placement, choice) = self.book(request, routing, choice, now)?;
         Ok(Decision::Placed(placement, choice))
@@ -176,7 +176,7 @@
             .collect();
         let informed = RoutingRequest {
             index_answer: Some(&known),
-            may_ask: false,
+            may_look_up: false,
             ..*routing
         };
         let choice = self
--- a/crates/routing/src/recorder.rs
+++ b/crates/routing/src/recorder.rs
@@ -84,7 +84,8 @@
     /// Engines where earlier attempts failed.
     pub excluded: Vec<EngineId>,
     /// True if the shared index was available for a lookup.
-    pub may_ask: bool,
+    #[serde(rename = "may_ask")]
+    pub may_look_up: bool,
     /// The answer of the shared index; `None` if there was no lookup.
     pub answers: Option<Vec<LookupAnswer>>,
 }
@@ -106,7 +107,8 @@
     /// The request went to this engine.
     Placed(EngineId),
     /// The shared index was to be queried first; this engine was the best until then.
-    Ask(EngineId),
+    #[serde(rename = "ask")]
+    Lookup(EngineId),
     /// No engine could take the request.
     Nowhere,
 }
@@ -193,7 +195,7 @@
             zone: &place.zone,
             excluded: &place.excluded,
             index_answer: None,
-            may_ask: place.may_ask,
+            may_look_up: place.may_look_up,
         };
         let decided: Result<Decision, NoChoice> = match &place.answers {
             Some(answers) => self
@@ -208,7 +210,7 @@
                 self.placements.insert(place.request, placement);
                 TraceOutcome::Placed(engine)
             }
-            Ok(Decision::Ask(best)) => TraceOutcome::Ask(best),
+            Ok(Decision::Lookup(best)) => TraceOutcome::Lookup(best),
             Err(_) => TraceOutcome::Nowhere,
         };
         TraceDecision {
--- a/crates/routing/src/scheduler.rs
+++ b/crates/routing/src/scheduler.rs
@@ -45,7 +45,7 @@
     /// take the request, only these are considered.
     pub index_answer: Option<&'a [KnownCache]>,
     /// True if the shared index is available for a lookup.
-    pub may_ask: bool,
+    pub may_look_up: bool,
 }
 
 /// The part of a prompt that one engine caches according to the shared index.
--- a/crates/routing/src/tests.rs
+++ b/crates/routing/src/tests.rs
@@ -79,7 +79,7 @@
             excluded: &[],
             goal: Default::default(),
             index_answer: None,
-            may_ask: false,
+            may_look_up: false,
         };
         self.scheduler
             .choose(&self.engines, &self.index, &request, NOW)
--- a/crates/routing/tests/indexer.rs
+++ b/crates/routing/tests/indexer.rs
@@ -61,8 +61,8 @@
     }
 }
 
-fn ask(indexer: &mut Indexer, blocks: u64, now: Timestamp) -> Vec<Holding> {
-    indexer.ask(&lookup(1, blocks), [ENGINE, OTHER].into_iter(), now)
+fn look_up(indexer: &mut Indexer, blocks: u64, now: Timestamp) -> Vec<Holding> {
+    indexer.look_up(&lookup(1, blocks), [ENGINE, OTHER].into_iter(), now)
 }
 
 fn holding_at(
@@ -71,7 +71,7 @@
     blocks: u64,
     now: Timestamp,
 ) -> Option<Holding> {
-    let holdings = ask(indexer, blocks, now);
+    let holdings = look_up(indexer, blocks, now);
     holdings
         .into_iter()
         .find(|holding| holding.engine == engine)
@@ -92,7 +92,7 @@
 fn the_engine_with_the_longest_prefix_comes_first() {
     let mut indexer = indexer_with(&[1, 2]);
     indexer.on_report(OTHER, &complete(1, 1, &[1, 2, 3]), at(0));
-    let holdings = ask(&mut indexer, 4, at(1));
+    let holdings = look_up(&mut indexer, 4, at(1));
     let found: Vec<_> = holdings.iter().map(|h| (h.engine, h.blocks)).collect();
     assert_eq!(found, [(OTHER, 3), (ENGINE, 2)]);
 }
@@ -149,7 +149,7 @@
 #[test]
 fn a_booking_counts_before_any_report() {
     let mut indexer = indexer_with(&[]);
-    ask(&mut indexer, 3, at(0));
+    look_up(&mut indexer, 3, at(0));
     let lookup_id = LookupId {
         requester: 1,
         ticket: 1,
@@ -170,13 +170,13 @@
     let mut indexer = indexer_with(&[]);
     let booking = Booking {
         engine: ENGINE,
-        missing_tokens: 300_000,
+        uncached_tokens: 300_000,
         prefixes: vec![hash(1)],
     };
     indexer.book(&booking, at(1));
     let lifetime = IndexerParams::default().booking_lifetime;
     let later = at(1).plus(lifetime * 2 + Duration::from_millis(1));
-    let holdings = ask(&mut indexer, 1, later);
+    let holdings = look_up(&mut indexer, 1, later);
     assert!(holdings.iter().all(|holding| holding.blocks == 0));
     assert!(holdings.iter().all(|holding| holding.waiting_tokens == 0));
 }
@@ -186,7 +186,7 @@
     let mut indexer = indexer_with(&[]);
     let booking = Booking {
         engine: ENGINE,
-        missing_tokens: 100,
+        uncached_tokens: 100,
         prefixes: vec![hash(1)],
     };
     indexer.book(&booking, at(1));
@@ -333,7 +333,7 @@
         for block in 1..6u64 {
             let prefix = LookupPrefix { hash: hash(block), blocks: 1 };
             let single = IndexLookup { prefixes: vec![prefix], ..lookup(1, 1) };
-            let found = indexer.ask(&single, [ENGINE].into_iter(), now);
+            let found = indexer.look_up(&single, [ENGINE].into_iter(), now);
             let blocks = found.first().map_or(0, |holding| holding.blocks);
             prop_assert_eq!(blocks == 1, engine.held.contains(&block), "block {}", block);
         }
--- a/crates/testbed/src/bench/decision.rs
+++ b/crates/testbed/src/bench/decision.rs
@@ -65,7 +65,7 @@
             zone: &ZoneName::new("zone-1"),
             excluded: &[],
             index_answer: None,
-            may_ask: false,
+            may_look_up: false,
         };
         let started = Instant::now();
         let placed = placer.place(number as u64, &routing, now);
--- a/crates/testbed/src/bench/index.rs
+++ b/crates/testbed/src/bench/index.rs
@@ -61,7 +61,7 @@
         change_ns,
         decode_ns,
         change_bytes,
-        question_us: bench.ask(),
+        question_us: bench.look_up(),
     })
 }
 
@@ -162,7 +162,7 @@
         }
     }
 
-    fn ask(&mut self) -> Percentiles {
+    fn look_up(&mut self) -> Percentiles {
         let mut nanoseconds = histogram();
         for ticket in 0..QUESTIONS {
             let engine = self.random.random_range(0..ENGINES);
@@ -181,7 +181,7 @@
             };
             let started = Instant::now();
             let engines = self.engines.iter().copied();
-            let holdings = self.indexer.ask(&question, engines, Timestamp(1));
+            let holdings = self.indexer.look_up(&question, engines, Timestamp(1));
             let took = started.elapsed().as_nanos() as u64;
             assert!(!holdings.is_empty(), "every engine is a candidate");
             nanoseconds.saturating_record(took);
--- a/crates/testbed/src/bench/routing/control.rs
+++ b/crates/testbed/src/bench/routing/control.rs
@@ -11,8 +11,8 @@
 };
 use drumshore_wire::frame::encode_frame;
 use drumshore_wire::{
-    BookingRecord, Bookings, EngineLoad, HoldingRecord, IndexAnswer, IndexQuestion, List,
-    LoadUpdate, Message, AGE_UNIT_MS, WAITING_UNIT_TOKENS,
+    BookingRecord, BookingReport, EngineLoad, HoldingRecord, List, LoadUpdate, LookupRequest,
+    LookupResponse, Message, AGE_UNIT_MS, WAITING_UNIT_TOKENS,
 };
 
 use super::run::{zone, Bench, POOL, RECORDED, WEIGHTS};
@@ -140,7 +140,8 @@
         let ready = self.ids.iter().zip(&self.states);
         let ready = ready.filter(|(_, state)| **state == EngineState::Ready);
         let machine = job.router % self.indexers.len();
-        let holdings = self.indexers[machine].ask(&question, ready.map(|(id, _)| *id), self.now);
+        let holdings =
+            self.indexers[machine].look_up(&question, ready.map(|(id, _)| *id), self.now);
         self.index_bytes += question_bytes(&question) + answer_bytes(holdings.len());
         let block_tokens = question.block_tokens;
         let answers = holdings.iter().map(|holding| answer(holding, block_tokens));
@@ -156,7 +157,7 @@
             return;
         };
         let asked = std::mem::take(&mut job.asked);
-        let missing = placement.missing_tokens();
+        let missing = placement.uncached_tokens();
         if !asks || (!asked && missing < MIN_BOOKED_TOKENS) {
             return;
         }
@@ -201,9 +202,9 @@
 
 fn question_bytes(question: &IndexLookup) -> u64 {
     let hashes = question.prefixes.iter().map(|prefix| prefix.hash.0);
-    frame_bytes(&Message::IndexQuestion(IndexQuestion {
+    frame_bytes(&Message::LookupRequest(LookupRequest {
         ticket: question.id.ticket,
-        like: 0,
+        member_slot: 0,
         block_tokens: question.block_tokens,
         prompt_tokens: question.prompt_tokens,
         recompute_weight: 0,
@@ -220,7 +221,7 @@
         waiting: 0,
         running: 0,
     };
-    frame_bytes(&Message::IndexAnswer(IndexAnswer {
+    frame_bytes(&Message::LookupResponse(LookupResponse {
         ticket: 0,
         holdings: List::new(vec![holding; engines]),
     }))
@@ -230,9 +231,9 @@
     let record = BookingRecord {
         ticket: 0,
         slot: 0,
-        missing: 0,
+        uncached: 0,
     };
-    frame_bytes(&Message::Bookings(Bookings {
+    frame_bytes(&Message::BookingReport(BookingReport {
         records: List::new(vec![record]),
     }))
 }
--- a/crates/testbed/src/bench/routing/run.rs
+++ b/crates/testbed/src/bench/routing/run.rs
@@ -309,7 +309,7 @@
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        let may_ask = job.answers.is_none();
+        let may_look_up = job.answers.is_none();
         let zone = zone(job.router, self.params.zones);
         let routing = RoutingRequest {
             pool: &PoolName::new(POOL),
@@ -319,7 +319,7 @@
             zone: &zone,
             excluded: &job.excluded,
             index_answer: None,
-            may_ask,
+            may_look_up,
         };
         let placer = &mut self.placers[job.router];
         let started = Instant::now();
@@ -342,13 +342,13 @@
             goal: routing.goal,
             zone: zone.clone(),
             excluded: job.excluded.clone(),
-            may_ask,
+            may_look_up,
             answers: job.answers.clone(),
         });
         self.record(router, event);
         match decision {
             Ok(Decision::Placed(placement, _)) => self.submit(number, placement),
-            Ok(Decision::Ask(_)) => self.ask_index(number),
+            Ok(Decision::Lookup(_)) => self.ask_index(number),
             Err(_) => {
                 if let Some(job) = self.jobs.get_mut(&number) {
                     job.excluded.clear();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,10 +14,10 @@
 pub use frame::{read_frame, write_frame, FrameError};
 pub use handshake::{handshake, HandshakeError, Identity};
 pub use messages::{
-    BookingRecord, Bookings, ClaimGrant, ClaimRequest, ClaimResponse, ConfigUpdate, EngineEntry,
-    EngineLoad, EngineStateCode, EngineUpdate, Freshness, HoldingRecord, IndexAnswer,
-    IndexQuestion, LoadUpdate, Message, OutcomeReport, RelayedBooking, RelayedBookings, Subscribe,
-    TenantAnswer, TenantQuery, UsageAllotment, UsageRecord, UsageReport, AGE_UNIT_MS,
+    BookingRecord, BookingReport, ClaimGrant, ClaimRequest, ClaimResponse, ConfigUpdate,
+    EngineEntry, EngineLoad, EngineStateCode, EngineUpdate, Freshness, HoldingRecord, LoadUpdate,
+    LookupRequest, LookupResponse, Message, OutcomeReport, RelayedBooking, RelayedBookings,
+    Subscribe, TenantAnswer, TenantQuery, UsageAllotment, UsageRecord, UsageReport, AGE_UNIT_MS,
     WAITING_UNIT_TOKENS,
 };
 pub use primitives::{Blob, List, Text};
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -57,13 +57,13 @@
     OutcomeStored(u64),
     /// Router to control: asks which engines have cached blocks of a prompt.
     #[brw(magic(17u8))]
-    IndexQuestion(IndexQuestion),
+    LookupRequest(LookupRequest),
     /// Control to router: engines to serve the prompt, with their cached blocks.
     #[brw(magic(18u8))]
-    IndexAnswer(IndexAnswer),
+    LookupResponse(LookupResponse),
     /// Router to control: requests that the router has placed on engines.
     #[brw(magic(19u8))]
-    Bookings(Bookings),
+    BookingReport(BookingReport),
     /// Control to control: requests that the routers connected to the sender have placed.
     #[brw(magic(20u8))]
     RelayedBookings(RelayedBookings),
@@ -151,7 +151,7 @@
     pub engines: List<EngineEntry>,
 }
 
-/// Prompt tokens in one unit of the `waiting` and `missing` fields.
+/// Prompt tokens in one unit of the `waiting` and `uncached` fields.
 pub const WAITING_UNIT_TOKENS: u32 = 256;
 
 /// Milliseconds in one unit of [`EngineLoad::age`].
@@ -185,12 +185,12 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct IndexQuestion {
+pub struct LookupRequest {
     /// Identifies the question in the answer and in the booking that follows it.
     pub ticket: u32,
     /// The slot of an engine that could serve the prompt. The engines of the same pool with the
     /// same weights are the candidates.
-    pub like: u16,
+    pub member_slot: u16,
     /// Tokens in one cache block.
     pub block_tokens: u32,
     /// Tokens in the prompt.
@@ -220,11 +220,11 @@
     pub running: u8,
 }
 
-/// The answer to an [`IndexQuestion`].
+/// The answer to an [`LookupRequest`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct IndexAnswer {
+pub struct LookupResponse {
     /// The ticket of the question.
     pub ticket: u32,
     /// The suggested engines, best first.
@@ -241,14 +241,14 @@
     /// The engine's slot in the last engine update.
     pub slot: u16,
     /// Prompt tokens that are not cached and must be computed, in units of 256 tokens.
-    pub missing: u16,
+    pub uncached: u16,
 }
 
 /// The bookings of one router.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bookings {
+pub struct BookingReport {
     /// The requests that the router has placed since its last message.
     pub records: List<BookingRecord>,
 }
@@ -261,7 +261,7 @@
     /// The engine's identity. Slots differ between control machines and cannot be used here.
     pub engine: u64,
     /// Prompt tokens that are not cached and must be computed.
-    pub missing_tokens: u32,
+    pub uncached_tokens: u32,
     /// Hashes of the prompt prefixes that the engine will cache.
     pub prefixes: List<u64>,
 }
