--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -470,8 +470,8 @@
     }
 
     fn membership_at(&self, index: LogIndex) -> &Membership {
-        let in_force = self.memberships.iter().rev().find(|(at, _)| *at <= index);
-        &in_force.unwrap_or(&self.memberships[0]).1
+        let in_effect = self.memberships.iter().rev().find(|(at, _)| *at <= index);
+        &in_effect.unwrap_or(&self.memberships[0]).1
     }
 
     fn can_campaign(&self) -> bool {
--- a/crates/control/src/core/operators.rs
+++ b/crates/control/src/core/operators.rs
@@ -171,7 +171,7 @@
             .values()
             .map(|subscription| RouterStatus {
                 name: subscription.router.clone(),
-                in_force: subscription.applied_revision,
+                applied_revision: subscription.applied_revision,
                 tenants: subscription.tenants.len(),
             })
             .collect()
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -103,7 +103,8 @@
     /// The name that the router connected with.
     pub name: String,
     /// The revision that the router reports to have applied.
-    pub in_force: Revision,
+    #[serde(rename = "in_force")]
+    pub applied_revision: Revision,
     /// Number of tenants whose changes the router receives.
     pub tenants: usize,
 }
--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -110,6 +110,6 @@
 
 #[test]
 fn a_request_error_displays_its_code_and_execution() {
-    let verdict = RequestError::not_run(crate::ErrorCode::NoEngine, "nothing ready");
-    assert_eq!(verdict.to_string(), "nothing ready (no_engine, not_run)");
+    let error = RequestError::not_run(crate::ErrorCode::NoEngine, "nothing ready");
+    assert_eq!(error.to_string(), "nothing ready (no_engine, not_run)");
 }
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -60,7 +60,7 @@
 pub(crate) enum HeadError {
     /// The peer closed the connection, or it failed or was idle too long before a request.
     Closed,
-    /// The request is refused with this verdict.
+    /// The request is refused with this error.
     Refused(RequestError),
 }
 
@@ -246,7 +246,7 @@
             .then(|| SecretKey::new(key.trim()))
     }
 
-    /// Reads the whole body of at most `max_bytes`. Fails with a verdict if the body is larger,
+    /// Reads the whole body of at most `max_bytes`. Fails if the body is larger,
     /// malformed or too slow.
     pub fn read_body(&mut self, max_bytes: u64) -> Result<Vec<u8>, RequestError> {
         if let BodyLength::Known(length) = self.head.body {
--- a/crates/http/src/responder.rs
+++ b/crates/http/src/responder.rs
@@ -1,4 +1,4 @@
-//! Sends answers: complete, streamed, or the verdict of a refusal.
+//! Sends answers: complete, streamed, or the error of a refusal.
 
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -72,15 +72,15 @@
         }
     }
 
-    /// Refuses the request. Status, headers and JSON body all follow from the verdict.
-    pub fn refuse(mut self, verdict: &RequestError) -> SendOutcome {
-        self.add_header(EXECUTION_HEADER, verdict.execution.as_str());
-        if let Some(delay) = verdict.retry_after {
+    /// Refuses the request. Status, headers and JSON body all follow from the error.
+    pub fn refuse(mut self, error: &RequestError) -> SendOutcome {
+        self.add_header(EXECUTION_HEADER, error.execution.as_str());
+        if let Some(delay) = error.retry_after {
             let seconds = delay.as_millis().div_ceil(1_000).max(1);
             self.add_header("retry-after", seconds);
             self.add_header(RETRY_AFTER_MS_HEADER, delay.as_millis());
         }
-        self.send_json(verdict.code.status(), &error_body(verdict))
+        self.send_json(error.code.status(), &error_body(error))
     }
 
     /// Sends the head of a streamed answer. Call `flush` on the returned body to send the bytes
@@ -113,13 +113,13 @@
 /// The body of a streamed answer. Dropping it sends the final chunk.
 pub type StreamBody<'c> = Encoder<&'c TcpStream>;
 
-/// The JSON document that callers receive for a verdict.
-pub(crate) fn error_body(verdict: &RequestError) -> impl Serialize + '_ {
+/// The JSON document that callers receive for an error.
+pub(crate) fn error_body(error: &RequestError) -> impl Serialize + '_ {
     ErrorBody {
         error: ErrorDetail {
-            code: verdict.code.as_str(),
-            message: &verdict.message,
-            execution: verdict.execution.as_str(),
+            code: error.code.as_str(),
+            message: &error.message,
+            execution: error.execution.as_str(),
         },
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -172,8 +172,8 @@
 
 fn refuse_connection(stream: &TcpStream, shared: &Shared) {
     let _ = stream.set_write_timeout(Some(shared.params.write_timeout));
-    let verdict = RequestError::not_run(ErrorCode::Overloaded, "too many connections");
-    Responder::new(stream, false).refuse(&verdict.retry_after(Duration::from_secs(1)));
+    let error = RequestError::not_run(ErrorCode::Overloaded, "too many connections");
+    Responder::new(stream, false).refuse(&error.retry_after(Duration::from_secs(1)));
 }
 
 /// Closes the sending half and discards input, so that the peer can read the last answer. Closing a
@@ -237,8 +237,8 @@
     let head = match head {
         Ok(head) => head,
         Err(HeadError::Closed) => return false,
-        Err(HeadError::Refused(verdict)) => {
-            Responder::new(stream, false).refuse(&verdict);
+        Err(HeadError::Refused(error)) => {
+            Responder::new(stream, false).refuse(&error);
             return false;
         }
     };
--- a/crates/http/src/tests.rs
+++ b/crates/http/src/tests.rs
@@ -22,8 +22,8 @@
         Ok(body) => {
             responder.send(200, "text/plain", &body);
         }
-        Err(verdict) => {
-            responder.refuse(&verdict);
+        Err(error) => {
+            responder.refuse(&error);
         }
     }
 }
--- a/crates/node/src/operator/tables.rs
+++ b/crates/node/src/operator/tables.rs
@@ -98,10 +98,10 @@
         .routers
         .iter()
         .map(|router| {
-            let behind = status.revision.0.saturating_sub(router.in_force.0);
+            let behind = status.revision.0.saturating_sub(router.applied_revision.0);
             vec![
                 router.name.clone(),
-                router.in_force.to_string(),
+                router.applied_revision.to_string(),
                 behind.to_string(),
                 router.tenants.to_string(),
             ]
@@ -139,9 +139,9 @@
 }
 
 pub(super) fn decision(record: &DecisionRecord) -> String {
-    let end = match (&record.verdict, record.answered) {
+    let end = match (&record.error, record.answered) {
         (_, true) => "answered".to_owned(),
-        (Some(verdict), _) => verdict.to_string(),
+        (Some(error), _) => error.to_string(),
         (None, false) => "running, or left".to_owned(),
     };
     let mut text = format!(
@@ -168,8 +168,8 @@
         if let Some(cached) = attempt.cached_tokens {
             text += &format!("  the engine reported {cached} prompt tokens cached\n");
         }
-        if let Some(verdict) = &attempt.verdict {
-            text += &format!("  failed: {verdict}\n");
+        if let Some(error) = &attempt.error {
+            text += &format!("  failed: {error}\n");
         }
         let rows: Vec<Vec<String>> = attempt.candidates.iter().map(candidate).collect();
         let header = [
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -101,7 +101,7 @@
 }
 
 impl CompletionRequest {
-    /// Parses a request body; a malformed or incomplete one is a `BadRequest` verdict.
+    /// Parses a request body; a malformed or incomplete one is a `BadRequest` error.
     pub fn parse(kind: CompletionKind, body: &[u8]) -> Result<Self, RequestError> {
         let mut document: serde_json::Value = serde_json::from_slice(body).map_err(bad_request)?;
         let parsed = Body::deserialize(&document).map_err(bad_request)?;
--- a/crates/router/src/core/ledger.rs
+++ b/crates/router/src/core/ledger.rs
@@ -66,18 +66,18 @@
             ClaimGrant::Completed(answer) => self.answer_from_ledger(id, &answer),
             ClaimGrant::StillRunning => {
                 let message = "a request with this key is still running";
-                let verdict = RequestError::may_have_run(ErrorCode::StillRunning, message);
-                self.refuse_claimed_elsewhere(id, verdict.retry_after(RETRY_AFTER_RUNNING));
+                let error = RequestError::may_have_run(ErrorCode::StillRunning, message);
+                self.refuse_claimed_elsewhere(id, error.retry_after(RETRY_AFTER_RUNNING));
             }
             ClaimGrant::MayHaveRun => {
                 let message = "a request with this key may have run; it is not repeated";
-                let verdict = RequestError::may_have_run(ErrorCode::NotRepeated, message);
-                self.refuse_claimed_elsewhere(id, verdict);
+                let error = RequestError::may_have_run(ErrorCode::NotRepeated, message);
+                self.refuse_claimed_elsewhere(id, error);
             }
             ClaimGrant::KeyReused => {
                 let message = "the key was used for another request";
-                let verdict = RequestError::not_run(ErrorCode::KeyReused, message);
-                self.refuse_claimed_elsewhere(id, verdict);
+                let error = RequestError::not_run(ErrorCode::KeyReused, message);
+                self.refuse_claimed_elsewhere(id, error);
             }
             ClaimGrant::Unavailable => self.release_claim(id),
         }
@@ -192,9 +192,9 @@
     }
 
     /// Refuses a request whose key is claimed by another one, so it has no outcome to report.
-    fn refuse_claimed_elsewhere(&mut self, id: RequestId, verdict: RequestError) {
+    fn refuse_claimed_elsewhere(&mut self, id: RequestId, error: RequestError) {
         self.forget_claim(id);
-        self.refuse_active(id, verdict);
+        self.refuse_active(id, error);
     }
 
     fn forget_claim(&mut self, id: RequestId) {
--- a/crates/router/src/core/placement.rs
+++ b/crates/router/src/core/placement.rs
@@ -27,8 +27,8 @@
         }
         let Some(prompt) = self.prompt_of(id) else {
             let message = "the model is not configured any more";
-            let verdict = RequestError::not_run(ErrorCode::UnknownModel, message);
-            self.refuse_active(id, verdict);
+            let error = RequestError::not_run(ErrorCode::UnknownModel, message);
+            self.refuse_active(id, error);
             return true;
         };
         match self.choose(id, &prompt, None) {
@@ -201,7 +201,7 @@
             candidates: choice.candidates,
             excluded,
             cached_tokens: None,
-            verdict: None,
+            error: None,
         });
     }
 }
--- a/crates/router/src/core/requests.rs
+++ b/crates/router/src/core/requests.rs
@@ -24,8 +24,8 @@
             sequence: self.next_sequence,
         };
         if self.stopping {
-            let verdict = RequestError::not_run(ErrorCode::Stopping, "the router is stopping");
-            self.refuse_new(id, verdict.retry_after(RETRY_AFTER_SHED));
+            let error = RequestError::not_run(ErrorCode::Stopping, "the router is stopping");
+            self.refuse_new(id, error.retry_after(RETRY_AFTER_SHED));
         } else {
             self.identify(id, admit_request);
         }
@@ -43,7 +43,7 @@
         let placement = placement.clone();
         request.excluded.push(placement.engine);
         request.phase = Phase::Queued;
-        request.execution = request.execution.max(failure.verdict.execution);
+        request.execution = request.execution.max(failure.error.execution);
         request.deadline = self.now.plus(self.params.queue_timeout);
         if !failure.delivered {
             request.pinned_weights = None;
@@ -52,12 +52,12 @@
             !matches!(failure.kind, FailureKind::Rejected | FailureKind::Diverged);
         let until = is_engine_fault.then(|| self.now.plus(self.params.suspect_time));
         self.placer.on_failed(&placement, until);
-        self.record_attempt_failure(id, &failure.verdict);
+        self.record_attempt_failure(id, &failure.error);
         if self.may_retry(id, failure) {
             self.metrics.retries += 1;
             self.queue_or_place(id);
         } else {
-            self.refuse_active(id, failure.verdict.clone());
+            self.refuse_active(id, failure.error.clone());
         }
         self.dispatch_queued();
     }
@@ -84,17 +84,17 @@
                 }
             }
             Conclusion::Recorded(_) => self.metrics.answered += 1,
-            Conclusion::Failed(verdict) => {
-                self.count_failure(verdict);
-                self.record_outcome(&request, id, verdict.execution, None);
-                self.record_end(id, verdict);
+            Conclusion::Failed(error) => {
+                self.count_failure(error);
+                self.record_outcome(&request, id, error.execution, None);
+                self.record_end(id, error);
             }
             Conclusion::CallerGone => {
                 self.metrics.failed += 1;
                 let message = "the caller went away";
-                let verdict = RequestError::may_have_run(ErrorCode::EngineFailed, message);
-                self.record_outcome(&request, id, verdict.execution, None);
-                self.record_end(id, &verdict);
+                let error = RequestError::may_have_run(ErrorCode::EngineFailed, message);
+                self.record_outcome(&request, id, error.execution, None);
+                self.record_end(id, &error);
             }
         }
         self.dispatch_queued();
@@ -122,8 +122,8 @@
             tenant: &tenant,
             limits,
         };
-        if let AdmissionDecision::Refused(verdict) = self.admission.admit(&request, self.now) {
-            return self.refuse_new(id, verdict);
+        if let AdmissionDecision::Refused(error) = self.admission.admit(&request, self.now) {
+            return self.refuse_new(id, error);
         }
         self.retry.deposit(&tenant);
         let request = self.active_request(admit_request, tenant, spec);
@@ -147,18 +147,18 @@
     }
 
     /// Refuses a request that was not admitted.
-    pub(super) fn refuse_new(&mut self, id: RequestId, verdict: RequestError) {
+    pub(super) fn refuse_new(&mut self, id: RequestId, error: RequestError) {
         self.metrics.refused += 1;
-        self.answer(id, AdmitOutcome::Refused(verdict));
+        self.answer(id, AdmitOutcome::Refused(error));
     }
 
-    /// Refuses an admitted request; its owner then ends it with `on_finished`. The verdict is "not
+    /// Refuses an admitted request; its owner then ends it with `on_finished`. The error is "not
     /// run" only if no attempt may have run.
-    pub(super) fn refuse_active(&mut self, id: RequestId, mut verdict: RequestError) {
+    pub(super) fn refuse_active(&mut self, id: RequestId, mut error: RequestError) {
         if let Some(request) = self.active.get(&id) {
-            verdict.execution = verdict.execution.max(request.execution);
+            error.execution = error.execution.max(request.execution);
         }
-        self.answer(id, AdmitOutcome::Refused(verdict));
+        self.answer(id, AdmitOutcome::Refused(error));
     }
 
     /// Places a request, or queues it if others wait or no engine has capacity.
@@ -207,8 +207,8 @@
             .collect();
         for id in expired {
             let message = "no engine took the request in time";
-            let verdict = RequestError::not_run(ErrorCode::DeadlineExceeded, message);
-            self.refuse_active(id, verdict.retry_after(RETRY_AFTER_SHED));
+            let error = RequestError::not_run(ErrorCode::DeadlineExceeded, message);
+            self.refuse_active(id, error.retry_after(RETRY_AFTER_SHED));
         }
     }
 
@@ -231,8 +231,8 @@
             .or_insert_with(|| FairQueue::new(capacity));
         if let Some(shed) = queue.push(item, weight) {
             let message = "too many requests wait for an engine";
-            let verdict = RequestError::not_run(ErrorCode::Overloaded, message);
-            self.refuse_active(shed.item, verdict.retry_after(RETRY_AFTER_SHED));
+            let error = RequestError::not_run(ErrorCode::Overloaded, message);
+            self.refuse_active(shed.item, error.retry_after(RETRY_AFTER_SHED));
         }
     }
 
@@ -243,7 +243,7 @@
             return false;
         };
         let kind_allows = !matches!(failure.kind, FailureKind::Rejected | FailureKind::Diverged);
-        let not_run = failure.verdict.execution == Execution::NotRun;
+        let not_run = failure.error.execution == Execution::NotRun;
         let repeatable = request.admit_request.idempotency_key.is_none();
         let continuable = !failure.delivered || request.admit_request.deterministic;
         let safe = not_run || (repeatable && continuable) || !enforced(Guard::RetryOnlyIfSafe);
@@ -289,29 +289,29 @@
             prompt_tokens: request.admit_request.prompt.as_prompt().token_count(),
             non_repeatable: request.admit_request.idempotency_key.is_some(),
             attempts: Vec::new(),
-            verdict: None,
+            error: None,
             answered: false,
         });
     }
 
-    fn count_failure(&mut self, verdict: &RequestError) {
-        if verdict.execution == Execution::NotRun {
+    fn count_failure(&mut self, error: &RequestError) {
+        if error.execution == Execution::NotRun {
             self.metrics.refused += 1;
         } else {
             self.metrics.failed += 1;
         }
     }
 
-    fn record_attempt_failure(&mut self, id: RequestId, verdict: &RequestError) {
+    fn record_attempt_failure(&mut self, id: RequestId, error: &RequestError) {
         let record = self.decisions.get_mut(id);
         if let Some(attempt) = record.and_then(|record| record.attempts.last_mut()) {
-            attempt.verdict = Some(verdict.clone());
+            attempt.error = Some(error.clone());
         }
     }
 
-    fn record_end(&mut self, id: RequestId, verdict: &RequestError) {
+    fn record_end(&mut self, id: RequestId, error: &RequestError) {
         if let Some(record) = self.decisions.get_mut(id) {
-            record.verdict = Some(verdict.clone());
+            record.error = Some(error.clone());
         }
     }
 
--- a/crates/router/src/core/tenants.rs
+++ b/crates/router/src/core/tenants.rs
@@ -66,8 +66,8 @@
             return self.refuse_new(id, unauthorized());
         }
         if self.unknown_keys.pending.len() >= MAX_PENDING_KEYS {
-            let verdict = RequestError::not_run(ErrorCode::Overloaded, "too many unknown keys");
-            return self.refuse_new(id, verdict.retry_after(self.params.tenant_query_timeout));
+            let error = RequestError::not_run(ErrorCode::Overloaded, "too many unknown keys");
+            return self.refuse_new(id, error.retry_after(self.params.tenant_query_timeout));
         }
         self.await_tenant(id, admit_request);
         self.query_tenant(key, id);
@@ -149,8 +149,8 @@
                 pending.waiting.retain(|waiting| *waiting != id);
             }
             let message = "no control machine confirmed who holds the key";
-            let verdict = RequestError::not_run(ErrorCode::ConfigUnavailable, message);
-            self.refuse_new(id, verdict.retry_after(self.params.tenant_query_timeout));
+            let error = RequestError::not_run(ErrorCode::ConfigUnavailable, message);
+            self.refuse_new(id, error.retry_after(self.params.tenant_query_timeout));
         }
         self.unknown_keys
             .pending
--- a/crates/router/src/exchange.rs
+++ b/crates/router/src/exchange.rs
@@ -82,7 +82,7 @@
     /// The kind of failure.
     pub kind: FailureKind,
     /// Whether the request may have run, and why the attempt failed.
-    pub verdict: RequestError,
+    pub error: RequestError,
     /// True if part of the answer was sent to the caller.
     pub delivered: bool,
 }
@@ -195,11 +195,11 @@
                 Next::Call(UpstreamCall::Start(assignment))
             }
             AdmitOutcome::Recorded(answer) => self.finish(Conclusion::Recorded(answer)),
-            AdmitOutcome::Refused(verdict) => self.finish(Conclusion::Failed(verdict)),
+            AdmitOutcome::Refused(error) => self.finish(Conclusion::Failed(error)),
             AdmitOutcome::Models(_) => {
                 let message = "models were listed to a request that wants to run";
-                let verdict = RequestError::not_run(ErrorCode::Internal, message);
-                self.finish(Conclusion::Failed(verdict))
+                let error = RequestError::not_run(ErrorCode::Internal, message);
+                self.finish(Conclusion::Failed(error))
             }
         }
     }
@@ -243,8 +243,8 @@
             Ok(RelayProgress::Done) => self.finish(Conclusion::Answered),
             Err(RelayError::Diverged) => {
                 let message = RelayError::Diverged.to_string();
-                let verdict = RequestError::ran(ErrorCode::EngineFailed, message);
-                self.fail(FailureKind::Diverged, verdict)
+                let error = RequestError::ran(ErrorCode::EngineFailed, message);
+                self.fail(FailureKind::Diverged, error)
             }
             Err(error) => self.resume_or_fail(&error.to_string()),
         }
@@ -256,8 +256,8 @@
             (Stage::Finished, _) => Next::Read,
             (Stage::Starting, UpstreamEnd::NotConnected) => {
                 let message = "the engine could not be reached";
-                let verdict = RequestError::not_run(ErrorCode::NoEngine, message);
-                self.fail(FailureKind::Unreachable, verdict)
+                let error = RequestError::not_run(ErrorCode::NoEngine, message);
+                self.fail(FailureKind::Unreachable, error)
             }
             (_, UpstreamEnd::NotConnected) => self.fail_broken("the engine is gone"),
             (_, UpstreamEnd::Ended) => self.resume_or_fail("the engine's connection ended"),
@@ -312,11 +312,11 @@
             _ => ErrorCode::NoEngine,
         };
         let message = format!("the engine refused with status {}", head.status);
-        let verdict = RequestError {
+        let error = RequestError {
             execution: head.execution.unwrap_or(presumed),
             ..RequestError::not_run(code, message)
         };
-        self.fail(kind, verdict)
+        self.fail(kind, error)
     }
 
     fn resume_or_fail(&mut self, reason: &str) -> Next {
@@ -335,19 +335,19 @@
     }
 
     fn fail_broken(&mut self, reason: &str) -> Next {
-        let verdict = if self.has_delivered() {
+        let error = if self.has_delivered() {
             RequestError::ran(ErrorCode::EngineFailed, reason)
         } else {
             RequestError::may_have_run(ErrorCode::EngineFailed, reason)
         };
-        self.fail(FailureKind::Broken, verdict)
+        self.fail(FailureKind::Broken, error)
     }
 
-    fn fail(&mut self, kind: FailureKind, verdict: RequestError) -> Next {
+    fn fail(&mut self, kind: FailureKind, error: RequestError) -> Next {
         self.stage = Stage::Waiting;
         Next::Report(AttemptFailure {
             kind,
-            verdict,
+            error,
             delivered: self.has_delivered(),
         })
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! [`RouterCore`] authenticates and admits requests, assigns them to engines and decides about
 //! retries. [`Exchange`] drives one request: it names the next call to an engine, checks the
-//! engine's stream with a [`StreamRelay`], and turns failures into verdicts. Token bytes pass
+//! engine's stream with a [`StreamRelay`], and turns failures into errors. Token bytes pass
 //! through exchanges only, never through the core. [`RouterActor`] runs the core as a `stakker`
 //! actor, both in the daemon and in the simulator.
 #![forbid(unsafe_code)]
--- a/crates/router/src/tests/core.rs
+++ b/crates/router/src/tests/core.rs
@@ -158,13 +158,13 @@
     }
 
     fn fail(&mut self, id: RequestId, kind: FailureKind, execution: Execution, delivered: bool) {
-        let verdict = RequestError {
+        let error = RequestError {
             execution,
             ..RequestError::not_run(ErrorCode::EngineFailed, "test")
         };
         let failure = AttemptFailure {
             kind,
-            verdict,
+            error,
             delivered,
         };
         self.core.on_attempt_failed(id, &failure);
@@ -191,9 +191,9 @@
         }
     }
 
-    fn verdict(&self, id: RequestId) -> &RequestError {
+    fn error(&self, id: RequestId) -> &RequestError {
         match self.last_outcome(id) {
-            Some(AdmitOutcome::Refused(verdict)) => verdict,
+            Some(AdmitOutcome::Refused(error)) => error,
             other => panic!("{other:?}"),
         }
     }
@@ -268,7 +268,7 @@
         resource: Blob::new(b"null".to_vec()),
     }));
     for id in [first, second] {
-        assert_eq!(harness.verdict(id).code, ErrorCode::Unauthorized);
+        assert_eq!(harness.error(id).code, ErrorCode::Unauthorized);
     }
 }
 
@@ -301,8 +301,8 @@
     }));
     assert!(harness.last_outcome(id).is_none());
     harness.tick(Duration::from_secs(4));
-    assert_eq!(harness.verdict(id).code, ErrorCode::ConfigUnavailable);
-    assert_eq!(harness.verdict(id).execution, Execution::NotRun);
+    assert_eq!(harness.error(id).code, ErrorCode::ConfigUnavailable);
+    assert_eq!(harness.error(id).execution, Execution::NotRun);
 }
 
 #[test]
@@ -344,7 +344,7 @@
         assert_eq!(harness.assignment(id).attempt, 2);
         assert_ne!(harness.assignment(id).engine, first);
     } else {
-        assert_eq!(harness.verdict(id).execution, execution);
+        assert_eq!(harness.error(id).execution, execution);
     }
 }
 
@@ -355,15 +355,15 @@
     })
 }
 
-/// Guards against a "not run" verdict for a request whose first attempt broke and may have run, and
+/// Guards against a "not run" error for a request whose first attempt broke and may have run, and
 /// whose second attempt was refused by the next engine without running.
 #[test]
-fn verdict_is_not_run_only_if_no_attempt_may_have_run() {
+fn error_is_not_run_only_if_no_attempt_may_have_run() {
     let mut harness = Harness::ready();
     let id = harness.admit(request_with_key("key"));
     harness.fail(id, FailureKind::Broken, Execution::MayHaveRun, false);
     harness.fail(id, FailureKind::Rejected, Execution::NotRun, false);
-    assert_eq!(harness.verdict(id).execution, Execution::MayHaveRun);
+    assert_eq!(harness.error(id).execution, Execution::MayHaveRun);
 }
 
 #[test]
@@ -384,10 +384,10 @@
     let mut harness = Harness::ready();
     let id = harness.admit(idempotent_request());
     harness.tick(Duration::from_secs(7));
-    let verdict = harness.verdict(id).clone();
-    assert_eq!(verdict.code, ErrorCode::LedgerUnavailable);
-    assert_eq!(verdict.execution, Execution::NotRun);
-    harness.finish(id, &Conclusion::Failed(verdict));
+    let error = harness.error(id).clone();
+    assert_eq!(error.code, ErrorCode::LedgerUnavailable);
+    assert_eq!(error.execution, Execution::NotRun);
+    harness.finish(id, &Conclusion::Failed(error));
     harness.reconnect();
     let released = harness
         .sent
@@ -464,7 +464,7 @@
     let open = harness.admit(request_with_key("key"));
     harness.core.stop();
     let late = harness.admit(request_with_key("key"));
-    assert_eq!(harness.verdict(late).code, ErrorCode::Stopping);
+    assert_eq!(harness.error(late).code, ErrorCode::Stopping);
     assert!(!harness.core.is_drained());
     harness.finish(open, &Conclusion::Answered);
     assert!(harness.core.is_drained());
@@ -503,14 +503,11 @@
         .expect("the decision record is kept");
     assert_eq!(record.attempts.len(), 2);
     assert_eq!(record.attempts[0].chosen, Some(first.clone()));
-    let verdict = record.attempts[0].verdict.as_ref();
-    assert_eq!(
-        verdict.map(|verdict| verdict.execution),
-        Some(Execution::NotRun)
-    );
+    let error = record.attempts[0].error.as_ref();
+    assert_eq!(error.map(|error| error.execution), Some(Execution::NotRun));
     assert_eq!(record.attempts[1].chosen, Some(second));
     assert_eq!(record.attempts[1].excluded, [first]);
-    assert!(record.attempts[1].verdict.is_none() && record.answered);
+    assert!(record.attempts[1].error.is_none() && record.answered);
 }
 
 impl Harness {
--- a/crates/router/src/tests/exchange.rs
+++ b/crates/router/src/tests/exchange.rs
@@ -76,7 +76,7 @@
     while let Next::Call(UpstreamCall::Resume { .. }) = next {
         next = exchange.on_end(UpstreamEnd::Ended);
     }
-    assert_eq!(failure(next).verdict.execution, execution);
+    assert_eq!(failure(next).error.execution, execution);
 }
 
 #[rstest]
@@ -112,7 +112,7 @@
         report: AnswerReport::default(),
     };
     let failure = failure(exchange.on_head(&head));
-    assert_eq!((failure.kind, failure.verdict.execution), (kind, execution));
+    assert_eq!((failure.kind, failure.error.execution), (kind, execution));
 }
 
 #[test]
@@ -149,7 +149,7 @@
     }
     let failure = failure(next);
     assert!(failure.delivered);
-    assert_eq!(failure.verdict.execution, Execution::Ran);
+    assert_eq!(failure.error.execution, Execution::Ran);
 }
 
 #[test]
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -85,14 +85,13 @@
     /// Admits or refuses one request and counts it for the tenant's usage.
     pub fn admit(&mut self, request: &AdmissionRequest<'_>, now: Timestamp) -> AdmissionDecision {
         if self.open >= self.params.max_open {
-            let verdict =
-                RequestError::not_run(ErrorCode::Overloaded, "too many requests are open");
-            return AdmissionDecision::Refused(verdict.retry_after(Duration::from_secs(1)));
+            let error = RequestError::not_run(ErrorCode::Overloaded, "too many requests are open");
+            return AdmissionDecision::Refused(error.retry_after(Duration::from_secs(1)));
         }
         let tenant = self.tenant_use(request, now);
         tenant.requests += 1;
-        if let Err(verdict) = tenant.check(request.limits, now) {
-            return AdmissionDecision::Refused(verdict);
+        if let Err(error) = tenant.check(request.limits, now) {
+            return AdmissionDecision::Refused(error);
         }
         tenant.open += 1;
         self.open += 1;
@@ -166,8 +165,8 @@
         self.refill(rate, now);
         if self.open >= open {
             let message = "the tenant's limit of concurrent requests is reached";
-            let verdict = RequestError::not_run(ErrorCode::LimitReached, message);
-            return Err(verdict.retry_after(Duration::from_millis(500)));
+            let error = RequestError::not_run(ErrorCode::LimitReached, message);
+            return Err(error.retry_after(Duration::from_millis(500)));
         }
         if self.tokens < 1.0 {
             let wait = Duration::from_secs_f64((1.0 - self.tokens) / rate.max(0.1));
--- a/crates/routing/src/decision.rs
+++ b/crates/routing/src/decision.rs
@@ -50,7 +50,8 @@
     /// Prompt tokens that the engine reported as cached.
     pub cached_tokens: Option<u32>,
     /// The error of a failed attempt.
-    pub verdict: Option<RequestError>,
+    #[serde(rename = "verdict")]
+    pub error: Option<RequestError>,
 }
 
 /// All attempts at one request and their outcome.
@@ -72,7 +73,8 @@
     pub attempts: Vec<AttemptRecord>,
     /// The error that the caller received; `None` while the request runs or after a complete
     /// answer.
-    pub verdict: Option<RequestError>,
+    #[serde(rename = "verdict")]
+    pub error: Option<RequestError>,
     /// True if the caller received a complete answer.
     pub answered: bool,
 }
--- a/crates/testbed/src/sim/callers.rs
+++ b/crates/testbed/src/sim/callers.rs
@@ -325,7 +325,7 @@
                 self.check_recorded(&exchange, &recorded.text);
                 self.finish_ask(exchange.ask);
             }
-            Conclusion::Failed(verdict) => self.on_failed(&exchange, id, &verdict),
+            Conclusion::Failed(error) => self.on_failed(&exchange, id, &error),
             Conclusion::CallerGone => {
                 if let Some(assignment) = exchange.exchange.assignment() {
                     self.cancel_at_engine(assignment);
@@ -342,10 +342,9 @@
         }
     }
 
-    fn on_failed(&mut self, exchange: &SimExchange, id: RequestId, verdict: &RequestError) {
-        self.trace
-            .mark(self.now, verdict.code.as_str(), id.sequence);
-        if verdict.execution == Execution::NotRun {
+    fn on_failed(&mut self, exchange: &SimExchange, id: RequestId, error: &RequestError) {
+        self.trace.mark(self.now, error.code.as_str(), id.sequence);
+        if error.execution == Execution::NotRun {
             self.totals.refused += 1;
             self.checks.on_not_run(id, self.now);
         }
@@ -356,11 +355,11 @@
         let Some(ask) = self.asks.get_mut(&exchange.ask) else {
             return;
         };
-        if verdict.code == ErrorCode::NotRepeated {
+        if error.code == ErrorCode::NotRepeated {
             ask.done = true;
             return;
         }
-        let pause = verdict.retry_after.unwrap_or(PAUSE).max(PAUSE);
+        let pause = error.retry_after.unwrap_or(PAUSE).max(PAUSE);
         self.try_again(exchange.ask, pause);
     }
 
--- a/crates/testbed/tests/processes.rs
+++ b/crates/testbed/tests/processes.rs
@@ -106,10 +106,10 @@
         &record.attempts[0],
         &record.attempts[record.attempts.len() - 1],
     );
-    let verdict = first.verdict.as_ref().expect("the first attempt failed");
-    assert_eq!(verdict.execution.as_str(), "not_run");
+    let error = first.error.as_ref().expect("the first attempt failed");
+    assert_eq!(error.execution.as_str(), "not_run");
     assert_ne!(first.chosen, last.chosen);
-    assert!(last.verdict.is_none());
+    assert!(last.error.is_none());
     assert_eq!(last.excluded.first(), first.chosen.as_ref());
     assert_eq!(fleet.stop_routers(), 1);
 }
