--- a/crates/routing/src/recorder.rs
+++ b/crates/routing/src/recorder.rs
@@ -110,7 +110,8 @@
     #[serde(rename = "ask")]
     Lookup(EngineId),
     /// No engine could take the request.
-    Nowhere,
+    #[serde(rename = "nowhere")]
+    NoEngine,
 }
 
 /// A decision of a replayed trace.
@@ -211,7 +212,7 @@
                 TraceOutcome::Placed(engine)
             }
             Ok(Decision::Lookup(best)) => TraceOutcome::Lookup(best),
-            Err(_) => TraceOutcome::Nowhere,
+            Err(_) => TraceOutcome::NoEngine,
         };
         TraceDecision {
             request: place.request,
--- a/crates/testbed/tests/replay.rs
+++ b/crates/testbed/tests/replay.rs
@@ -33,7 +33,7 @@
 fn a_difference_is_shown_where_it_is() {
     let expected = stated("surtidor");
     let mut found = expected.clone();
-    found[9].outcome = TraceOutcome::Nowhere;
+    found[9].outcome = TraceOutcome::NoEngine;
     let difference = first_difference(&expected, &found).expect("one differs");
     assert_eq!(difference.position, 10);
     assert_eq!(difference.expected, Some(expected[9].clone()));
