--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -510,7 +510,7 @@
         }
     }
 
-    /// True when a leader has been in contact within the minimum election timeout. Vote requests
+    /// True when a message of the leader arrived within the minimum election timeout. Vote requests
     /// are then ignored unless the leader asked for the election (§4.2.3, §6.2).
     fn leader_is_recent(&self) -> bool {
         self.leader.is_some() && self.election_elapsed < self.params.election_ticks
--- a/crates/control/src/core/index.rs
+++ b/crates/control/src/core/index.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Answers a router's question which engines hold prefixes of a prompt. A question about an
+    /// Answers a router's lookup of the engines that cache prefixes of a prompt. A lookup with an
     /// unknown slot is dropped.
     pub(super) fn on_lookup_request(&mut self, connection: ConnectionId, request: &LookupRequest) {
         let Some(member) = self.fleet.get_by_slot(request.member_slot) else {
--- a/crates/control/src/core/routers.rs
+++ b/crates/control/src/core/routers.rs
@@ -53,7 +53,7 @@
         let connections: Vec<ConnectionId> = self
             .subscriptions
             .iter()
-            .filter(|(_, subscription)| subscription.confirmed)
+            .filter(|(_, subscription)| subscription.full_config_sent)
             .map(|(connection, _)| *connection)
             .collect();
         for connection in connections {
@@ -71,7 +71,7 @@
             routers: u32::try_from(routers).unwrap_or(u32::MAX),
         };
         for (connection, subscription) in &self.subscriptions {
-            if subscription.confirmed {
+            if subscription.full_config_sent {
                 self.effects
                     .push(Effect::ToRouter(*connection, Message::Fresh(fresh)));
             }
@@ -129,7 +129,7 @@
             .relevant_resources(self.state.store.iter())
             .collect();
         let update = config_update(revision, true, &resources, &[]);
-        subscription.confirmed = true;
+        subscription.full_config_sent = true;
         subscription.sent = revision;
         self.effects
             .push(Effect::ToRouter(connection, Message::Config(update)));
--- a/crates/control/src/subscription.rs
+++ b/crates/control/src/subscription.rs
@@ -20,7 +20,7 @@
     /// bandwidth of 14 KB/s is too low to send it all of them.
     pub tenants: BTreeSet<TenantName>,
     /// True once the router has been sent the full configuration.
-    pub confirmed: bool,
+    pub full_config_sent: bool,
     /// The last revision that the router was sent.
     pub sent: Revision,
     /// The revision that the router reports to have applied.
@@ -39,7 +39,7 @@
             router,
             region: String::new(),
             tenants: BTreeSet::new(),
-            confirmed: false,
+            full_config_sent: false,
             sent: Revision(0),
             applied_revision: Revision(0),
             engines_sent: None,
--- a/crates/core/src/resource.rs
+++ b/crates/core/src/resource.rs
@@ -18,7 +18,7 @@
 pub enum ResourceKind {
     /// Engines that serve one model.
     EnginePool,
-    /// A model and the weights version in force.
+    /// A model and the weights version that serves its requests.
     Model,
     /// A tenant with its keys and limits.
     Tenant,
@@ -106,7 +106,7 @@
     Reuse,
 }
 
-/// A model and the weights version in force.
+/// A model and the weights version that serves its requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
@@ -204,7 +204,7 @@
 pub enum ResourceSpec {
     /// Engines that serve one model.
     EnginePool(EnginePoolSpec),
-    /// A model and the weights version in force.
+    /// A model and the weights version that serves its requests.
     Model(ModelSpec),
     /// A tenant with its keys and limits.
     Tenant(TenantSpec),
--- a/crates/node/src/control/members.rs
+++ b/crates/node/src/control/members.rs
@@ -98,7 +98,7 @@
         return;
     };
     if link.peer != Identity::Control(id.0) {
-        tracing::warn!("control: closing the link to {address}: not replica {id}");
+        tracing::warn!("control: closing the link to {address}: the peer is not replica {id}");
         return;
     }
     serve_control(link, id, registry, handle);
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -180,7 +180,7 @@
                     on_message(message);
                 }
                 Err(error) => {
-                    tracing::debug!("link: closed while reading: {error}");
+                    tracing::debug!("link: closing the connection after a failed read: {error}");
                     break;
                 }
             }
--- a/crates/node/src/router/api.rs
+++ b/crates/node/src/router/api.rs
@@ -30,7 +30,7 @@
 const EXPLAIN_PATH: &str = "/v1/explain/";
 
 /// Handles the HTTP requests of callers and operators.
-pub(super) struct Edge {
+pub(super) struct Api {
     handle: RouterHandle,
     upstream: Upstream,
     max_body_bytes: u64,
@@ -38,7 +38,7 @@
     request_seconds: Histogram,
 }
 
-impl Edge {
+impl Api {
     pub(super) fn new(settings: &RouterSettings, handle: RouterHandle) -> Self {
         let stall_timeout = Duration::from_millis(settings.limits.engine_stall_ms);
         Self {
@@ -164,7 +164,7 @@
     }
 }
 
-impl Handler for Edge {
+impl Handler for Api {
     fn handle(&self, request: &mut Request<'_>, responder: Responder<'_>) {
         match (request.method(), request.path()) {
             (Method::Post, "/v1/completions") => {
--- a/crates/node/src/router/link.rs
+++ b/crates/node/src/router/link.rs
@@ -91,7 +91,7 @@
         }
     };
     if !matches!(link.peer, Identity::Control(_)) {
-        tracing::warn!("router: closing the link to {address}: not a control machine");
+        tracing::warn!("router: closing the link to {address}: the peer is not a control machine");
         return;
     }
     let sender: LinkSender = link.sender.clone();
--- a/crates/node/src/router/mod.rs
+++ b/crates/node/src/router/mod.rs
@@ -1,7 +1,7 @@
 //! `drumshore router`: runs the router's actor, its links to control machines and its HTTP API.
 
+mod api;
 mod completions;
-mod edge;
 mod link;
 mod upstream;
 
@@ -27,7 +27,7 @@
 use crate::event_loop::{EventLoop, LoopHandle, Signals};
 use crate::links::Credentials;
 
-use edge::Edge;
+use api::Api;
 use link::ControlLinks;
 
 /// Why the daemon fails.
@@ -74,7 +74,7 @@
         ret_nop!()
     );
     let context = RouterContext { actor };
-    let server = start_edge(&settings, handle)?;
+    let server = start_api(&settings, handle)?;
     tracing::info!(
         "router: {} serves requests at {}",
         settings.name,
@@ -132,7 +132,7 @@
     }
 }
 
-fn start_edge(settings: &RouterSettings, handle: RouterHandle) -> io::Result<Server> {
+fn start_api(settings: &RouterSettings, handle: RouterHandle) -> io::Result<Server> {
     let limits = &settings.limits;
     let params = ServerParams {
         // Twice the limit on open requests: requests that are refused need connections too.
@@ -143,7 +143,7 @@
         ..ServerParams::default()
     };
     let listen: SocketAddr = settings.listen;
-    Server::start(listen, params, Edge::new(settings, handle))
+    Server::start(listen, params, Api::new(settings, handle))
 }
 
 /// Senders by link, shared by the event loop and the links' threads.
--- a/crates/router/src/core/control.rs
+++ b/crates/router/src/core/control.rs
@@ -58,7 +58,7 @@
             Message::Loads(update) => self.on_loads(&update),
             Message::Fresh(fresh) => self.on_fresh(fresh),
             Message::TenantAnswer(answer) => self.on_tenant_answer(&answer),
-            Message::LookupResponse(answer) => self.on_lookup_response(&answer),
+            Message::LookupResponse(response) => self.on_lookup_response(&response),
             Message::ClaimResponse(response) => self.on_claim_response(response),
             Message::OutcomeStored(ticket) => self.on_outcome_stored(ticket),
             Message::Allotment(allotment) => self.on_allotment(&allotment),
--- a/crates/router/src/core/lookups.rs
+++ b/crates/router/src/core/lookups.rs
@@ -70,13 +70,13 @@
         true
     }
 
-    /// Places the request that a lookup's answer belongs to.
-    pub(super) fn on_lookup_response(&mut self, answer: &LookupResponse) {
-        let Some(id) = self.lookups.open.get(&answer.ticket).copied() else {
+    /// Places the request that a lookup response belongs to.
+    pub(super) fn on_lookup_response(&mut self, response: &LookupResponse) {
+        let Some(id) = self.lookups.open.get(&response.ticket).copied() else {
             return;
         };
         let block_tokens = self.block_tokens_of(id);
-        let holdings = answer.holdings.items.iter();
+        let holdings = response.holdings.items.iter();
         let answers: Vec<LookupAnswer> = holdings
             .filter_map(|holding| {
                 Some(LookupAnswer {
@@ -123,8 +123,8 @@
         self.lookups.bookings.clear();
     }
 
-    /// Queues a booking, which tells other routers through the index what the engine will cache and
-    /// compute.
+    /// Queues a booking. It reports to other routers, through the index, what the engine will cache
+    /// and compute.
     pub(super) fn queue_booking(&mut self, ticket: Option<u32>, placement: &Placement) {
         let uncached = placement.uncached_tokens();
         if ticket.is_none() && uncached < MIN_BOOKED_TOKENS {
--- a/crates/router/src/core/mod.rs
+++ b/crates/router/src/core/mod.rs
@@ -259,7 +259,7 @@
         self.decisions.iter()
     }
 
-    /// The configuration in force.
+    /// The configuration that the router applies.
     pub fn config(&self) -> &ConfigView {
         &self.config
     }
--- a/crates/router/src/tests/core.rs
+++ b/crates/router/src/tests/core.rs
@@ -22,7 +22,7 @@
 use crate::exchange::{AttemptFailure, Conclusion, FailureKind};
 use crate::session::LinkId;
 
-/// A router core with a control machine and an index that the test plays.
+/// A router core with a control machine and an index that the test simulates.
 struct Harness {
     core: RouterCore,
     now: Timestamp,
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -88,7 +88,7 @@
             let error = RequestError::not_run(ErrorCode::Overloaded, "too many requests are open");
             return AdmissionDecision::Refused(error.retry_after(Duration::from_secs(1)));
         }
-        let tenant = self.tenant_use(request, now);
+        let tenant = self.tenant_state(request, now);
         tenant.requests += 1;
         if let Err(error) = tenant.check(request.limits, now) {
             return AdmissionDecision::Refused(error);
@@ -138,7 +138,7 @@
         usage
     }
 
-    fn tenant_use(&mut self, request: &AdmissionRequest<'_>, now: Timestamp) -> &mut TenantState {
+    fn tenant_state(&mut self, request: &AdmissionRequest<'_>, now: Timestamp) -> &mut TenantState {
         let full = f64::from(request.limits.requests_per_second) * BURST_SECONDS;
         self.tenants
             .entry(request.tenant.clone())
--- a/crates/routing/src/placer.rs
+++ b/crates/routing/src/placer.rs
@@ -145,7 +145,7 @@
         if may_look_up && self.lookup_budget.take(prefixes, choice.stake_tokens, now) {
             return Ok(Decision::Lookup(choice.engine));
         }
-        let (placement, choice) = self.book(request, routing, choice, now)?;
+        let (placement, choice) = self.record_placement(request, routing, choice, now)?;
         Ok(Decision::Placed(placement, choice))
     }
 
@@ -182,10 +182,10 @@
         let choice = self
             .scheduler
             .choose(&self.engines, &self.index, &informed, now)?;
-        self.book(request, &informed, choice, now)
+        self.record_placement(request, &informed, choice, now)
     }
 
-    fn book(
+    fn record_placement(
         &mut self,
         request: u64,
         routing: &RoutingRequest<'_>,
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -186,7 +186,7 @@
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupRequest {
-    /// Identifies the question in the answer and in the booking that follows it.
+    /// Identifies the lookup in the response and in the booking that follows it.
     pub ticket: u32,
     /// The slot of an engine that could serve the prompt. The engines of the same pool with the
     /// same weights are the candidates.
@@ -197,7 +197,7 @@
     pub prompt_tokens: u32,
     /// The cost of a token to compute relative to a token ahead in the queue, in tenths.
     pub recompute_weight: u8,
-    /// The largest number of engines in the answer.
+    /// The largest number of engines in the response.
     pub limit: u8,
     /// Blocks between two consecutive prefixes of `prefixes`.
     pub step: u16,
@@ -220,12 +220,12 @@
     pub running: u8,
 }
 
-/// The answer to an [`LookupRequest`].
+/// The response to a [`LookupRequest`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupResponse {
-    /// The ticket of the question.
+    /// The ticket of the lookup.
     pub ticket: u32,
     /// The suggested engines, best first.
     pub holdings: List<HoldingRecord>,
@@ -236,7 +236,7 @@
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BookingRecord {
-    /// The ticket of the question before the placement; 0 for none.
+    /// The ticket of the lookup that preceded the placement; 0 if there was none.
     pub ticket: u32,
     /// The engine's slot in the last engine update.
     pub slot: u16,
@@ -249,7 +249,7 @@
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BookingReport {
-    /// The requests that the router has placed since its last message.
+    /// The requests that the router has placed since its last report.
     pub records: List<BookingRecord>,
 }
 
