--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -578,7 +578,7 @@
         let current = self.hard_state();
         let stored = &self.stored_hard_state;
         let term_or_vote_changed = current.term != stored.term || current.vote != stored.vote;
-        // A new commit position alone is not worth a sync; it is learned again after a restart.
+        // A new commit position alone needs no sync: after a restart the replica receives it again.
         if !term_or_vote_changed && entries.is_empty() {
             return None;
         }
--- a/crates/control/src/allotment.rs
+++ b/crates/control/src/allotment.rs
@@ -19,7 +19,7 @@
 /// The demand of one party (a control machine or a router) on the limits of one tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Requests per second that asked to start.
+    /// Requests received per second, including refused ones.
     pub rate: f64,
     /// Requests that are open at the same time.
     pub open: f64,
--- a/crates/control/src/subscription.rs
+++ b/crates/control/src/subscription.rs
@@ -1,4 +1,4 @@
-//! The state of each connected router: what it holds and what it has been sent.
+//! The state of each connected router: the revision it applied and the updates it was sent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -246,8 +246,8 @@
             .then(|| SecretKey::new(key.trim()))
     }
 
-    /// Reads the whole body of at most `max_bytes`. Fails if the body is larger,
-    /// malformed or too slow.
+    /// Reads the whole body of at most `max_bytes`. Fails if the body is larger, malformed or too
+    /// slow.
     pub fn read_body(&mut self, max_bytes: u64) -> Result<Vec<u8>, RequestError> {
         if let BodyLength::Known(length) = self.head.body {
             check_body(length, max_bytes)?;
