--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -395,8 +395,9 @@
 pub struct UsageRecord {
     /// The tenant that the figures are for.
     pub tenant: Text,
-    /// In tenths of a request per second. In a report: the rate of requests received since the
-    /// last report, including refused ones. In an allotment: the rate at which the router may start requests.
+    /// In tenths of a request per second. In a report: the rate of requests received since the last
+    /// report, including refused ones. In an allotment: the rate at which the router may start
+    /// requests.
     pub rate: u32,
     /// In a report: requests open now. In an allotment: requests that the router may have open.
     pub open: u32,
