--- a/crates/consensus/tests/random_schedules.rs
+++ b/crates/consensus/tests/random_schedules.rs
@@ -2,7 +2,7 @@
 //! disabling a guard is detected as a violation.
 
 use drumshore_consensus_harness::{run_schedule, Violation};
-use drumshore_guard::{set_removed, Guard};
+use drumshore_guard::{set_disabled, Guard};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -39,14 +39,14 @@
 }
 
 fn first_violation(guard: Guard) -> Option<(u64, Violation)> {
-    set_removed(Some(guard));
+    set_disabled(Some(guard));
     let seeds = 0..4_000;
     let found = seeds.into_iter().find_map(|seed| {
         schedule_with_panics(seed)
             .err()
             .map(|violation| (seed, violation))
     });
-    set_removed(None);
+    set_disabled(None);
     found
 }
 
--- a/crates/consensus/tests/scenarios.rs
+++ b/crates/consensus/tests/scenarios.rs
@@ -5,7 +5,7 @@
     double_vote, lost_disk, old_term_is_counted, restart_with_empty_disk,
 };
 use drumshore_consensus_harness::{Cluster, Violation};
-use drumshore_guard::{set_removed, Guard};
+use drumshore_guard::{set_disabled, Guard};
 use rstest::rstest;
 
 #[test]
@@ -205,12 +205,12 @@
     for seed in 0..20 {
         assert_eq!(script(seed), Ok(()), "seed {seed}");
     }
-    set_removed(Some(guard));
+    set_disabled(Some(guard));
     let detected = (0..20).any(|seed| {
         let outcome = std::panic::catch_unwind(|| script(seed));
         !matches!(outcome, Ok(Ok(())))
     });
-    set_removed(None);
+    set_disabled(None);
     assert!(
         detected,
         "the script does not detect that {} is disabled",
--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -120,7 +120,7 @@
     }
 
     /// Disables one safeguard for this thread and enables all others; `None` enables all.
-    pub fn set_removed(guard: Option<Guard>) {
+    pub fn set_disabled(guard: Option<Guard>) {
         REMOVED.with(|removed| removed.set(guard));
     }
 }
--- a/crates/testbed/src/sim/world.rs
+++ b/crates/testbed/src/sim/world.rs
@@ -255,9 +255,9 @@
 
 /// Runs a plan with one guard taken out, or none.
 pub fn run(plan: &Plan, seed: u64, without: Option<Guard>) -> SimReport {
-    set_removed(without);
+    set_disabled(without);
     let outcome = catch_unwind(|| World::new(plan.clone(), seed).run());
-    set_removed(None);
+    set_disabled(None);
     outcome.unwrap_or_else(|panic| panicked(&panic))
 }
 
@@ -267,9 +267,9 @@
     seed: u64,
     without: Option<Guard>,
 ) -> SimReport {
-    set_removed(without);
+    set_disabled(without);
     let outcome = catch_unwind(|| script(seed));
-    set_removed(None);
+    set_disabled(None);
     match outcome {
         Ok(Ok(())) => SimReport::empty(),
         Ok(Err(violation)) => broken_log(format!("{violation:?}")),
@@ -297,13 +297,13 @@
 }
 
 #[cfg(feature = "guards")]
-fn set_removed(guard: Option<Guard>) {
-    drumshore_guard::set_removed(guard);
+fn set_disabled(guard: Option<Guard>) {
+    drumshore_guard::set_disabled(guard);
 }
 
 /// A normal build holds every guard.
 #[cfg(not(feature = "guards"))]
-fn set_removed(_: Option<Guard>) {}
+fn set_disabled(_: Option<Guard>) {}
 
 impl World {
     fn new(plan: Plan, seed: u64) -> Self {
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,6 +1,6 @@
 //! The fleet under every failure of the brief, and each safeguard's harm.
 
-use drumshore_guard::{set_removed, Guard};
+use drumshore_guard::{set_disabled, Guard};
 use drumshore_testbed::sim::{Scenario, SCENARIOS};
 use rstest::rstest;
 
@@ -74,9 +74,9 @@
 fn a_missing_safeguard_does_harm(#[case] guard: Guard, #[case] name: &str) {
     let scenario = scenario(name);
     let noticed = (1..=HARM_SEEDS).any(|seed| {
-        set_removed(Some(guard));
+        set_disabled(Some(guard));
         let report = scenario.run(seed, Some(guard));
-        set_removed(None);
+        set_disabled(None);
         !report.failures.is_empty()
     });
     assert!(noticed, "{} can be taken out unnoticed", guard.as_str());
