--- a/crates/guard/src/lib.rs
+++ b/crates/guard/src/lib.rs
@@ -111,17 +111,17 @@
     use super::Guard;
 
     thread_local! {
-        static REMOVED: Cell<Option<Guard>> = const { Cell::new(None) };
+        static DISABLED: Cell<Option<Guard>> = const { Cell::new(None) };
     }
 
     /// False if this thread has disabled the safeguard.
     pub fn enforced(guard: Guard) -> bool {
-        REMOVED.with(Cell::get) != Some(guard)
+        DISABLED.with(Cell::get) != Some(guard)
     }
 
     /// Disables one safeguard for this thread and enables all others; `None` enables all.
     pub fn set_disabled(guard: Option<Guard>) {
-        REMOVED.with(|removed| removed.set(guard));
+        DISABLED.with(|disabled| disabled.set(guard));
     }
 }
 
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -12,8 +12,8 @@
     /// Control to control: a message of the replicated log, encoded by the consensus library.
     #[brw(magic(1u8))]
     Consensus(Blob),
-    /// Router to control: the first message of a connection, sent again whenever the router's floor
-    /// has risen.
+    /// Router to control: the first message of a connection. A control machine also accepts it
+    /// later, with a higher floor.
     #[brw(magic(2u8))]
     Subscribe(Subscribe),
     /// Control to router: changed resources.
