--- a/crates/consensus/src/raft.rs
+++ b/crates/consensus/src/raft.rs
@@ -470,8 +470,8 @@
     }
 
     fn membership_at(&self, index: LogIndex) -> &Membership {
-        let in_force = self.memberships.iter().rev().find(|(at, _)| *at <= index);
-        &in_force.unwrap_or(&self.memberships[0]).1
+        let in_effect = self.memberships.iter().rev().find(|(at, _)| *at <= index);
+        &in_effect.unwrap_or(&self.memberships[0]).1
     }
 
     fn can_campaign(&self) -> bool {
@@ -510,7 +510,7 @@
         }
     }
 
-    /// True when a leader has been in contact within the minimum election timeout. Vote requests
+    /// True when a message of the leader arrived within the minimum election timeout. Vote requests
     /// are then ignored unless the leader asked for the election (§4.2.3, §6.2).
     fn leader_is_recent(&self) -> bool {
         self.leader.is_some() && self.election_elapsed < self.params.election_ticks
@@ -578,7 +578,7 @@
         let current = self.hard_state();
         let stored = &self.stored_hard_state;
         let term_or_vote_changed = current.term != stored.term || current.vote != stored.vote;
-        // A new commit position alone is not worth a sync; it is learned again after a restart.
+        // A new commit position alone needs no sync: after a restart the replica receives it again.
         if !term_or_vote_changed && entries.is_empty() {
             return None;
         }
--- a/crates/testbed/src/bench/index.rs
+++ b/crates/testbed/src/bench/index.rs
@@ -184,7 +184,7 @@
             };
             let started = Instant::now();
             let engines = self.engines.iter().copied();
-            let holdings = self.indexer.ask(&lookup, engines, Timestamp(1));
+            let holdings = self.indexer.look_up(&lookup, engines, Timestamp(1));
             let lookup_ns = started.elapsed().as_nanos() as u64;
             assert!(!holdings.is_empty(), "every engine is a candidate");
             nanoseconds.saturating_record(lookup_ns);
--- a/crates/testbed/src/bench/routing/control.rs
+++ b/crates/testbed/src/bench/routing/control.rs
@@ -11,8 +11,8 @@
 };
 use drumshore_wire::frame::encode_frame;
 use drumshore_wire::{
-    BookingRecord, Bookings, EngineLoad, HoldingRecord, IndexAnswer, IndexQuestion, List,
-    LoadUpdate, Message, AGE_UNIT_MS, WAITING_UNIT_TOKENS,
+    BookingRecord, BookingReport, EngineLoad, HoldingRecord, List, LoadUpdate, LookupRequest,
+    LookupResponse, Message, AGE_UNIT_MS, WAITING_UNIT_TOKENS,
 };
 
 use super::run::{zone, Bench, POOL, RECORDED_ROUTER, WEIGHTS};
@@ -149,7 +149,7 @@
         let ready = self.ids.iter().zip(&self.states);
         let ready = ready.filter(|(_, state)| **state == EngineState::Ready);
         let machine = job.router % self.indexers.len();
-        let holdings = self.indexers[machine].ask(&lookup, ready.map(|(id, _)| *id), self.now);
+        let holdings = self.indexers[machine].look_up(&lookup, ready.map(|(id, _)| *id), self.now);
         self.index_traffic_bytes += lookup_bytes(&lookup) + answer_bytes(holdings.len());
         let block_tokens = lookup.block_tokens;
         let answers = holdings.iter().map(|holding| answer(holding, block_tokens));
@@ -167,14 +167,14 @@
             return;
         };
         let booking_pending = std::mem::take(&mut job.booking_pending);
-        let missing = placement.missing_tokens();
-        if !uses_index || (!booking_pending && missing < MIN_BOOKED_TOKENS) {
+        let uncached = placement.uncached_tokens();
+        if !uses_index || (!booking_pending && uncached < MIN_BOOKED_TOKENS) {
             return;
         }
         self.index_traffic_bytes += booking_bytes();
         let own = job.router % self.indexers.len();
         let lookup = lookup_id(job.router, number);
-        let booking = self.indexers[own].booking_for_lookup(lookup, placement.engine, missing);
+        let booking = self.indexers[own].booking_for_lookup(lookup, placement.engine, uncached);
         for machine in 0..self.indexers.len() {
             let relay_delay = if machine == own {
                 Duration::ZERO
@@ -212,9 +212,9 @@
 
 fn lookup_bytes(lookup: &IndexLookup) -> u64 {
     let hashes = lookup.prefixes.iter().map(|prefix| prefix.hash.0);
-    frame_bytes(&Message::IndexQuestion(IndexQuestion {
+    frame_bytes(&Message::LookupRequest(LookupRequest {
         ticket: lookup.id.ticket,
-        like: 0,
+        member_slot: 0,
         block_tokens: lookup.block_tokens,
         prompt_tokens: lookup.prompt_tokens,
         recompute_weight: 0,
@@ -231,7 +231,7 @@
         waiting: 0,
         running: 0,
     };
-    frame_bytes(&Message::IndexAnswer(IndexAnswer {
+    frame_bytes(&Message::LookupResponse(LookupResponse {
         ticket: 0,
         holdings: List::new(vec![holding; engines]),
     }))
@@ -241,9 +241,9 @@
     let record = BookingRecord {
         ticket: 0,
         slot: 0,
-        missing: 0,
+        uncached: 0,
     };
-    frame_bytes(&Message::Bookings(Bookings {
+    frame_bytes(&Message::BookingReport(BookingReport {
         records: List::new(vec![record]),
     }))
 }
--- a/crates/testbed/src/sim/cluster.rs
+++ b/crates/testbed/src/sim/cluster.rs
@@ -266,9 +266,9 @@
 
 /// Runs a plan, with the guard `without` disabled if there is one.
 pub fn run(plan: &Plan, seed: u64, without: Option<Guard>) -> SimReport {
-    set_removed(without);
+    set_disabled(without);
     let outcome = catch_unwind(|| SimCluster::new(plan.clone(), seed).run());
-    set_removed(None);
+    set_disabled(None);
     outcome.unwrap_or_else(|panic| panic_report(&panic))
 }
 
@@ -278,9 +278,9 @@
     seed: u64,
     without: Option<Guard>,
 ) -> SimReport {
-    set_removed(without);
+    set_disabled(without);
     let outcome = catch_unwind(|| script(seed));
-    set_removed(None);
+    set_disabled(None);
     match outcome {
         Ok(Ok(())) => SimReport::empty(),
         Ok(Err(violation)) => log_violation_report(format!("{violation:?}")),
@@ -308,13 +308,13 @@
 }
 
 #[cfg(feature = "guards")]
-fn set_removed(guard: Option<Guard>) {
-    drumshore_guard::set_removed(guard);
+fn set_disabled(guard: Option<Guard>) {
+    drumshore_guard::set_disabled(guard);
 }
 
 /// Without the feature `guards` no guard can be disabled.
 #[cfg(not(feature = "guards"))]
-fn set_removed(_: Option<Guard>) {}
+fn set_disabled(_: Option<Guard>) {}
 
 impl SimCluster {
     fn new(plan: Plan, seed: u64) -> Self {
--- a/crates/testbed/tests/replay.rs
+++ b/crates/testbed/tests/replay.rs
@@ -33,7 +33,7 @@
 fn a_changed_decision_is_reported_at_its_position() {
     let expected = expected_decisions("surtidor");
     let mut found = expected.clone();
-    found[9].outcome = TraceOutcome::Nowhere;
+    found[9].outcome = TraceOutcome::NoEngine;
     let difference = first_difference(&expected, &found).expect("a difference");
     assert_eq!(difference.position, 10);
     assert_eq!(difference.expected, Some(expected[9].clone()));
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,6 +1,6 @@
 //! Runs every fault scenario, and checks that removing any guard violates an invariant.
 
-use drumshore_guard::{set_removed, Guard};
+use drumshore_guard::{set_disabled, Guard};
 use drumshore_testbed::sim::{Scenario, SCENARIOS};
 use rstest::rstest;
 
@@ -78,9 +78,9 @@
 fn removing_a_guard_breaks_an_invariant(#[case] guard: Guard, #[case] name: &str) {
     let scenario = scenario(name);
     let violated = (1..=VIOLATION_SEEDS).any(|seed| {
-        set_removed(Some(guard));
+        set_disabled(Some(guard));
         let report = scenario.run(seed, Some(guard));
-        set_removed(None);
+        set_disabled(None);
         !report.failures.is_empty()
     });
     assert!(
--- a/crates/wire/src/messages.rs
+++ b/crates/wire/src/messages.rs
@@ -12,8 +12,8 @@
     /// Control to control: a message of the replicated log, encoded by the consensus library.
     #[brw(magic(1u8))]
     Consensus(Blob),
-    /// Router to control: the first message of a connection, sent again whenever the router's floor
-    /// has risen.
+    /// Router to control: the first message of a connection. A control machine also accepts it
+    /// later, with a higher floor.
     #[brw(magic(2u8))]
     Subscribe(Subscribe),
     /// Control to router: changed resources.
@@ -57,13 +57,13 @@
     OutcomeStored(u64),
     /// Router to control: asks which engines have cached blocks of a prompt.
     #[brw(magic(17u8))]
-    IndexQuestion(IndexQuestion),
+    LookupRequest(LookupRequest),
     /// Control to router: engines to serve the prompt, with their cached blocks.
     #[brw(magic(18u8))]
-    IndexAnswer(IndexAnswer),
+    LookupResponse(LookupResponse),
     /// Router to control: requests that the router has placed on engines.
     #[brw(magic(19u8))]
-    Bookings(Bookings),
+    BookingReport(BookingReport),
     /// Control to control: requests that the routers connected to the sender have placed.
     #[brw(magic(20u8))]
     RelayedBookings(RelayedBookings),
@@ -151,7 +151,7 @@
     pub engines: List<EngineEntry>,
 }
 
-/// Prompt tokens in one unit of the `waiting` and `missing` fields.
+/// Prompt tokens in one unit of the `waiting` and `uncached` fields.
 pub const WAITING_UNIT_TOKENS: u32 = 256;
 
 /// Milliseconds in one unit of [`EngineLoad::age`].
@@ -185,19 +185,19 @@
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct IndexQuestion {
-    /// Identifies the question in the answer and in the booking that follows it.
+pub struct LookupRequest {
+    /// Identifies the lookup in the response and in the booking that follows it.
     pub ticket: u32,
     /// The slot of an engine that could serve the prompt. The engines of the same pool with the
     /// same weights are the candidates.
-    pub like: u16,
+    pub member_slot: u16,
     /// Tokens in one cache block.
     pub block_tokens: u32,
     /// Tokens in the prompt.
     pub prompt_tokens: u32,
     /// The cost of a token to compute relative to a token ahead in the queue, in tenths.
     pub recompute_weight: u8,
-    /// The largest number of engines in the answer.
+    /// The largest number of engines in the response.
     pub limit: u8,
     /// Blocks between two consecutive prefixes of `prefixes`.
     pub step: u16,
@@ -220,12 +220,12 @@
     pub running: u8,
 }
 
-/// The answer to an [`IndexQuestion`].
+/// The response to a [`LookupRequest`].
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct IndexAnswer {
-    /// The ticket of the question.
+pub struct LookupResponse {
+    /// The ticket of the lookup.
     pub ticket: u32,
     /// The suggested engines, best first.
     pub holdings: List<HoldingRecord>,
@@ -236,20 +236,20 @@
 #[brw(little)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BookingRecord {
-    /// The ticket of the question before the placement; 0 for none.
+    /// The ticket of the lookup that preceded the placement; 0 if there was none.
     pub ticket: u32,
     /// The engine's slot in the last engine update.
     pub slot: u16,
     /// Prompt tokens that are not cached and must be computed, in units of 256 tokens.
-    pub missing: u16,
+    pub uncached: u16,
 }
 
 /// The bookings of one router.
 #[binrw]
 #[brw(little)]
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Bookings {
-    /// The requests that the router has placed since its last message.
+pub struct BookingReport {
+    /// The requests that the router has placed since its last report.
     pub records: List<BookingRecord>,
 }
 
@@ -261,7 +261,7 @@
     /// The engine's identity. Slots differ between control machines and cannot be used here.
     pub engine: u64,
     /// Prompt tokens that are not cached and must be computed.
-    pub missing_tokens: u32,
+    pub uncached_tokens: u32,
     /// Hashes of the prompt prefixes that the engine will cache.
     pub prefixes: List<u64>,
 }
@@ -395,8 +395,9 @@
 pub struct UsageRecord {
     /// The tenant that the figures are for.
     pub tenant: Text,
-    /// In tenths of a request per second. In a report: the rate of requests that asked to start
-    /// since the last report. In an allotment: the rate at which the router may start requests.
+    /// In tenths of a request per second. In a report: the rate of requests received since the last
+    /// report, including refused ones. In an allotment: the rate at which the router may start
+    /// requests.
     pub rate: u32,
     /// In a report: requests open now. In an allotment: requests that the router may have open.
     pub open: u32,
